--- a/Makefile
+++ b/Makefile
@@ -9,7 +9,7 @@
 	./test.sh
 
 lint:
-	test -z "$$(gofmt -l .)" && go vet ./...
+	test -z "$$(gofmt -l .)" && go vet ./... && go tool -modfile=tools/go.mod staticcheck -checks all ./...
 
 run: build
 	GW_CONFIG=$(GW_CONFIG) bin/coursewinch
--- a/epoll/loop_test.go
+++ b/epoll/loop_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const id = 2<<32 | 0
+	const id = 2 << 32
 	l.socks = []*sock{{id: id, fd: -1, in: new(lines.Ring), out: new(lines.Ring)}}
 	for _, gen := range []int32{1, 2} {
 		l.ready[0], l.came = unix.EpollEvent{Events: unix.EPOLLIN, Fd: 0, Pad: gen}, 1
--- a/lines/lines.go
+++ b/lines/lines.go
@@ -1,3 +1,4 @@
+// Package lines parses the single lines of the client and host protocol and buffers bytes in rings.
 package lines
 
 import (
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -361,8 +361,8 @@
 // call that is due against idle clients that hold them all.
 func TestNoDescriptorIsNobodysFault(t *testing.T) {
 	n, w := ready(1)
+	w.client("PING\r\n")
 	idle := w.client("PING\r\n")
-	idle = w.client("PING\r\n")
 	w.turn(idled, func() {})
 	c := w.client(asks)
 	h := w.last()
--- a/rehearsal/live/process.go
+++ b/rehearsal/live/process.go
@@ -10,7 +10,6 @@
 	"regexp"
 	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
@@ -33,7 +32,6 @@
 	pause chan struct{} // ends the thread that starves it
 	waits time.Duration // for a core, in lives that have ended
 
-	mu   sync.Mutex
 	gone chan struct{} // closed when the process has ended
 }
 
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -16,7 +16,6 @@
 	p    *player
 	node int
 	addr string
-	mu   sync.Mutex
 	l    net.Listener
 }
 
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format check, vet, build and tests, but for those that KNOWN-RED.txt names. Needs Go alone: no kit, no network.
+# Format check, vet, staticcheck, build and tests, but for those that KNOWN-RED.txt names. Needs Go and its module proxy: no kit.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l .)
@@ -8,6 +8,7 @@
 	exit 1
 fi
 go vet ./...
+go tool -modfile=tools/go.mod staticcheck -checks all ./...
 go build ./...
 # Real processes in real time run beside no other package of ours.
 also=(rehearsal/live)
