--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,7 +1,8 @@
-// Package admission decides, at a node's own limits, whose connection is taken: caps and rates per client address, a
-// reserve for known clients, fairness among service types. It does no I/O and knows no clock; times are microseconds.
+// Package admission decides at one node, from the node's own limits, which client connections are accepted. It applies
+// connection caps and rates per client address, keeps a reserve of descriptors for known clients, and shares capacity
+// fairly among service types. It does no I/O and reads no clock: all times are microseconds passed in by the caller.
 //
-// It says nothing of servers: which server a flow goes to, and whether one is left for it, is the decision module's.
+// It knows nothing about hosts. The balance package decides which host a flow goes to, and whether one is available.
 package admission
 
 import (
@@ -10,295 +11,320 @@
 	"slices"
 )
 
-// Limits are what an operator allows. Zero values allow everything.
+// Limits are the limits that an operator sets. A zero limit allows everything.
 type Limits struct {
-	PerAddress int     // connections at once from one address (IPv6: one /64)
-	Rate       float64 // new connections a second from one address
-	Burst      float64 // that it may have in hand; at least one where there is a rate
-	Reserve    int     // descriptors that only known clients may take
-	Known      int     // known addresses remembered; 0: 4096
-	Strangers  int     // others remembered; 0: 4096
+	PerAddress       int     // concurrent connections from one address (IPv6: one /64)
+	Rate             float64 // new connections per second from one address
+	Burst            float64 // size of the token bucket for Rate; at least 1 when there is a rate
+	Reserve          int     // descriptors that only known clients may use
+	KnownAddresses   int     // known addresses remembered; 0 means 4096
+	UnknownAddresses int     // other addresses remembered; 0 means 4096
 }
 
-// On tells whether there is anything to decide.
+// On reports whether any limit is set.
 func (l Limits) On() bool { return l.PerAddress > 0 || l.Rate > 0 || l.Reserve > 0 }
 
-// Reason is why a connection is not taken.
+// Reason says why a connection was refused, or that it was accepted.
 type Reason uint8
 
+// The decisions on a new connection.
 const (
-	Taken     Reason = iota
-	TooMany          // its address holds its cap
-	TooFast          // its address is over its rate
-	KeptFree         // what is left is kept for known clients
-	LessWorth        // the node is short, and flows of more benefit come
+	Taken              Reason = iota // the connection is accepted
+	TooManyConnections               // its address has as many connections as it may have
+	RateExceeded                     // its address opens connections faster than allowed
+	ReservedForKnown                 // the remaining descriptors are reserved for known clients
+	LowerBenefit                     // the node is short of capacity and serves flows of higher benefit instead
 )
 
-var reasons = [...]string{"taken", "too many from its address", "too fast from its address", "the rest is for known clients",
-	"short, and others are worth more"}
+// reasonTexts are logged for operators (why=) and documented, so they must stay as they are.
+var reasonTexts = [...]string{
+	"taken",
+	"too many from its address",
+	"too fast from its address",
+	"the rest is for known clients",
+	"short, and others are worth more",
+}
 
-func (r Reason) String() string { return reasons[r] }
+// String returns the text that operators see in logs.
+func (r Reason) String() string { return reasonTexts[r] }
 
 const (
-	usual    = 4096
-	halfLife = 600 * second // of what makes an address known
-	forget   = 0.25         // under which it is a stranger again
-	second   = int64(1_000_000)
+	second = int64(1_000_000) // in microseconds
+
+	defaultTableSize = 4096
+	maxEvictionTries = 16           // records looked at to make room for one new address
+	scoreHalfLife    = 600 * second // half-life of the score that makes an address known
+	knownThreshold   = 0.25         // an address with a lower score is unknown again
+	demandWindow     = second       // time constant of the demand average
 )
 
-// record is one address.
-type record struct {
-	open   int     // connections held
-	tokens float64 // of its rate
-	at     int64   // when these were counted
-	score  float64 // established flows, halved with time
-	scored int64
-	used   int64 // when it last came
-	key    netip.Prefix
-	next   *record // a ring by use, the longest unused first after the head
-	prev   *record
-	known  bool
+// addressRecord is the state of one client address.
+type addressRecord struct {
+	openConnections int
+	tokens          float64 // of the token bucket
+	refilledAt      int64   // when tokens was last refilled
+	score           float64 // count of established flows, halved every scoreHalfLife
+	decayedAt       int64   // when score was last halved
+	lastUsedAt      int64   // when the address last opened a connection
+	key             netip.Prefix
+	next            *addressRecord // circular list by last use; the least recently used record follows the sentinel
+	prev            *addressRecord
+	known           bool
 }
 
-// table holds addresses in the order of use.
-type table struct {
-	head record // of the ring
-	of   map[netip.Prefix]*record
-	most int
+// addressTable is a bounded set of addresses in order of last use.
+type addressTable struct {
+	sentinel  addressRecord // head of the circular list
+	byAddress map[netip.Prefix]*addressRecord
+	capacity  int
 }
 
-func newTable(most int) *table {
-	t := &table{of: map[netip.Prefix]*record{}, most: most}
-	t.head.next, t.head.prev = &t.head, &t.head
+func newAddressTable(capacity int) *addressTable {
+	t := &addressTable{byAddress: map[netip.Prefix]*addressRecord{}, capacity: capacity}
+	t.sentinel.next, t.sentinel.prev = &t.sentinel, &t.sentinel
 	return t
 }
 
-func (t *table) touch(r *record) {
-	t.unlink(r)
-	r.prev, r.next = t.head.prev, &t.head
+// markUsed makes a record the most recently used one, and adds it if it is not in the table.
+func (t *addressTable) markUsed(r *addressRecord) {
+	t.remove(r)
+	r.prev, r.next = t.sentinel.prev, &t.sentinel
 	r.prev.next, r.next.prev = r, r
-	t.of[r.key] = r
+	t.byAddress[r.key] = r
 }
 
-func (t *table) unlink(r *record) {
+// remove takes a record out of the table, if it is in it.
+func (t *addressTable) remove(r *addressRecord) {
 	if r.next != nil {
 		r.prev.next, r.next.prev = r.next, r.prev
 		r.next, r.prev = nil, nil
-		delete(t.of, r.key)
+		delete(t.byAddress, r.key)
 	}
 }
 
-// room drops the longest unused that hold no connection until one more fits. It gives up after a few that do: a table
-// is never walked through for one newcomer.
-func (t *table) room() bool {
-	for tries := 0; len(t.of) >= t.most; tries++ {
-		r := t.head.next
-		if r == &t.head || tries == 16 {
+// makeRoom evicts the least recently used records without open connections until one more record fits. It reports
+// whether one does. It gives up after a few records with open connections, so that one new address never scans the
+// whole table.
+func (t *addressTable) makeRoom() bool {
+	for attempts := 0; len(t.byAddress) >= t.capacity; attempts++ {
+		r := t.sentinel.next
+		if r == &t.sentinel || attempts == maxEvictionTries {
 			return false
 		}
-		if r.open > 0 {
-			t.touch(r)
+		if r.openConnections > 0 {
+			t.markUsed(r)
 			continue
 		}
-		t.unlink(r)
+		t.remove(r)
 	}
 	return true
 }
 
-// Gate decides for one node.
+// Gate makes the admission decisions of one node.
 type Gate struct {
-	lim       Limits
-	known     *table // learned from established flows: a flood of new addresses can't push them out
-	strangers *table
-	Refused   [len(reasons)]int // by reason
+	limits    Limits
+	known     *addressTable // addresses with established flows; a flood of new addresses cannot evict them
+	unknown   *addressTable
+	Decisions [len(reasonTexts)]int // number of decisions by Reason
 }
 
-// New makes a gate.
-func New(lim Limits) *Gate {
-	if lim.Known == 0 {
-		lim.Known = usual
+// New returns a Gate with the given limits.
+func New(limits Limits) *Gate {
+	if limits.KnownAddresses == 0 {
+		limits.KnownAddresses = defaultTableSize
+	}
+	if limits.UnknownAddresses == 0 {
+		limits.UnknownAddresses = defaultTableSize
 	}
-	if lim.Strangers == 0 {
-		lim.Strangers = usual
+	if limits.Rate > 0 {
+		limits.Burst = max(limits.Burst, 1)
 	}
-	if lim.Rate > 0 {
-		lim.Burst = max(lim.Burst, 1)
+	return &Gate{
+		limits:  limits,
+		known:   newAddressTable(limits.KnownAddresses),
+		unknown: newAddressTable(limits.UnknownAddresses),
 	}
-	return &Gate{lim: lim, known: newTable(lim.Known), strangers: newTable(lim.Strangers)}
 }
 
-// Set changes the limits; what is held stays.
-func (g *Gate) Set(lim Limits) {
-	fresh := New(lim)
-	g.lim, g.known.most, g.strangers.most = fresh.lim, fresh.lim.Known, fresh.lim.Strangers
+// SetLimits changes the limits. Records and open connections are kept.
+func (g *Gate) SetLimits(limits Limits) {
+	updated := New(limits).limits
+	g.limits = updated
+	g.known.capacity = updated.KnownAddresses
+	g.unknown.capacity = updated.UnknownAddresses
 }
 
-// Key is what an address counts as: itself, or its /64.
-func Key(a netip.Addr) netip.Prefix {
+// Key returns the prefix under which an address is counted: an IPv4 address itself, or the /64 of an IPv6 address.
+func Key(address netip.Addr) netip.Prefix {
 	bits := 32
-	if a = a.Unmap().WithZone(""); a.Is6() {
+	if address = address.Unmap().WithZone(""); address.Is6() {
 		bits = 64
 	}
-	p, _ := a.Prefix(bits)
-	return p
+	prefix, _ := address.Prefix(bits)
+	return prefix
 }
 
-func (g *Gate) find(key netip.Prefix) *record {
-	if r := g.known.of[key]; r != nil {
+func (g *Gate) find(key netip.Prefix) *addressRecord {
+	if r := g.known.byAddress[key]; r != nil {
 		return r
 	}
-	return g.strangers.of[key]
+	return g.unknown.byAddress[key]
 }
 
-// Known tells whether flows of an address were established of late.
-func (g *Gate) Known(key netip.Prefix, now int64) bool {
-	r := g.known.of[key]
-	return r != nil && r.fade(now) >= forget
+// IsKnown reports whether flows of an address were established recently.
+func (g *Gate) IsKnown(key netip.Prefix, now int64) bool {
+	r := g.known.byAddress[key]
+	return r != nil && r.decayScore(now) >= knownThreshold
 }
 
-// fade halves the score for each half-life that has passed.
-func (r *record) fade(now int64) float64 {
-	for now-r.scored >= halfLife {
+// decayScore halves the score for each half-life that has passed, and returns it.
+func (r *addressRecord) decayScore(now int64) float64 {
+	for now-r.decayedAt >= scoreHalfLife {
 		r.score /= 2
-		r.scored += halfLife
-		if r.score < forget/2 {
-			r.score, r.scored = 0, now
+		r.decayedAt += scoreHalfLife
+		if r.score < knownThreshold/2 {
+			r.score, r.decayedAt = 0, now
 		}
 	}
 	return r.score
 }
 
-// Come decides on a new connection; room is how many descriptors are free besides those owed to flows that were taken.
-// Each Taken wants one Gone.
+// Come decides on a new connection. room is the number of free descriptors, without those reserved for flows that were
+// already accepted. For each connection that was accepted, the caller has to call Gone once.
 func (g *Gate) Come(key netip.Prefix, now int64, room int) Reason {
-	why := g.judge(key, now, room)
-	g.Refused[why]++
-	return why
+	reason := g.decide(key, now, room)
+	g.Decisions[reason]++
+	return reason
 }
 
-func (g *Gate) judge(key netip.Prefix, now int64, room int) Reason {
+func (g *Gate) decide(key netip.Prefix, now int64, room int) Reason {
 	r := g.find(key)
-	known := r != nil && r.known && r.fade(now) >= forget
-	if !known && room <= g.lim.Reserve {
-		return KeptFree
+	known := r != nil && r.known && r.decayScore(now) >= knownThreshold
+	if !known && room <= g.limits.Reserve {
+		return ReservedForKnown
 	}
 	if r == nil {
-		if !g.strangers.room() {
-			return KeptFree // so many strangers hold connections that one more could not be counted
+		if !g.unknown.makeRoom() {
+			return ReservedForKnown // unknown addresses with open connections fill the table: this one could not be counted
 		}
-		r = &record{key: key, tokens: g.lim.Burst, at: now}
+		r = &addressRecord{key: key, tokens: g.limits.Burst, refilledAt: now}
 	}
-	table := g.strangers
+	addresses := g.unknown
 	if r.known {
-		table = g.known
+		addresses = g.known
 	}
-	r.used = now
-	table.touch(r)
-	if g.lim.PerAddress > 0 && r.open >= g.lim.PerAddress {
-		return TooMany
+	r.lastUsedAt = now
+	addresses.markUsed(r)
+	if g.limits.PerAddress > 0 && r.openConnections >= g.limits.PerAddress {
+		return TooManyConnections
 	}
-	if g.lim.Rate > 0 {
-		r.tokens = min(r.tokens+g.lim.Rate*float64(max(now-r.at, 0))/float64(second), g.lim.Burst)
-		if r.at = max(now, r.at); r.tokens < 1 {
-			return TooFast
+	if g.limits.Rate > 0 {
+		r.tokens = min(r.tokens+g.limits.Rate*float64(max(now-r.refilledAt, 0))/float64(second), g.limits.Burst)
+		r.refilledAt = max(now, r.refilledAt)
+		if r.tokens < 1 {
+			return RateExceeded
 		}
 		r.tokens--
 	}
-	r.open++
+	r.openConnections++
 	return Taken
 }
 
-// Stood is that a flow of an address was established: it is known from now on.
+// Stood records that a flow of an address was established. The address is known from then on.
 func (g *Gate) Stood(key netip.Prefix, now int64) {
 	r := g.find(key)
 	if r == nil {
 		return
 	}
-	r.score = r.fade(now) + 1
+	r.score = r.decayScore(now) + 1
 	if !r.known {
-		r.scored = now
-		if !g.known.room() {
+		r.decayedAt = now
+		if !g.known.makeRoom() {
 			return
 		}
-		g.strangers.unlink(r)
+		g.unknown.remove(r)
 		r.known = true
 	}
-	g.known.touch(r)
+	g.known.markUsed(r)
 }
 
-// Gone is that a connection that was taken has ended.
+// Gone records that an accepted connection has closed.
 func (g *Gate) Gone(key netip.Prefix) {
-	if r := g.find(key); r != nil && r.open > 0 {
-		r.open--
+	if r := g.find(key); r != nil && r.openConnections > 0 {
+		r.openConnections--
 	}
 }
 
-// Held is how many addresses are remembered, known ones and others.
-func (g *Gate) Held() (known, strangers int) { return len(g.known.of), len(g.strangers.of) }
+// Held returns the number of addresses remembered, known and unknown.
+func (g *Gate) Held() (known, unknown int) { return len(g.known.byAddress), len(g.unknown.byAddress) }
 
-// Fair deals out what a node can do among service types when the node itself is short: each has a share by its benefit,
-// and what one does not use goes to the others.
-type Fair struct {
-	weight  []float64
-	offered []float64 // of late, fading
-	credit  []float64
-	at      int64
+// FairShares divides the capacity of a node among service types while the node is short of it. Each type has a share in
+// proportion to its benefit, and what one type does not use goes to the others.
+type FairShares struct {
+	weights   []float64
+	offered   []float64 // recent flows by service type, decaying exponentially over demandWindow
+	credit    []float64 // fractions of flows that may be accepted, by service type
+	updatedAt int64     // when offered was last decayed
 }
 
-const fairOver = second // over which demand is counted
-
-// NewFair makes one for service types of these benefits.
-func NewFair(benefit []float64) *Fair {
-	return &Fair{weight: slices.Clone(benefit), offered: make([]float64, len(benefit)), credit: make([]float64, len(benefit))}
+// NewFairShares returns FairShares for service types with the given benefits.
+func NewFairShares(benefit []float64) *FairShares {
+	return &FairShares{
+		weights: slices.Clone(benefit),
+		offered: make([]float64, len(benefit)),
+		credit:  make([]float64, len(benefit)),
+	}
 }
 
-// Take decides on a flow of a type, where short is the share of all demand that the node can't serve, from 0 to 1.
-func (f *Fair) Take(typ int, now int64, short float64) bool {
-	if gone := now - f.at; gone > 0 {
-		keep := math.Exp(-float64(gone) / float64(fairOver))
+// Admit decides whether to accept a flow of a service type. shortfall is the share of all demand that the node cannot
+// serve, from 0 to 1.
+func (f *FairShares) Admit(serviceType int, now int64, shortfall float64) bool {
+	if elapsed := now - f.updatedAt; elapsed > 0 {
+		keep := math.Exp(-float64(elapsed) / float64(demandWindow))
 		for i := range f.offered {
 			f.offered[i] *= keep
 		}
-		f.at = now
+		f.updatedAt = now
 	}
-	f.offered[typ]++
-	if short <= 0 {
+	f.offered[serviceType]++
+	if shortfall <= 0 {
 		return true
 	}
-	if f.credit[typ] += f.part(typ, min(short, 1)); f.credit[typ] < 1 {
+	f.credit[serviceType] += f.admittedShare(serviceType, min(shortfall, 1))
+	if f.credit[serviceType] < 1 {
 		return false
 	}
-	f.credit[typ]--
+	f.credit[serviceType]--
 	return true
 }
 
-// part is the share of a type's flows that is taken: the shares by weight are filled up, and what is left over goes to
-// those that want more.
-func (f *Fair) part(typ int, short float64) float64 {
-	left := 0.0
+// admittedShare returns the share of a type's flows that is accepted. Capacity is divided by weight. Types that want less
+// than their share get all they want, and what they leave is divided among the others.
+func (f *FairShares) admittedShare(serviceType int, shortfall float64) float64 {
+	remaining := 0.0
 	for _, o := range f.offered {
-		left += o * (1 - short)
+		remaining += o * (1 - shortfall)
 	}
-	filled := make([]bool, len(f.weight))
+	filled := make([]bool, len(f.weights))
 	for {
-		weights, again := 0.0, false
-		for i, w := range f.weight {
+		totalWeight, changed := 0.0, false
+		for i, w := range f.weights {
 			if !filled[i] {
-				weights += w
+				totalWeight += w
 			}
 		}
-		for i, w := range f.weight {
-			if share := left * w / weights; !filled[i] && f.offered[i] <= share {
-				filled[i], again = true, true
-				left -= f.offered[i]
+		for i, w := range f.weights {
+			if share := remaining * w / totalWeight; !filled[i] && f.offered[i] <= share {
+				filled[i], changed = true, true
+				remaining -= f.offered[i]
 				break
 			}
 		}
-		if filled[typ] {
+		if filled[serviceType] {
 			return 1
 		}
-		if !again {
-			return left * f.weight[typ] / weights / f.offered[typ]
+		if !changed {
+			return remaining * f.weights[serviceType] / totalWeight / f.offered[serviceType]
 		}
 	}
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,12 +20,12 @@
 		{"2001:db8::1", "2001:db8::ffff:2", true}, {"2001:db8:0:1::1", "2001:db8:0:2::1", false},
 		{"fe80::1%eth0", "fe80::2%eth1", true}} {
 		if (key(c.a) == key(c.b)) != c.same {
-			t.Errorf("%s and %s: one address %t", c.a, c.b, !c.same)
+			t.Errorf("%s and %s: same key %t", c.a, c.b, !c.same)
 		}
 	}
 }
 
-func TestCap(t *testing.T) {
+func TestConnectionCapPerAddress(t *testing.T) {
 	g := New(Limits{PerAddress: 3})
 	a, b := key("10.0.0.1"), key("10.0.0.2")
 	for i := range 5 {
@@ -34,16 +34,16 @@
 		}
 	}
 	if g.Come(b, 9, 100) != Taken {
-		t.Error("another address pays for it")
+		t.Error("the cap of one address refuses another address")
 	}
 	g.Gone(a)
-	if g.Come(a, 10, 100) != Taken || g.Come(a, 11, 100) != TooMany {
-		t.Error("one that ended makes room for one")
+	if g.Come(a, 10, 100) != Taken || g.Come(a, 11, 100) != TooManyConnections {
+		t.Error("a closed connection should make room for exactly one more")
 	}
 }
 
-// TestLoop is one address that reconnects in a tight loop: it gets its rate and no more, over any stretch.
-func TestLoop(t *testing.T) {
+// An address that reconnects in a tight loop must get its allowed rate and no more.
+func TestRateLimitsReconnectLoop(t *testing.T) {
 	g := New(Limits{Rate: 10, Burst: 5})
 	a, taken := key("10.0.0.1"), 0
 	for at := int64(0); at < 20*second; at += 1000 {
@@ -53,22 +53,22 @@
 		}
 	}
 	if taken < 200 || taken > 206 {
-		t.Errorf("%d taken in 20 s at 10 a second", taken)
+		t.Errorf("%d connections accepted in 20 s at 10 per second", taken)
 	}
 	if g.Come(a, 30*second, 100) != Taken || g.Come(a, 1*second, 100) != Taken {
-		t.Error("a clock that goes back must not lock an address out while it has connections in hand")
+		t.Error("a clock that goes back must not refuse an address that still has tokens")
 	}
 }
 
-// TestFlood is a flood of new addresses: the tables stay bounded, known clients are still known and get the reserve.
-func TestFlood(t *testing.T) {
-	g := New(Limits{Reserve: 10, Known: 64, Strangers: 128})
+// In a flood of new addresses, the tables must stay bounded, and known clients must stay known and get the reserve.
+func TestFloodOfNewAddresses(t *testing.T) {
+	g := New(Limits{Reserve: 10, KnownAddresses: 64, UnknownAddresses: 128})
 	var known []prefix
 	for i := range 32 {
 		k := key(fmt.Sprintf("10.1.0.%d", i+1))
 		known = append(known, k)
 		if g.Come(k, 0, 100) != Taken {
-			t.Fatal("turned away with all free")
+			t.Fatal("refused while all descriptors are free")
 		}
 		g.Stood(k, 0)
 		g.Gone(k)
@@ -76,36 +76,36 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200_000 {
 		k := Key(netip.AddrFrom4([4]byte{172, byte(rng.Uint32()), byte(rng.Uint32()), byte(rng.Uint32())}))
-		if why := g.Come(k, int64(i), 10); why != KeptFree {
-			t.Fatalf("a stranger gets what is kept: %v", why)
+		if why := g.Come(k, int64(i), 10); why != ReservedForKnown {
+			t.Fatalf("an unknown address got a reserved descriptor: %v", why)
 		}
 		if g.Come(k, int64(i), 11) == Taken {
 			g.Gone(k)
 		}
 	}
 	if n, m := g.Held(); n > 64 || m > 128 {
-		t.Errorf("%d and %d addresses are held", n, m)
+		t.Errorf("%d known and %d unknown addresses are remembered", n, m)
 	}
 	for _, k := range known {
-		if !g.Known(k, second) || g.Come(k, second, 1) != Taken {
-			t.Fatal("a known client is turned away in the flood")
+		if !g.IsKnown(k, second) || g.Come(k, second, 1) != Taken {
+			t.Fatal("a known client was refused during the flood")
 		}
 	}
 }
 
-func TestKnownFade(t *testing.T) {
+func TestKnownAddressExpires(t *testing.T) {
 	g := New(Limits{Reserve: 5})
 	a := key("10.0.0.1")
 	g.Come(a, 0, 100)
 	g.Stood(a, 0)
-	if !g.Known(a, halfLife) || g.Known(a, 4*halfLife) {
-		t.Errorf("known after one half-life %t, after four %t", g.Known(a, halfLife), g.Known(a, 4*halfLife))
+	if !g.IsKnown(a, scoreHalfLife) || g.IsKnown(a, 4*scoreHalfLife) {
+		t.Errorf("known after one half-life %t, after four %t", g.IsKnown(a, scoreHalfLife), g.IsKnown(a, 4*scoreHalfLife))
 	}
 }
 
-// TestHeldAreCounted never lets go of an address that holds connections, or its cap would be worth nothing.
-func TestHeldAreCounted(t *testing.T) {
-	g := New(Limits{PerAddress: 1, Strangers: 8})
+// An address with open connections must never be evicted: its connection cap would no longer be enforced.
+func TestAddressWithConnectionsIsNotEvicted(t *testing.T) {
+	g := New(Limits{PerAddress: 1, UnknownAddresses: 8})
 	a := key("10.0.0.1")
 	g.Come(a, 0, 100)
 	for i := range 1000 {
@@ -114,33 +114,33 @@
 			g.Gone(k)
 		}
 	}
-	if why := g.Come(a, 2000, 100); why != TooMany {
-		t.Errorf("its connection was forgotten: %v", why)
+	if why := g.Come(a, 2000, 100); why != TooManyConnections {
+		t.Errorf("the record of an open connection was evicted: %v", why)
 	}
 }
 
-// TestFair gives types their shares by benefit while the node is short, and everything to whoever comes while it is not.
-func TestFair(t *testing.T) {
+// While the node is short of capacity, service types must get shares by benefit. Otherwise every flow is accepted.
+func TestFairShares(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		every [2]int64 // a flow of each type so often
+		every [2]int64 // interval between flows of each type, microseconds
 		short float64
-		want  [2]float64 // share taken
+		want  [2]float64 // share accepted
 	}{
-		{"nothing short", [2]int64{1000, 1000}, 0, [2]float64{1, 1}},
-		{"half", [2]int64{1000, 1000}, 0.5, [2]float64{0.25, 0.75}},
-		{"a tenth", [2]int64{1000, 1000}, 0.1, [2]float64{0.8, 1}},
-		{"the one of more benefit wants little", [2]int64{1000, 10_000}, 0.5, [2]float64{0.45, 1}},
-		{"nothing left", [2]int64{1000, 1000}, 1, [2]float64{0, 0}},
+		{"no shortfall", [2]int64{1000, 1000}, 0, [2]float64{1, 1}},
+		{"half the demand", [2]int64{1000, 1000}, 0.5, [2]float64{0.25, 0.75}},
+		{"a tenth of the demand", [2]int64{1000, 1000}, 0.1, [2]float64{0.8, 1}},
+		{"type of higher benefit wants little", [2]int64{1000, 10_000}, 0.5, [2]float64{0.45, 1}},
+		{"no capacity", [2]int64{1000, 1000}, 1, [2]float64{0, 0}},
 	} {
-		f := NewFair([]float64{1, 3})
+		f := NewFairShares([]float64{1, 3})
 		var came, taken [2]float64
 		for at := int64(0); at < 20*second; at += 1000 {
 			for typ := range 2 {
 				if at%c.every[typ] != 0 {
 					continue
 				}
-				ok := f.Take(typ, at, c.short)
+				ok := f.Admit(typ, at, c.short)
 				if at > 5*second {
 					came[typ]++
 					if ok {
@@ -151,7 +151,7 @@
 		}
 		for typ := range 2 {
 			if got := taken[typ] / came[typ]; math.Abs(got-c.want[typ]) > 0.02 {
-				t.Errorf("%s: of type %d %.3f is taken, not %.3f", c.name, typ, got, c.want[typ])
+				t.Errorf("%s: type %d: share accepted %.3f, want %.3f", c.name, typ, got, c.want[typ])
 			}
 		}
 	}
