--- a/discovery/http.go
+++ b/discovery/http.go
@@ -9,61 +9,64 @@
 )
 
 const (
-	longestHead = 16 << 10
-	longestList = 8 << 20
+	maxHeaderBytes = 16 << 10 // of a status, header or chunk size line
+	maxListBytes   = 8 << 20
 )
 
-// Request asks for a watch that continues after a version, or under 0 for one that begins with the whole list.
+// Request returns the HTTP request for a watch. The watch continues after revision after, or starts with the whole list if
+// after is negative.
 func Request(host string, after int64) []byte {
-	from := ""
+	query := ""
 	if after >= 0 {
-		from = fmt.Sprintf("&after=%d", after)
+		query = fmt.Sprintf("&after=%d", after)
 	}
 	return fmt.Appendf(nil, "GET /discovery/hosts?watch=1%s HTTP/1.1\r\nHost: %s\r\n"+
-		"Accept: application/json\r\n\r\n", from, host)
+		"Accept: application/json\r\n\r\n", query, host)
 }
 
-// ErrDone says that the answer came to its end.
-var ErrDone = errors.New("discovery: the answer has ended")
+// ErrDone is returned by Reader.Feed at the end of the response.
+var ErrDone = errors.New("discovery: end of response")
 
-type part uint8
+// readState says which part of the response the next byte belongs to.
+type readState uint8
 
 const (
-	head    part = iota // the status line and headers
-	size                // the line before a chunk
-	data                // of a chunk
-	dataEnd             // the empty line behind it
-	plain               // a body that is not chunked
+	inHeader    readState = iota // the status line and headers
+	atChunkSize                  // the line with the size of the next chunk
+	inChunk                      // the data of a chunk
+	atChunkEnd                   // the empty line after the data of a chunk
+	inPlainBody                  // a body that is not chunked
 )
 
-// Reader takes the bytes of one answer, however they are cut.
+// Reader parses the bytes of one HTTP response, in pieces of any size.
 type Reader struct {
-	at      part
-	status  bool // the status line has come
-	chunked bool
-	left    int // of the chunk, or of a plain body with a stated length
-	text    []byte
-	list    []byte
-	depth   int  // of brackets open in list, which may go over several lines
-	inText  bool // the last byte of list is within a text
-	escaped bool
-	Whole   int // lines that left nothing half told
+	state      readState
+	statusRead bool
+	chunked    bool
+	remaining  int    // bytes left of the chunk, or of a body that is not chunked
+	lineBuffer []byte // incomplete line outside the body
+	listBuffer []byte // incomplete list
+	depth      int    // open brackets in listBuffer; a list may span several lines
+	inString   bool   // listBuffer ends inside a JSON string
+	escaped    bool   // listBuffer ends with the backslash of an escape sequence
+	Whole      int    // number of line ends in the body at which no list was incomplete
 }
 
-// Feed takes bytes and calls each for every list that became whole. After an error the answer is of no more use.
-func (r *Reader) Feed(p []byte, each func(List)) error {
+// Feed parses the next bytes and calls onList for every list that they complete. It returns ErrDone at the end of the
+// response. The Reader cannot be used after an error.
+func (r *Reader) Feed(p []byte, onList func(List)) error {
 	for len(p) > 0 {
-		if r.at == data || r.at == plain {
-			n := min(len(p), r.left)
-			if err := r.lists(p[:n], each); err != nil {
+		if r.state == inChunk || r.state == inPlainBody {
+			n := min(len(p), r.remaining)
+			if err := r.readBody(p[:n], onList); err != nil {
 				return err
 			}
-			r.left -= n
+			r.remaining -= n
 			p = p[n:]
-			if r.left == 0 && r.at == plain {
+			if r.remaining == 0 && r.state == inPlainBody {
 				return ErrDone
-			} else if r.left == 0 {
-				r.at = dataEnd
+			} else if r.remaining == 0 {
+				r.state = atChunkEnd
 			}
 			continue
 		}
@@ -71,110 +74,119 @@
 		if end == 0 {
 			end = len(p)
 		}
-		r.text = append(r.text, p[:end]...)
+		r.lineBuffer = append(r.lineBuffer, p[:end]...)
 		p = p[end:]
-		if len(r.text) > longestHead {
+		if len(r.lineBuffer) > maxHeaderBytes {
 			return errors.New("discovery: header too long")
 		}
-		if r.text[len(r.text)-1] != '\n' {
+		if r.lineBuffer[len(r.lineBuffer)-1] != '\n' {
 			return nil
 		}
-		line := strings.TrimRight(string(r.text), "\r\n")
-		r.text = r.text[:0]
-		if err := r.line(line); err != nil {
+		line := strings.TrimRight(string(r.lineBuffer), "\r\n")
+		r.lineBuffer = r.lineBuffer[:0]
+		if err := r.parseLine(line); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// line takes a line that is not part of the body.
-func (r *Reader) line(line string) error {
+// parseLine parses a line outside the body: the status line, a header, or a line between chunks.
+func (r *Reader) parseLine(line string) error {
 	switch {
-	case r.at == size:
-		word, _, _ := strings.Cut(line, ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(word), 16, 31)
+	case r.state == atChunkSize:
+		sizeText, _, _ := strings.Cut(line, ";")
+		n, err := strconv.ParseUint(strings.TrimSpace(sizeText), 16, 31)
 		if err != nil {
-			return fmt.Errorf("discovery: no size of a chunk: %.40q", line)
+			return fmt.Errorf("discovery: invalid chunk size: %.40q", line)
 		} else if n == 0 {
 			return ErrDone
 		}
-		r.left, r.at = int(n), data
-	case r.at == dataEnd:
+		r.remaining, r.state = int(n), inChunk
+	case r.state == atChunkEnd:
 		if line != "" {
-			return fmt.Errorf("discovery: a chunk runs over its size: %.40q", line)
+			return fmt.Errorf("discovery: chunk is longer than its size: %.40q", line)
 		}
-		r.at = size
-	case !r.status:
+		r.state = atChunkSize
+	case !r.statusRead:
 		words := strings.Fields(line)
 		if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") || words[1] != "200" {
-			return fmt.Errorf("discovery: answered %.60q", line)
+			return fmt.Errorf("discovery: unexpected status line: %.60q", line)
 		}
-		r.status, r.left = true, longestList
+		r.statusRead = true
+		r.remaining = maxListBytes // unless there is a Content-Length
 	case line == "" && r.chunked:
-		r.at = size
+		r.state = atChunkSize
 	case line == "":
-		r.at = plain
+		r.state = inPlainBody
 	default:
-		name, value, ok := strings.Cut(line, ":")
-		value = strings.TrimSpace(value)
-		switch {
-		case !ok:
-			return fmt.Errorf("discovery: no header: %.40q", line)
-		case strings.EqualFold(name, "Transfer-Encoding"):
-			r.chunked = strings.EqualFold(value, "chunked")
-		case strings.EqualFold(name, "Content-Length"):
-			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil {
-				return fmt.Errorf("discovery: no length: %.40q", value)
-			}
-			r.left = int(n)
+		return r.parseHeader(line)
+	}
+	return nil
+}
+
+// parseHeader parses a header line. Only the headers that give the form of the body count.
+func (r *Reader) parseHeader(line string) error {
+	name, value, ok := strings.Cut(line, ":")
+	value = strings.TrimSpace(value)
+	switch {
+	case !ok:
+		return fmt.Errorf("discovery: invalid header: %.40q", line)
+	case strings.EqualFold(name, "Transfer-Encoding"):
+		r.chunked = strings.EqualFold(value, "chunked")
+	case strings.EqualFold(name, "Content-Length"):
+		n, err := strconv.ParseUint(value, 10, 31)
+		if err != nil {
+			return fmt.Errorf("discovery: invalid Content-Length: %.40q", value)
 		}
+		r.remaining = int(n)
 	}
 	return nil
 }
 
-// lists takes body bytes. A list ends with the line in which its last bracket closes: it may come indented, over several.
-func (r *Reader) lists(p []byte, each func(List)) error {
+// readBody parses bytes of the body. A list ends with the line in which its last bracket closes, so it may be indented
+// and span several lines.
+func (r *Reader) readBody(p []byte, onList func(List)) error {
 	for len(p) > 0 {
 		end := bytes.IndexByte(p, '\n') + 1
 		if end == 0 {
 			end = len(p)
 		}
-		r.follow(p[:end])
-		r.list = append(r.list, p[:end]...)
-		ended := p[end-1] == '\n'
+		r.trackNesting(p[:end])
+		r.listBuffer = append(r.listBuffer, p[:end]...)
+		lineEnded := p[end-1] == '\n'
 		p = p[end:]
-		if len(r.list) > longestList {
+		if len(r.listBuffer) > maxListBytes {
 			return errors.New("discovery: list too long")
 		}
-		if !ended || r.depth > 0 && !r.inText {
+		if !lineEnded || r.depth > 0 && !r.inString {
 			continue
 		}
-		if line := bytes.TrimSpace(r.list); len(line) > 0 {
+		if line := bytes.TrimSpace(r.listBuffer); len(line) > 0 {
 			l, err := ParseList(line)
 			if err != nil {
 				return err
 			}
-			each(l)
+			onList(l)
 		}
 		r.Whole++
-		r.list, r.depth, r.inText, r.escaped = r.list[:0], 0, false, false
+		r.listBuffer, r.depth, r.inString, r.escaped = r.listBuffer[:0], 0, false, false
 	}
 	return nil
 }
 
-// follow keeps count of brackets and texts. A text that goes over a line's end is none, and ends the list as it stands.
-func (r *Reader) follow(p []byte) {
+// trackNesting counts open brackets outside JSON strings. A JSON string cannot span lines: readBody then ends the list at
+// the line end, and parsing it fails.
+func (r *Reader) trackNesting(p []byte) {
 	for _, c := range p {
 		switch {
 		case r.escaped:
 			r.escaped = false
-		case r.inText && c == '\\':
+		case r.inString && c == '\\':
 			r.escaped = true
 		case c == '"':
-			r.inText = !r.inText
-		case r.inText:
+			r.inString = !r.inString
+		case r.inString:
 		case c == '{' || c == '[':
 			r.depth++
 		case c == '}' || c == ']':
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -1,5 +1,5 @@
-// Package discovery reads what the discovery service sends: HTTP/1.1 answers, chunked or plain, that hold one list
-// of hosts a line.
+// Package discovery parses the responses of the discovery service: HTTP/1.1 responses, chunked or plain, whose body is a
+// sequence of JSON lists of hosts, each ended by a line end.
 package discovery
 
 import (
@@ -8,214 +8,232 @@
 	"strconv"
 )
 
-// Entry is one host of a list.
+const (
+	maxNesting = 20   // depth of values that are skipped
+	maxNumber  = 1e15 // magnitude that is still exact as an integer in a float64
+)
+
+// Entry is one host of a list. It is encoded as JSON under its field names when a process hands its list over.
 type Entry struct {
-	UID, Endpoint, Zone string
-	Cell                int
-	State               string
-	Size                float64
-	BootMs              int64
+	UID, Endpoint, Zone string  // Endpoint is the host's address and port
+	Cell                int     // the group of pods ("pod_group") that the host belongs to
+	State               string  // ready, draining or gone
+	Size                float64 // capacity relative to other hosts ("capacity_hint"); 1 if the list does not say
+	BootMs              int64   // when the host started, milliseconds since 1970
 }
 
-// List is a whole list, or the entries that changed.
+// List is a whole list of hosts (All), or the entries that changed. Like Entry, it is encoded under its field names.
 type List struct {
-	Rev     int64
+	Rev     int64 // revision of the list, from which a watch can continue
 	All     bool
 	Entries []Entry
 }
 
-// ParseList reads one list. Names it does not know are skipped.
+// ParseList parses one list. Unknown JSON fields are skipped.
 func ParseList(p []byte) (List, error) {
-	s := &scan{p: p}
+	s := &scanner{input: p}
 	var l List
-	seen := false
-	s.object(func(name string) {
+	hasRev := false
+	s.parseObject(func(name string) {
 		switch name {
 		case "rev":
-			l.Rev = int64(s.number())
-			seen = true
+			l.Rev = int64(s.parseNumber())
+			hasRev = true
 		case "all":
-			l.All = s.flag()
+			l.All = s.parseBool()
 		case "targets":
-			s.array(func() { l.Entries = append(l.Entries, s.entry()) })
+			s.parseArray(func() { l.Entries = append(l.Entries, s.parseEntry()) })
 		default:
-			s.skip(0)
+			s.skipValue(0)
 		}
 	})
-	if s.space(); s.err == nil && s.i < len(p) {
-		s.fail("text after the list")
+	if s.skipSpace(); s.err == nil && s.offset < len(p) {
+		s.fail("unexpected text after the list")
 	}
-	if s.err == nil && !seen {
-		s.fail("no rev")
+	if s.err == nil && !hasRev {
+		s.fail("missing rev")
 	}
 	return l, s.err
 }
 
-func (s *scan) entry() Entry {
+func (s *scanner) parseEntry() Entry {
 	e := Entry{Size: 1}
-	s.object(func(name string) {
+	s.parseObject(func(name string) {
 		switch name {
 		case "uid":
-			e.UID = s.text()
+			e.UID = s.parseString()
 		case "endpoint":
-			e.Endpoint = s.text()
+			e.Endpoint = s.parseString()
 		case "az":
-			e.Zone = s.text()
+			e.Zone = s.parseString()
 		case "pod_group":
-			e.Cell = int(s.number())
+			e.Cell = int(s.parseNumber())
 		case "state":
-			e.State = s.text()
+			e.State = s.parseString()
 		case "capacity_hint":
-			e.Size = s.number()
+			e.Size = s.parseNumber()
 		case "boot_ms":
-			e.BootMs = int64(s.number())
+			e.BootMs = int64(s.parseNumber())
 		default:
-			s.skip(0)
+			s.skipValue(0)
 		}
 	})
 	if s.err == nil && (e.UID == "" || e.State != "ready" && e.State != "draining" && e.State != "gone") {
-		s.fail("an entry without uid or with an unknown state")
+		s.fail("entry without uid or with an unknown state")
 	}
 	return e
 }
 
-var errCut = errors.New("discovery: list cut short")
+var errTruncated = errors.New("discovery: list is truncated")
 
-// scan goes through JSON text and keeps the first fault.
-type scan struct {
-	p   []byte
-	i   int
-	err error
+// scanner parses JSON text and keeps the first error. After an error its methods return zero values.
+type scanner struct {
+	input  []byte
+	offset int
+	err    error
 }
 
-func (s *scan) fail(what string) {
+func (s *scanner) fail(problem string) {
 	if s.err == nil {
-		s.err = fmt.Errorf("discovery: %s at byte %d", what, s.i)
+		s.err = fmt.Errorf("discovery: %s at byte %d", problem, s.offset)
 	}
 }
 
-func (s *scan) space() {
-	for s.i < len(s.p) && (s.p[s.i] == ' ' || s.p[s.i] == '\t' || s.p[s.i] == '\r' || s.p[s.i] == '\n') {
-		s.i++
+func (s *scanner) skipSpace() {
+	for s.offset < len(s.input) {
+		switch s.input[s.offset] {
+		case ' ', '\t', '\r', '\n':
+			s.offset++
+		default:
+			return
+		}
 	}
 }
 
-// next is the next byte that is no space, 0 at the end or after a fault.
-func (s *scan) next() byte {
+// peek returns the next byte that is not white space, or 0 at the end and after an error. It does not consume the byte.
+func (s *scanner) peek() byte {
 	if s.err != nil {
 		return 0
 	}
-	if s.space(); s.i >= len(s.p) {
-		s.err = errCut
+	if s.skipSpace(); s.offset >= len(s.input) {
+		s.err = errTruncated
 		return 0
 	}
-	return s.p[s.i]
+	return s.input[s.offset]
 }
 
-func (s *scan) want(c byte) {
-	if got := s.next(); got != c && s.err == nil {
-		s.fail(fmt.Sprintf("%q where %q is due", got, c))
+// expect consumes the next byte that is not white space, which has to be c.
+func (s *scanner) expect(c byte) {
+	if got := s.peek(); got != c && s.err == nil {
+		s.fail(fmt.Sprintf("found %q, expected %q", got, c))
 	}
-	s.i++
+	s.offset++
 }
 
-// items calls each for every item between two brackets.
-func (s *scan) items(open, end byte, each func()) {
-	s.want(open)
-	if s.next() == end {
-		s.i++
+// parseItems calls parseItem for every item of a comma-separated sequence in brackets.
+func (s *scanner) parseItems(open, end byte, parseItem func()) {
+	s.expect(open)
+	if s.peek() == end {
+		s.offset++
 		return
 	}
 	for s.err == nil {
-		each()
-		if s.next() != ',' {
-			s.want(end)
+		parseItem()
+		if s.peek() != ',' {
+			s.expect(end)
 			return
 		}
-		s.i++
+		s.offset++
 	}
 }
 
-func (s *scan) object(field func(name string)) {
-	s.items('{', '}', func() {
-		name := s.text()
-		s.want(':')
+// parseObject calls parseField with the name of every field of a JSON object. parseField parses the value.
+func (s *scanner) parseObject(parseField func(name string)) {
+	s.parseItems('{', '}', func() {
+		name := s.parseString()
+		s.expect(':')
 		if s.err == nil {
-			field(name)
+			parseField(name)
 		}
 	})
 }
 
-func (s *scan) array(each func()) { s.items('[', ']', each) }
+// parseArray calls parseItem for every item of a JSON array.
+func (s *scanner) parseArray(parseItem func()) { s.parseItems('[', ']', parseItem) }
 
-func (s *scan) text() string {
-	s.want('"')
-	from := s.i
-	for ; s.err == nil && s.i < len(s.p); s.i++ {
-		switch s.p[s.i] {
+func (s *scanner) parseString() string {
+	s.expect('"')
+	start := s.offset
+	for ; s.err == nil && s.offset < len(s.input); s.offset++ {
+		switch s.input[s.offset] {
 		case '"':
-			s.i++
-			if text, err := strconv.Unquote(string(s.p[from-1 : s.i])); err == nil {
+			s.offset++
+			if text, err := strconv.Unquote(string(s.input[start-1 : s.offset])); err == nil {
 				return text
 			}
-			s.fail("a text that can't be read")
+			s.fail("invalid string")
 			return ""
 		case '\\':
-			s.i++
+			s.offset++
 		}
 	}
 	if s.err == nil {
-		s.err = errCut
+		s.err = errTruncated
 	}
 	return ""
 }
 
-// bare is a number or a word.
-func (s *scan) bare() string {
-	s.next()
-	from := s.i
-	for s.err == nil && s.i < len(s.p) {
-		if c := s.p[s.i]; c != '-' && c != '+' && c != '.' && (c < '0' || c > '9') && (c < 'a' || c > 'z') && c != 'E' {
+// parseLiteral returns the text of a number, of true, false or null, or "" if there is none.
+func (s *scanner) parseLiteral() string {
+	s.peek()
+	start := s.offset
+	for s.err == nil && s.offset < len(s.input) {
+		if !isLiteralByte(s.input[s.offset]) {
 			break
 		}
-		s.i++
+		s.offset++
 	}
 	if s.err != nil {
 		return ""
 	}
-	return string(s.p[from:s.i])
+	return string(s.input[start:s.offset])
+}
+
+func isLiteralByte(c byte) bool {
+	return c == '-' || c == '+' || c == '.' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c == 'E'
 }
 
-func (s *scan) number() float64 {
-	n, err := strconv.ParseFloat(s.bare(), 64)
-	if err != nil || !(n > -1e15 && n < 1e15) {
-		s.fail("no number")
+func (s *scanner) parseNumber() float64 {
+	n, err := strconv.ParseFloat(s.parseLiteral(), 64)
+	if err != nil || !(n > -maxNumber && n < maxNumber) {
+		s.fail("invalid number")
 	}
 	return n
 }
 
-func (s *scan) flag() bool {
-	word := s.bare()
-	if word != "true" && word != "false" {
-		s.fail("neither true nor false")
+func (s *scanner) parseBool() bool {
+	literal := s.parseLiteral()
+	if literal != "true" && literal != "false" {
+		s.fail("value is neither true nor false")
 	}
-	return word == "true"
+	return literal == "true"
 }
 
-func (s *scan) skip(depth int) {
-	if depth > 20 {
-		s.fail("nested too deep")
+// skipValue skips a value of any type at a depth of nested values.
+func (s *scanner) skipValue(depth int) {
+	if depth > maxNesting {
+		s.fail("values are nested too deeply")
 	}
-	switch s.next() {
+	switch s.peek() {
 	case '{':
-		s.object(func(string) { s.skip(depth + 1) })
+		s.parseObject(func(string) { s.skipValue(depth + 1) })
 	case '[':
-		s.array(func() { s.skip(depth + 1) })
+		s.parseArray(func() { s.skipValue(depth + 1) })
 	case '"':
-		s.text()
+		s.parseString()
 	default:
-		if s.bare() == "" {
-			s.fail("no value")
+		if s.parseLiteral() == "" {
+			s.fail("missing value")
 		}
 	}
 }
