--- a/lines/lines.go
+++ b/lines/lines.go
@@ -1,4 +1,4 @@
-// Package lines parses the single lines of the client and host protocol and buffers bytes in rings.
+// Package lines parses the line protocol of clients and hosts, and buffers the bytes of connections in ring buffers.
 package lines
 
 import (
@@ -8,43 +8,45 @@
 	"strings"
 )
 
-// Open is the first line of a client that wants a connection.
+const (
+	maxNameBytes       = 64
+	maxTimeoutMs       = 1e9
+	maxLoadMsPerSecond = 1e6  // no machine does that much work
+	maxReportValue     = 1e12 // of the values that hosts report
+)
+
+// Open is the first line of a client that asks for a flow.
 type Open struct {
-	ID     string
-	Key    string
-	Class  string
-	Wait   int64 // how long the client will wait, microseconds
-	Group  string
-	Again  bool    // its client has come before
-	At     string  // the host that holds the connection already
-	Hint   float64 // work a second, microseconds
-	text   string  // the line without its end
-	dFrom  int     // where the value of d lies in it
-	dUntil int
+	ID           string
+	Key          string
+	Class        string // service type
+	Wait         int64  // the client's connect timeout, microseconds
+	Group        string
+	Again        bool    // this client has connected before
+	At           string  // the host that already holds the connection
+	Hint         float64 // expected load, microseconds of work per second
+	text         string  // the line without its line end
+	timeoutStart int     // byte offsets in text of the value of d
+	timeoutEnd   int
 }
 
-// What is wrong with a client's line. Few kinds, so that a flood of them can be counted.
+// Errors of ParseOpen. They are few and carry no details, so that a flood of invalid lines can be counted by error.
 var (
-	ErrLong    = errors.New("line too long")
-	ErrForm    = errors.New("not an OPEN line")
-	ErrName    = errors.New("id, key, group or host is no name")
-	ErrFigure  = errors.New("a figure without a name or value, or named twice")
-	ErrWait    = errors.New("d is no time")
-	ErrLoad    = errors.New("h is no load")
-	ErrMissing = errors.New("c or d is missing")
-)
-
-const (
-	longestName = 64
-	mostWork    = 1e6 // milliseconds a second: no machine does so much
+	ErrLong             = errors.New("line too long")
+	ErrNotOpen          = errors.New("not an OPEN line")
+	ErrInvalidName      = errors.New("id, key, group or host is not a valid name")
+	ErrInvalidParameter = errors.New("parameter without name or value, or given twice")
+	ErrInvalidTimeout   = errors.New("d is not a valid time")
+	ErrInvalidLoad      = errors.New("h is not a valid load")
+	ErrMissingParameter = errors.New("c or d is missing")
 )
 
-// Bare is the line without its end.
+// Bare returns a line without its line end.
 func Bare(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// isName tells whether hosts and logs can use a text as a name.
+// isName reports whether a text is safe as a name for hosts and in logs.
 func isName(text string) bool {
 	for i := range len(text) {
 		switch c := text[i]; {
@@ -54,10 +56,11 @@
 			return false
 		}
 	}
-	return text != "" && len(text) <= longestName
+	return text != "" && len(text) <= maxNameBytes
 }
 
-func printable(text string) bool {
+// isPrintable reports whether a text has only printable ASCII characters.
+func isPrintable(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] > '~' {
 			return false
@@ -66,27 +69,28 @@
 	return true
 }
 
-// ParseOpen reads OPEN ID KEY NAME=VALUE,... Guards hosts against what they can't use: they close on it, and would
-// seem to fail. Figures of names that it does not know stay in the line.
+// ParseOpen parses a line of the form OPEN ID KEY NAME=VALUE,... It is strict, because a host closes the connection on an
+// invalid line and would seem to have failed. Parameters with unknown names stay in the line. The error is one of the
+// Err variables of this package.
 func ParseOpen(line []byte) (*Open, error) {
 	o := &Open{text: string(Bare(line))}
 	if len(o.text) > Longest {
 		return nil, ErrLong
 	}
 	parts := strings.Split(o.text, " ")
-	if len(parts) != 4 || parts[0] != "OPEN" || !printable(o.text) {
-		return nil, ErrForm
+	if len(parts) != 4 || parts[0] != "OPEN" || !isPrintable(o.text) {
+		return nil, ErrNotOpen
 	}
 	o.ID, o.Key = parts[1], parts[2]
 	if !isName(o.ID) || !isName(o.Key) {
-		return nil, ErrName
+		return nil, ErrInvalidName
 	}
-	pos := len(o.text) - len(parts[3])
+	pos := len(o.text) - len(parts[3]) // byte offset of pair in the line
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(parts[3], ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok || seen[name] || !isName(name) {
-			return nil, ErrFigure
+			return nil, ErrInvalidParameter
 		}
 		seen[name] = true
 		switch name {
@@ -94,11 +98,11 @@
 			o.Class = value
 		case "d":
 			ms, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(ms >= 0 && ms < 1e9) {
-				return nil, ErrWait
+			if err != nil || !(ms >= 0 && ms < maxTimeoutMs) {
+				return nil, ErrInvalidTimeout
 			}
 			o.Wait = int64(ms * 1000)
-			o.dFrom, o.dUntil = pos+2, pos+len(pair)
+			o.timeoutStart, o.timeoutEnd = pos+len("d="), pos+len(pair)
 		case "g":
 			o.Group, ok = value, isName(value)
 		case "r", "again":
@@ -107,33 +111,35 @@
 			o.At, ok = value, isName(value)
 		case "h":
 			ms, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(ms >= 0 && ms <= mostWork) {
-				return nil, ErrLoad
+			if err != nil || !(ms >= 0 && ms <= maxLoadMsPerSecond) {
+				return nil, ErrInvalidLoad
 			}
 			o.Hint = ms * 1000
 		}
 		if !ok {
-			return nil, ErrName
+			return nil, ErrInvalidName
 		}
 		pos += len(pair) + 1
 	}
-	if o.Class == "" || o.dFrom == 0 {
-		return nil, ErrMissing
+	if o.Class == "" || o.timeoutStart == 0 {
+		return nil, ErrMissingParameter
 	}
 	return o, nil
 }
 
-// Line is the line for a host: unchanged, but d tells how long this node will wait.
-func (o *Open) Line(wait int64) []byte {
-	b := append(make([]byte, 0, len(o.text)+12), o.text[:o.dFrom]...)
-	b = strconv.AppendInt(b, max(wait/1000, 1), 10)
-	b = append(b, o.text[o.dUntil:]...)
+// Line returns the line to send to a host: the client's line, with d replaced by timeout (microseconds), the time that
+// this node will wait for the host.
+func (o *Open) Line(timeout int64) []byte {
+	b := append(make([]byte, 0, len(o.text)+12), o.text[:o.timeoutStart]...)
+	b = strconv.AppendInt(b, max(timeout/1000, 1), 10)
+	b = append(b, o.text[o.timeoutEnd:]...)
 	return append(b, '\r', '\n')
 }
 
-// Word is what a host's line begins with.
+// Word is the keyword of a line from a host.
 type Word uint8
 
+// The keywords. Other stands for any line that is not valid.
 const (
 	Other Word = iota
 	Up
@@ -145,32 +151,32 @@
 	Load
 )
 
-// Answer reads a line of a host; load belongs to Load alone.
-func Answer(line []byte) (w Word, load float64) {
+// Answer parses a line from a host. load is set for Load only.
+func Answer(line []byte) (kind Word, load float64) {
 	text := Bare(line)
-	word, rest, more := bytes.Cut(text, []byte(" "))
+	word, rest, hasRest := bytes.Cut(text, []byte(" "))
 	switch string(word) {
 	case "UP":
-		if more && len(rest) > 0 && !bytes.ContainsRune(rest, ' ') {
+		if hasRest && len(rest) > 0 && !bytes.ContainsRune(rest, ' ') {
 			return Up, 0
 		}
 	case "BYE":
-		w = Bye
+		kind = Bye
 	case "MOVE":
-		w = Move
+		kind = Move
 	case "ERR":
-		w = Err
+		kind = Err
 	case "BUSY":
 		return Busy, 0
 	case "PONG":
-		w = Pong
+		kind = Pong
 	case "LOAD":
-		if n, err := strconv.ParseFloat(string(rest), 64); err == nil && n >= 0 && n < 1e12 {
+		if n, err := strconv.ParseFloat(string(rest), 64); err == nil && n >= 0 && n < maxReportValue {
 			return Load, n
 		}
 	}
-	if more {
+	if hasRest {
 		return Other, 0
 	}
-	return w, 0
+	return kind, 0
 }
--- a/lines/lines_test.go
+++ b/lines/lines_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestOpen(t *testing.T) {
+func TestParseOpen(t *testing.T) {
 	o, err := ParseOpen([]byte("OPEN i k c=chat,d=2000,g=grp,r=1,h=2.5,x=y,at=s-1\r\n"))
 	if err != nil || o.Key != "k" || o.Class != "chat" || o.Wait != 2_000_000 || o.Group != "grp" || !o.Again ||
 		o.Hint != 2500 || o.At != "s-1" {
@@ -18,14 +18,14 @@
 		"OPEN i k c=chat,d=-1", "OPEN i k c=chat,d=NaN", "OPEN i k c=chat,d=1 x", "open i k c=chat,d=1",
 		"OPEN i k c=chat,d=1,zz", "OPEN  k c=chat,d=1", "OPEN i k c=chat,d=1,d=2", "OPEN i k c=chat,d=1,g=",
 		"OPEN i\x01 k c=chat,d=1", "OPEN i k c=chat,d=1,x=\xff", "OPEN i k c=chat,d=1,h=1e9", "OPEN ../i k c=chat,d=1",
-		"OPEN i " + strings.Repeat("k", longestName+1) + " c=chat,d=1", "OPEN i k c=chat,d=1,x=1,x=1", "OPEN i k c=chat,d=1,g=" + strings.Repeat("g", Longest)} {
+		"OPEN i " + strings.Repeat("k", maxNameBytes+1) + " c=chat,d=1", "OPEN i k c=chat,d=1,x=1,x=1", "OPEN i k c=chat,d=1,g=" + strings.Repeat("g", Longest)} {
 		if o, err := ParseOpen([]byte(bad + "\r\n")); err == nil {
 			t.Errorf("%.40q: %v", bad, o)
 		}
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestParseAnswer(t *testing.T) {
 	for line, want := range map[string]Word{"UP 1": Up, "UP": Other, "UP 1 2": Other, "BYE": Bye, "MOVE": Move, "ERR": Err,
 		"BUSY": Busy, "BUSY 5": Busy, "PONG": Pong, "LOAD 5.5": Load, "LOAD x": Other, "LOAD NaN": Other, "": Other,
 		"NO": Other, "BYE 1": Other, "up 1": Other} {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestRingWraps(t *testing.T) {
+func TestRingWrapsAround(t *testing.T) {
 	var r Ring
 	long := strings.Repeat("z", 3000) + "\r\n"
 	for i := range 20 {
@@ -54,10 +54,10 @@
 		}
 		r.Drop(3)
 	}
-	if r.buf != nil {
-		t.Fatal("an empty ring holds memory")
+	if r.block != nil {
+		t.Fatal("an empty ring keeps its memory")
 	}
 	if r.Put(make([]byte, RingSize+1)) || !r.Put(make([]byte, RingSize)) || r.Free() != 0 || r.Line() != nil {
-		t.Fatal("a ring takes all of its size and no more")
+		t.Fatal("a ring must take exactly its size")
 	}
 }
--- a/lines/ring.go
+++ b/lines/ring.go
@@ -6,140 +6,153 @@
 	"sync/atomic"
 )
 
+// Sizes in bytes.
 const (
-	Longest  = 4096        // of a line, without its end
-	RingSize = 2 * Longest // of a ring
-	WideSize = 64 << 10    // of one that carries bulk
+	Longest  = 4096        // longest line, without its line end
+	RingSize = 2 * Longest // size of an ordinary ring
+	WideSize = 64 << 10    // size of a ring for bulk data
+
+	maxMoveBytes = 512 // Drop moves up to this many bytes to the start of a block, so that they lie in one piece with those added later
 )
 
+const defaultMaxWide = 32 // wide rings at a time
+
 // block is the memory of a ring that holds bytes.
 type block struct{ data []byte }
 
-// blocks are those that no ring holds. Guards the memory: of a thousand connections few have bytes on their way.
+// Pools of blocks that no ring holds. Of a thousand connections only few have bytes in transit, so a ring without bytes
+// keeps no memory.
 var (
-	blocks = sync.Pool{New: func() any { return &block{make([]byte, RingSize)} }}
-	wides  = sync.Pool{New: func() any { return &block{make([]byte, WideSize)} }}
-
-	nobodys = NewBudget(fewWide) // of rings that belong to no node
+	narrowBlocks = sync.Pool{New: func() any { return &block{make([]byte, RingSize)} }}
+	wideBlocks   = sync.Pool{New: func() any { return &block{make([]byte, WideSize)} }}
 )
 
-const fewWide = 32
+// defaultBudget is for rings that belong to no node.
+var defaultBudget = NewBudget(defaultMaxWide)
 
-// Budget counts the blocks of one node's rings, and bounds how many of them are wide. Guards the memory against many that
-// carry bulk to peers who take nothing: those beyond stay narrow.
-type Budget struct{ held, wide, most atomic.Int64 }
+// Budget counts the blocks that the rings of one node hold, and limits how many of them are wide. The limit bounds the
+// memory of many connections that send bulk data to peers which do not read it: rings beyond the limit stay narrow.
+type Budget struct{ inUse, wideInUse, maxWide atomic.Int64 }
 
-// NewBudget makes one for so many wide rings at once; 0 for a few.
-func NewBudget(most int) *Budget {
+// NewBudget returns a Budget for at most maxWide wide rings at a time. If maxWide is 0 or less, the default of 32 applies.
+func NewBudget(maxWide int) *Budget {
 	b := &Budget{}
-	if b.most.Store(int64(most)); most <= 0 {
-		b.most.Store(fewWide)
+	if maxWide <= 0 {
+		maxWide = defaultMaxWide
 	}
+	b.maxWide.Store(int64(maxWide))
 	return b
 }
 
-// Held is how many blocks hold bytes now, and how many of them are wide.
-func (b *Budget) Held() (all, wide int) { return int(b.held.Load()), int(b.wide.Load()) }
+// Held returns the number of blocks that hold bytes, and how many of them are wide.
+func (b *Budget) Held() (total, wide int) { return int(b.inUse.Load()), int(b.wideInUse.Load()) }
 
-// Ring is a byte queue of fixed size. Its memory comes with the first byte and goes with the last.
+// Ring is a byte queue of fixed size. It takes a block when the first byte is added, and gives it back when the last byte
+// is removed. The zero value is an empty ring of ordinary size.
 type Ring struct {
-	buf      *block
-	start, n int
-	wide     bool // wanted, for the next time that it is empty
-	of       *Budget
+	block          *block
+	start, length  int     // of the bytes in block; they may wrap around its end
+	wantsWide      bool    // take a wide block, if there is one, the next time the ring is empty
+	assignedBudget *Budget // nil: defaultBudget
 }
 
-// Of says whose ring it is, before it holds anything.
-func (r *Ring) Of(b *Budget) { r.of = b }
+// Of assigns the ring to a budget. It has to be called before the ring holds any bytes.
+func (r *Ring) Of(b *Budget) { r.assignedBudget = b }
 
 func (r *Ring) budget() *Budget {
-	if r.of == nil {
-		return nobodys
+	if r.assignedBudget == nil {
+		return defaultBudget
 	}
-	return r.of
+	return r.assignedBudget
 }
 
-func (r *Ring) Len() int { return r.n }
+// Len returns the number of bytes in the ring.
+func (r *Ring) Len() int { return r.length }
 
+// Free returns the number of bytes that can be added. For an empty ring this is the size of an ordinary ring.
 func (r *Ring) Free() int {
-	if r.buf == nil {
+	if r.block == nil {
 		return RingSize
 	}
-	return len(r.buf.data) - r.n
+	return len(r.block.data) - r.length
 }
 
-// Widen asks for a wide ring from the next time on that it is empty, as long as there are some.
-func (r *Ring) Widen() { r.wide = true }
+// Widen makes the ring wide from the next time it is empty, if the budget allows it then.
+func (r *Ring) Widen() { r.wantsWide = true }
 
-func (r *Ring) take() {
+// acquire takes a block for an empty ring.
+func (r *Ring) acquire() {
 	b := r.budget()
-	b.held.Add(1)
-	if r.start = 0; r.wide {
-		if b.wide.Add(1) <= b.most.Load() {
-			r.buf = wides.Get().(*block)
+	b.inUse.Add(1)
+	r.start = 0
+	if r.wantsWide {
+		if b.wideInUse.Add(1) <= b.maxWide.Load() {
+			r.block = wideBlocks.Get().(*block)
 			return
 		}
-		b.wide.Add(-1)
+		b.wideInUse.Add(-1)
 	}
-	r.buf = blocks.Get().(*block)
+	r.block = narrowBlocks.Get().(*block)
 }
 
-func (r *Ring) give() {
+// release gives the block of an empty ring back.
+func (r *Ring) release() {
 	b := r.budget()
-	b.held.Add(-1)
-	if len(r.buf.data) == WideSize {
-		b.wide.Add(-1)
-		wides.Put(r.buf)
+	b.inUse.Add(-1)
+	if len(r.block.data) == WideSize {
+		b.wideInUse.Add(-1)
+		wideBlocks.Put(r.block)
 	} else {
-		blocks.Put(r.buf)
+		narrowBlocks.Put(r.block)
 	}
-	r.buf = nil
+	r.block = nil
 }
 
-// Space is the part that the next bytes may be put into; Grow counts them in. If none come, Drop(0) gives it back.
+// Space returns free memory for the next bytes, in one piece. Grow adds what was written there to the ring. If nothing
+// was written, Drop(0) has to be called, which releases the memory of an empty ring.
 func (r *Ring) Space() []byte {
-	if r.buf == nil {
-		r.take()
+	if r.block == nil {
+		r.acquire()
 	}
-	size := len(r.buf.data)
-	from := r.start + r.n
-	if from >= size {
-		from -= size
+	size := len(r.block.data)
+	writeAt := r.start + r.length
+	if writeAt >= size {
+		writeAt -= size
 	}
-	return r.buf.data[from:min(from+r.Free(), size)]
+	return r.block.data[writeAt:min(writeAt+r.Free(), size)]
 }
 
-func (r *Ring) Grow(n int) { r.n += n }
+// Grow adds n bytes that were written to the memory from Space.
+func (r *Ring) Grow(n int) { r.length += n }
 
-// Head is the first bytes held, as far as they lie in one piece; Drop takes them off, and none of them may be used
-// after it.
+// Head returns the first bytes of the ring, as far as they lie in one piece. They are valid until the next call of Drop.
 func (r *Ring) Head() []byte {
-	if r.buf == nil {
+	if r.block == nil {
 		return nil
 	}
-	return r.buf.data[r.start:min(r.start+r.n, len(r.buf.data))]
+	return r.block.data[r.start:min(r.start+r.length, len(r.block.data))]
 }
 
+// Drop removes the first n bytes.
 func (r *Ring) Drop(n int) {
-	if r.buf == nil {
+	if r.block == nil {
 		return
 	}
-	r.n -= n
-	if r.start += n; r.start >= len(r.buf.data) {
-		r.start -= len(r.buf.data)
+	r.length -= n
+	r.start += n
+	if r.start >= len(r.block.data) {
+		r.start -= len(r.block.data)
 	}
 	switch {
-	case r.n == 0:
-		r.give()
-	case r.n <= small && r.start > small && r.start+r.n <= len(r.buf.data):
-		copy(r.buf.data, r.buf.data[r.start:r.start+r.n]) // so that what comes next lies in one piece with it
+	case r.length == 0:
+		r.release()
+	case r.length <= maxMoveBytes && r.start > maxMoveBytes && r.start+r.length <= len(r.block.data):
+		copy(r.block.data, r.block.data[r.start:r.start+r.length])
 		r.start = 0
 	}
 }
 
-const small = 512 // bytes that are sooner moved than met in two pieces
-
-// Put takes all of p or nothing.
+// Put adds all of p, or nothing if there is not enough room. It reports whether it added p.
 func (r *Ring) Put(p []byte) bool {
 	if len(p) > r.Free() {
 		return false
@@ -152,26 +165,26 @@
 	return true
 }
 
-// Peek is the first n bytes, copied only where they wrap.
+// Peek returns the first n bytes without removing them. It copies them only if they wrap around.
 func (r *Ring) Peek(n int) []byte {
 	head := r.Head()
 	if n <= len(head) {
 		return head[:n]
 	}
-	whole := make([]byte, 0, n)
-	return append(append(whole, head...), r.buf.data[:n-len(head)]...)
+	joined := make([]byte, 0, n)
+	return append(append(joined, head...), r.block.data[:n-len(head)]...)
 }
 
-// Line is the first whole line with its end, or nil; it stays in the ring.
+// Line returns the first complete line with its line end, or nil. The line stays in the ring.
 func (r *Ring) Line() []byte {
 	head := r.Head()
 	if i := bytes.IndexByte(head, '\n'); i >= 0 {
 		return head[:i+1]
 	}
-	if len(head) == r.n {
+	if len(head) == r.length {
 		return nil
 	}
-	i := bytes.IndexByte(r.buf.data[:r.n-len(head)], '\n')
+	i := bytes.IndexByte(r.block.data[:r.length-len(head)], '\n')
 	if i < 0 {
 		return nil
 	}
--- a/lines/stats.go
+++ b/lines/stats.go
@@ -5,26 +5,26 @@
 	"strconv"
 )
 
-// Figures are the values of a host's load report, as their line has them.
+// Figures are the values of a host's load report, as texts.
 type Figures [][]byte
 
-// Stats reads the answer to a STATS probe, PONG with the values set apart by commas; ok is false for another line.
-func Stats(line []byte) (f Figures, ok bool) {
-	word, rest, more := bytes.Cut(Bare(line), []byte(" "))
-	if string(word) != "PONG" || more && bytes.ContainsRune(rest, ' ') {
+// Stats parses the answer to a STATS probe: PONG and the values, separated by commas. ok is false for any other line.
+func Stats(line []byte) (report Figures, ok bool) {
+	word, rest, hasRest := bytes.Cut(Bare(line), []byte(" "))
+	if string(word) != "PONG" || hasRest && bytes.ContainsRune(rest, ' ') {
 		return nil, false
 	}
-	if more {
-		f = bytes.Split(rest, []byte(","))
+	if hasRest {
+		report = bytes.Split(rest, []byte(","))
 	}
-	return f, true
+	return report, true
 }
 
-// At is the value at a place; ok is false where there is none that makes sense.
-func (f Figures) At(no int) (v float64, ok bool) {
-	if no < 0 || no >= len(f) {
+// At returns the value at an index. ok is false if there is no value there, or no valid one.
+func (f Figures) At(index int) (value float64, ok bool) {
+	if index < 0 || index >= len(f) {
 		return 0, false
 	}
-	v, err := strconv.ParseFloat(string(f[no]), 64)
-	return v, err == nil && v >= 0 && v < 1e12
+	value, err := strconv.ParseFloat(string(f[index]), 64)
+	return value, err == nil && value >= 0 && value < maxReportValue
 }
