--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes what a node is told at its start, for every door: the simulator gives paths with values,
-// a config file the same as nested JSON.
+// Package settings decodes the settings that a node gets when it starts. They come in two forms with the same content:
+// the simulator sends a path and a value for each setting, and a config file has them as nested JSON.
 package settings
 
 import (
@@ -14,105 +14,116 @@
 	"coursewinch/balance"
 )
 
-// conf reads the settings that the module uses; it keeps the first fault.
-type conf struct {
-	values map[string]string
-	sep    string // between the values of a list
-	err    error
+const (
+	maxNumber       = 1e12    // every number has to be lower
+	maxServiceTypes = 1 << 14 // bounds the memory that an absurd count would take
+	minNinesWanted  = 0.01    // NinesWanted is a divisor; lower values make no sense
+	jsonSeparator   = "\x00"  // between the values of a joined JSON list; no name contains it
+)
+
+// decoder reads single settings from their paths and values. It keeps the first error.
+type decoder struct {
+	values    map[string]string
+	separator string // between the values of a list
+	err       error
 }
 
-func (c *conf) fail(key, what string) {
-	if c.err == nil {
-		c.err = fmt.Errorf("setting %s %s", key, what)
+func (d *decoder) fail(key, problem string) {
+	if d.err == nil {
+		d.err = fmt.Errorf("setting %s %s", key, problem)
 	}
 }
 
-func (c *conf) number(key string, low float64) float64 {
-	v, ok := c.values[key]
+// number reads a number of at least minimum.
+func (d *decoder) number(key string, minimum float64) float64 {
+	v, ok := d.values[key]
 	if !ok {
-		c.fail(key, "is missing")
+		d.fail(key, "is missing")
 		return 0
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= low && n < 1e12) {
-		c.fail(key, fmt.Sprintf("has the impossible value %q", v))
+	if err != nil || !(n >= minimum && n < maxNumber) {
+		d.fail(key, fmt.Sprintf("has the invalid value %q", v))
 	}
 	return n
 }
 
-func (c *conf) time(key string, low float64) int64 { return int64(c.number(key, low)*1000 + 0.5) }
+// duration reads a time in milliseconds and returns it in microseconds, rounded.
+func (d *decoder) duration(key string, minimum float64) int64 {
+	return int64(d.number(key, minimum)*1000 + 0.5)
+}
 
-func (c *conf) word(key string, words ...string) int {
-	v, ok := c.values[key]
-	for i, w := range words {
-		if v == w {
+// choice reads one of several words and returns its index.
+func (d *decoder) choice(key string, choices ...string) int {
+	v, ok := d.values[key]
+	for i, word := range choices {
+		if v == word {
 			return i
 		}
 	}
 	if !ok {
-		c.fail(key, "is missing")
+		d.fail(key, "is missing")
 	} else {
-		c.fail(key, fmt.Sprintf("has the impossible value %q", v))
+		d.fail(key, fmt.Sprintf("has the invalid value %q", v))
 	}
 	return 0
 }
 
-func (c *conf) flag(key string) bool { return c.word(key, "false", "true") == 1 }
+func (d *decoder) boolean(key string) bool { return d.choice(key, "false", "true") == 1 }
 
-// optional is a number that may be absent; then it is 0.
-func (c *conf) optional(key string, low float64) float64 {
-	if _, ok := c.values[key]; !ok {
+// optionalNumber reads a number that may be missing, and is 0 then.
+func (d *decoder) optionalNumber(key string, minimum float64) float64 {
+	if _, ok := d.values[key]; !ok {
 		return 0
 	}
-	return c.number(key, low)
+	return d.number(key, minimum)
 }
 
-func (c *conf) list(key string) []string {
-	if v := c.values[key]; v != "" {
-		return strings.Split(v, c.sep)
+// list reads a list of texts, which may be missing or empty.
+func (d *decoder) list(key string) []string {
+	if v := d.values[key]; v != "" {
+		return strings.Split(v, d.separator)
 	}
 	return nil
 }
 
-// report finds the figure that tells load over capacity, or else how busy the cores are.
-func (c *conf) report() int {
-	if _, ok := c.values["LoadReport.How"]; !ok || c.word("LoadReport.How", "silent", "pull", "piggyback") == 0 {
+// loadReportIndex returns the index of the value in a load report that says how loaded a host is: load over capacity (x0)
+// if hosts report it, or else how busy the cores are (cpu). It is -1 if hosts report neither.
+func (d *decoder) loadReportIndex() int {
+	if _, ok := d.values["LoadReport.How"]; !ok || d.choice("LoadReport.How", "silent", "pull", "piggyback") == 0 {
 		return -1
 	}
-	names := c.list("LoadReport.Names")
-	if at := slices.Index(names, "x0"); at >= 0 {
-		return at
+	names := d.list("LoadReport.Names")
+	if i := slices.Index(names, "x0"); i >= 0 {
+		return i
 	}
 	return slices.Index(names, "cpu")
 }
 
-// Settings are those of the module and what the doors read besides.
+// Settings are the settings of the balance module, and those that the programs around it read. Times are microseconds.
 type Settings struct {
 	balance.Settings
-	Reports   bool           // hosts tell their load, at least to probes
-	Report    int            // which figure of a load report tells load over capacity, or how busy the cores are; -1 for none
-	Passes    bool           // packets pass through in place of ending at the node
-	Names     map[string]int // of the service types
-	Zones     map[string]int
-	Groups    bool      // clients belong to groups that share work
-	TellsTime bool      // hosts tell how long messages take
-	Dial      int64     // a connection that is not up by then will not come
-	Worth     []float64 // what a flow of each service type is worth; 0 where none is stated
-	Longest   int64     // connect timeout of any service type
-	Limits    []int64   // connect timeouts of the service types; 0 where none is stated
-	Nines     float64   // what weight the goal gives to nines, and how many it wants; 0 where it counts none
-	Wanted    float64
-	Pushed    bool  // lists are: what they say counts as told at once
-	Grace     int64 // for which something new may go to a host after it was told to drain; 0 where none is stated
-	// What the list calls gone, or leaves out, binds nobody before it drained: a new process of a node then takes it for no drain.
+	Reports     bool           // hosts report their load, at least in answers to probes
+	Report      int            // index of the value in a load report that is used: load over capacity, or how busy the cores are; -1 for none
+	Passes      bool           // packets pass through and connections do not end at the node
+	Names       map[string]int // index of each service type by its name
+	Zones       map[string]int // index of each zone by its name
+	Groups      bool           // clients belong to groups that share work
+	TellsTime   bool           // hosts report how long messages take
+	Dial        int64          // timeout after which a connection attempt has failed; 0 if none is set
+	Worth       []float64      // benefit of a flow, by service type; 0 if none is set
+	Longest     int64          // highest connect timeout of any service type
+	Limits      []int64        // connect timeout, by service type; 0 if none is set
+	NinesWeight float64        // weight of availability, counted in nines, in the goal; 0 if the goal does not count it
+	NinesWanted float64        // availability that the goal wants, in nines
+	Pushed      bool           // lists of hosts are pushed: what they say counts as known at once
+	Grace       int64          // time after a drain notice in which new flows may still go to a host; 0 if none is set
+	// Only a drain notice obliges nodes to stop using a host. A host that the list calls gone, or leaves out, without having
+	// been drained obliges nobody, so the successor process of a node does not treat it as a drain.
 	DrainsAlone bool
 }
 
-const mostTypes = 1 << 14 // guards the memory against a count without sense
-
-const leastNines = 0.01 // wanted; fewer make no sense as a divisor
-
-// Pairs reads the simulator's form, PATH=VALUE a part.
+// Pairs decodes the form that the simulator sends: each part is PATH=VALUE.
 func Pairs(parts [][]byte) (*Settings, error) {
 	values := make(map[string]string, len(parts))
 	for _, p := range parts {
@@ -125,7 +136,7 @@
 	return decode(values, ",")
 }
 
-// JSON reads the nested form.
+// JSON decodes the nested form of the config file.
 func JSON(text []byte) (*Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -138,21 +149,21 @@
 	}
 	values := map[string]string{}
 	flatten(values, "", tree)
-	return decode(values, jsonSep)
+	return decode(values, jsonSeparator)
 }
 
-// flatten gives each plain value its path. A list of objects has its length under count and items by number; a
-// list of plain values is joined, with what no name holds: names have blanks and commas, and discovery and clients call
-// things by the same.
+// flatten stores each scalar value under its path. For a list of objects, it stores the length under PATH.count and the
+// objects under their indexes. A list of scalars is joined with jsonSeparator: names may contain spaces and commas, and
+// discovery and clients use the same names.
 func flatten(values map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, item := range v {
-			at := name
+			itemPath := name
 			if path != "" {
-				at = path + "." + name
+				itemPath = path + "." + name
 			}
-			flatten(values, at, item)
+			flatten(values, itemPath, item)
 		}
 	case []any:
 		var plain []string
@@ -161,18 +172,16 @@
 				flatten(values, path+"."+strconv.Itoa(i), item)
 				values[path+".count"] = strconv.Itoa(i + 1)
 			} else {
-				plain = append(plain, word(item))
+				plain = append(plain, scalarText(item))
 			}
 		}
-		values[path] = strings.Join(plain, jsonSep)
+		values[path] = strings.Join(plain, jsonSeparator)
 	default:
-		values[path] = word(v)
+		values[path] = scalarText(v)
 	}
 }
 
-const jsonSep = "\x00"
-
-func word(v any) string {
+func scalarText(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
@@ -186,82 +195,107 @@
 	return fmt.Sprint(v)
 }
 
-func decode(values map[string]string, sep string) (*Settings, error) {
-	c := &conf{values: values, sep: sep}
-	s := &Settings{Settings: balance.Settings{
-		Nodes:        int(c.number("Balancers", 1)),
-		Index:        int(c.number("Index", 0)),
-		Zone:         int(c.number("MyZone", 0)),
-		MaxConnects:  int(c.number("Limits.MaxConnects", 1)),
-		Probing:      c.flag("Limits.Probing"),
-		Untold:       values["Specifics.TellsDelay"] == "false",
-		OnRequest:    c.word("Discovery", "pushed", "on_request") == 1,
-		ColdFrom:     c.number("Obligations.ColdFrom", 0),
-		ColdTime:     c.time("Obligations.ColdMs", 0),
-		FallMultiple: c.number("Obligations.FallMultiple", 0),
-	}, Names: map[string]int{}, Zones: map[string]int{}, Passes: values["Specifics.Mode"] == "pass",
-		Groups: values["Specifics.Groups"] == "true", TellsTime: values["Specifics.TellsDelay"] == "true"}
-	if c.flag("Limits.RetryAfter") {
-		s.MaxWait = c.time("Limits.MaxRetryAfterMs", 0)
+func decode(values map[string]string, separator string) (*Settings, error) {
+	d := &decoder{values: values, separator: separator}
+	s := &Settings{
+		Settings: balance.Settings{
+			Nodes:        int(d.number("Balancers", 1)),
+			Index:        int(d.number("Index", 0)),
+			Zone:         int(d.number("MyZone", 0)),
+			MaxConnects:  int(d.number("Limits.MaxConnects", 1)),
+			Probing:      d.boolean("Limits.Probing"),
+			Untold:       values["Specifics.TellsDelay"] == "false",
+			OnRequest:    d.choice("Discovery", "pushed", "on_request") == 1,
+			ColdFrom:     d.number("Obligations.ColdFrom", 0),
+			ColdTime:     d.duration("Obligations.ColdMs", 0),
+			FallMultiple: d.number("Obligations.FallMultiple", 0),
+		},
+		Names:     map[string]int{},
+		Zones:     map[string]int{},
+		Passes:    values["Specifics.Mode"] == "pass",
+		Groups:    values["Specifics.Groups"] == "true",
+		TellsTime: values["Specifics.TellsDelay"] == "true",
 	}
-	s.FallTime = int64(c.optional("Obligations.FallMs", 0) * 1000)
-	s.Grace = int64(c.optional("Obligations.DrainGraceMs", 0) * 1000)
-	if s.OnRequest {
-		s.AskWithin = c.time("Obligations.AskWithinMs", 1)
+	d.optionalSettings(s)
+	s.Report = d.loadReportIndex()
+	s.Reports = s.Report >= 0
+	if s.NinesWeight = d.optionalNumber("Goal.Nines", 0); s.NinesWeight > 0 {
+		s.NinesWanted = d.number("Goal.NinesWanted", minNinesWanted)
+	} else {
+		d.optionalNumber("Goal.NinesWanted", 0)
 	}
-	if _, ok := values["Limits.DialTimeoutMs"]; ok {
-		s.Dial = c.time("Limits.DialTimeoutMs", 1)
+	for i, name := range d.list("Localities") {
+		s.Zones[name] = i
 	}
-	if _, ok := values["Obligations.DrainBindsAlone"]; ok {
-		s.DrainsAlone = c.flag("Obligations.DrainBindsAlone")
+	d.serviceTypes(s)
+	return s, d.err
+}
+
+// optionalSettings decodes the settings that only some deployments have.
+func (d *decoder) optionalSettings(s *Settings) {
+	if d.boolean("Limits.RetryAfter") {
+		s.MaxWait = d.duration("Limits.MaxRetryAfterMs", 0)
 	}
-	if _, ok := values["Limits.Peers"]; ok {
-		s.Peers = c.flag("Limits.Peers")
+	s.FallTime = int64(d.optionalNumber("Obligations.FallMs", 0) * 1000)
+	s.Grace = int64(d.optionalNumber("Obligations.DrainGraceMs", 0) * 1000)
+	if s.OnRequest {
+		s.AskWithin = d.duration("Obligations.AskWithinMs", 1)
 	}
-	s.Report = c.report()
-	s.Reports = s.Report >= 0
-	if s.Nines = c.optional("Goal.Nines", 0); s.Nines > 0 {
-		s.Wanted = c.number("Goal.NinesWanted", leastNines)
-	} else {
-		c.optional("Goal.NinesWanted", 0)
+	if _, ok := d.values["Limits.DialTimeoutMs"]; ok {
+		s.Dial = d.duration("Limits.DialTimeoutMs", 1)
 	}
-	for i, name := range c.list("Localities") {
-		s.Zones[name] = i
+	if _, ok := d.values["Obligations.DrainBindsAlone"]; ok {
+		s.DrainsAlone = d.boolean("Obligations.DrainBindsAlone")
 	}
-	targets := c.list("Specifics.MessageAimMs")
-	kinds := int(c.number("ServiceTypes.count", 1))
-	if kinds > mostTypes {
-		c.fail("ServiceTypes", fmt.Sprintf("are %d, more than %d", kinds, mostTypes))
+	if _, ok := d.values["Limits.Peers"]; ok {
+		s.Peers = d.boolean("Limits.Peers")
 	}
-	for i := range min(kinds, mostTypes) {
-		at := fmt.Sprintf("ServiceTypes.%d.", i)
-		t := balance.ServiceType{
-			SetupTarget: c.time(at+"SetupTargetMs", 0),
-			Effect:      balance.Effect(c.word(at+"Effect", "safe", "keyed", "unsafe")),
-		}
-		t.MessageTarget = t.SetupTarget
-		if i < len(targets) {
-			ms, err := strconv.ParseFloat(targets[i], 64)
-			if err != nil || !(ms > 0) {
-				c.fail("Specifics.MessageAimMs", fmt.Sprintf("has the impossible value %q", targets[i]))
-			}
-			t.MessageTarget = int64(ms * 1000)
-		}
-		if t.Effect == balance.Referenced {
-			t.Scope = balance.Scope(c.word(at+"Group", "all", "zone", "cell"))
-			t.Window = c.time(at+"WindowMs", 0)
-		}
-		if _, twice := s.Names[values[at+"Name"]]; twice {
-			c.fail(at+"Name", fmt.Sprintf("is %q as well as another's", values[at+"Name"]))
+}
+
+// serviceTypes decodes all service types, with their names, benefits and connect timeouts.
+func (d *decoder) serviceTypes(s *Settings) {
+	messageTargets := d.list("Specifics.MessageAimMs")
+	count := int(d.number("ServiceTypes.count", 1))
+	if count > maxServiceTypes {
+		d.fail("ServiceTypes", fmt.Sprintf("are %d, more than %d", count, maxServiceTypes))
+	}
+	for i := range min(count, maxServiceTypes) {
+		prefix := fmt.Sprintf("ServiceTypes.%d.", i)
+		t := d.serviceType(prefix, i, messageTargets)
+		name := d.values[prefix+"Name"]
+		if _, duplicate := s.Names[name]; duplicate {
+			d.fail(prefix+"Name", fmt.Sprintf("is %q, the name of another service type", name))
 		}
-		s.Names[values[at+"Name"]] = i
-		s.Worth = append(s.Worth, c.optional(at+"Benefit", 0))
-		limit := int64(0)
-		if _, ok := values[at+"HardLimitMs"]; ok {
-			limit = c.time(at+"HardLimitMs", 0)
+		s.Names[name] = i
+		s.Worth = append(s.Worth, d.optionalNumber(prefix+"Benefit", 0))
+		connectTimeout := int64(0)
+		if _, ok := d.values[prefix+"HardLimitMs"]; ok {
+			connectTimeout = d.duration(prefix+"HardLimitMs", 0)
 		}
-		s.Longest, s.Limits = max(s.Longest, limit), append(s.Limits, limit)
+		s.Longest = max(s.Longest, connectTimeout)
+		s.Limits = append(s.Limits, connectTimeout)
 		s.Types = append(s.Types, t)
 	}
-	return s, c.err
+}
+
+// serviceType decodes what the balance module uses of the service type at an index. messageTargets are the targets, in
+// milliseconds, of the service types that have one. For the others, the setup target applies.
+func (d *decoder) serviceType(prefix string, index int, messageTargets []string) balance.ServiceType {
+	t := balance.ServiceType{
+		SetupTarget: d.duration(prefix+"SetupTargetMs", 0),
+		Effect:      balance.Effect(d.choice(prefix+"Effect", "safe", "keyed", "unsafe")),
+	}
+	t.MessageTarget = t.SetupTarget
+	if index < len(messageTargets) {
+		ms, err := strconv.ParseFloat(messageTargets[index], 64)
+		if err != nil || !(ms > 0) {
+			d.fail("Specifics.MessageAimMs", fmt.Sprintf("has the invalid value %q", messageTargets[index]))
+		}
+		t.MessageTarget = int64(ms * 1000)
+	}
+	if t.Effect == balance.Referenced {
+		t.Scope = balance.Scope(d.choice(prefix+"Group", "all", "zone", "cell"))
+		t.Window = d.duration(prefix+"WindowMs", 0)
+	}
+	return t
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -23,7 +23,7 @@
 	"ServiceTypes.1.WindowMs=5000.0", "ServiceTypes.1.SetupTargetMs=300.0", "ServiceTypes.1.HardLimitMs=1800.0",
 	"Specifics.Groups=true", "Specifics.Mode=proxy", "Specifics.MessageAimMs=60.0,50.5", "Specifics.TellsDelay=true"}
 
-// Both doors must decode alike, or a real node decides otherwise than the simulated one.
+// Both forms must decode to the same settings, or a real node would decide differently from a simulated one.
 func TestBothFormsDecodeAlike(t *testing.T) {
 	var parts [][]byte
 	for _, p := range flat {
@@ -42,8 +42,9 @@
 	}
 }
 
-// Discovery and clients call zones and service types by the names that the file has, blanks and commas included.
-func TestNamesStayAsTheyAre(t *testing.T) {
+// Discovery and clients use the names of zones and service types as the config file has them, so spaces and commas in names
+// must be kept.
+func TestNamesWithSpacesAndCommas(t *testing.T) {
 	text := strings.NewReplacer(`"b_c"`, `"b c, d"`, `"Name":"x"`, `"Name":"x, y"`).Replace(nested)
 	s, err := JSON([]byte(text))
 	if err != nil || len(s.Zones) != 2 || s.Zones["b c, d"] != 1 || len(s.Names) != 2 {
@@ -53,11 +54,11 @@
 		t.Fatal(s.Names)
 	}
 	if s, err := JSON([]byte(strings.Replace(nested, `"Name":"x"`, `"Name":"y"`, 1))); err == nil {
-		t.Fatal("two service types of one name", s.Names)
+		t.Fatal("two service types with the same name were accepted", s.Names)
 	}
 }
 
-func TestUnusable(t *testing.T) {
+func TestInvalidJSONIsRejected(t *testing.T) {
 	for _, text := range []string{"", "null", "[]", "{}", `{"Balancers":"three"}`} {
 		if s, err := JSON([]byte(text)); err == nil {
 			t.Errorf("%q: %+v", text, s)
@@ -65,8 +66,8 @@
 	}
 }
 
-// The settings that newer deployments add may be absent, and then mean what they meant before.
-func TestAddedSettings(t *testing.T) {
+// Settings that newer deployments have may be missing. Behaviour is then as it was before they were added.
+func TestOptionalSettings(t *testing.T) {
 	with := func(more ...string) (*Settings, error) {
 		var parts [][]byte
 		for _, p := range append(append([]string(nil), flat...), more...) {
@@ -75,11 +76,11 @@
 		return Pairs(parts)
 	}
 	s, err := with()
-	if err != nil || s.DrainsAlone || s.Nines != 0 || s.Wanted != 0 {
+	if err != nil || s.DrainsAlone || s.NinesWeight != 0 || s.NinesWanted != 0 {
 		t.Fatal(s, err)
 	}
 	s, err = with("Obligations.DrainBindsAlone=true", "Goal.Nines=0.3", "Goal.NinesWanted=2")
-	if err != nil || !s.DrainsAlone || s.Nines != 0.3 || s.Wanted != 2 {
+	if err != nil || !s.DrainsAlone || s.NinesWeight != 0.3 || s.NinesWanted != 2 {
 		t.Fatal(s, err)
 	}
 	for _, bad := range []string{"Obligations.DrainBindsAlone=1", "Obligations.DrainBindsAlone=", "Goal.Nines=-1", "Goal.Nines=much",
@@ -88,7 +89,7 @@
 			t.Errorf("%s: %+v", bad, s)
 		}
 	}
-	// Reports and messages between nodes are off where nothing is said of them, as at kingston.
+	// Load reports and messages between nodes are off where the settings do not mention them, as in the kingston deployment.
 	for more, want := range map[string]string{"": "-1 false", "LoadReport.How=silent Limits.Peers=false": "-1 false",
 		"LoadReport.How=pull LoadReport.Names=cpu,waiting,x0 Limits.Peers=true": "2 true", "LoadReport.How=often": "LoadReport.How",
 		"LoadReport.How=piggyback LoadReport.Names=waiting,cpu": "1 false", "Limits.Peers=perhaps": "Limits.Peers"} {
