--- a/handover/handover.go
+++ b/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover holds what two processes of one node tell each other while a new version takes over: the forms of
-// the messages, strictly read, and the link that carries them. It decides nothing.
+// Package handover defines what two processes of one node send each other during a handover, while a new version is rolled
+// out: the messages, with a strict decoder, and the link that carries them. The predecessor is the process that runs, the
+// successor is the new one. The package makes no decisions.
 package handover
 
 import (
@@ -14,96 +15,104 @@
 	"coursewinch/discovery"
 )
 
+// Version is the version of the messages. Both processes have to use the same one.
+const Version = 2
+
 const (
-	Version   = 2
-	Longest   = 96 << 10 // of a message
-	part      = 32 << 10 // of a state, before it is put into text
-	mostState = 8 << 20
-	mostRing  = 8 << 10 // of bytes on their way in one direction of a connection
-	mostFDs   = 2
+	MaxMessageBytes = 96 << 10 // size of an encoded message
+	maxPartBytes    = 32 << 10 // size of a part of a State, before it is encoded
+	maxStateBytes   = 8 << 20  // size of a State as JSON
+	maxPendingBytes = 8 << 10  // bytes in transit in one direction of a connection
+	maxSockets      = 2        // sockets that come with a message
+	maxNumber       = 1e15     // every number of a Flow has to be lower
 )
 
-// Message is one message; the one part that is there says what it is. Sockets that go along are named in order.
+// Message is one message. Exactly one field besides V is set, and says what the message is. Sockets that are sent along
+// come in the order in which they are named here.
+//
+// Messages are encoded as JSON under the names of their fields. This holds for all structs below, so a field that is
+// renamed needs a tag with its old name.
 type Message struct {
-	V       int
-	Hello   *Hello   `json:",omitempty"` // new: I am another version of you
-	Refused string   `json:",omitempty"` // old: start as usual
-	State   *Part    `json:",omitempty"` // old: what I know; the last part brings the listener
-	Take    bool     `json:",omitempty"` // new: I take connections from now on
-	Yield   *Yield   `json:",omitempty"` // old: so I don't
-	Leave   bool     `json:",omitempty"` // old: I was told to end before you took; take now
-	Drains  []string `json:",omitempty"` // either: these hosts take nothing new
-	Client  *Client  `json:",omitempty"` // old: a client without a flow, and its socket
-	Flow    *Flow    `json:",omitempty"` // old: an established flow; the client's socket and the host's
+	V       int      // the version of the messages
+	Hello   *Hello   `json:",omitempty"` // from the successor: another version of this node starts
+	Refused string   `json:",omitempty"` // from the predecessor: why there is no handover now
+	State   *Part    `json:",omitempty"` // from the predecessor: a part of its state; the listening socket comes with the last part
+	Take    bool     `json:",omitempty"` // from the successor: it accepts new connections from now on
+	Yield   *Yield   `json:",omitempty"` // from the predecessor: it accepts no more connections
+	Leave   bool     `json:",omitempty"` // from the predecessor: it was told to stop before Take arrived; the successor has to accept connections now
+	Drains  []string `json:",omitempty"` // from either: UIDs of hosts that must not get new flows
+	Client  *Client  `json:",omitempty"` // from the predecessor: a client without a flow, with its socket
+	Flow    *Flow    `json:",omitempty"` // from the predecessor: an established flow, with the client's socket and the host's
 }
 
-// Hello names the node, so that no other takes its place.
+// Hello identifies the node, so that no other node takes its place.
 type Hello struct{ Name, Listen string }
 
-// Part is a piece of a State.
+// Part is a piece of an encoded State.
 type Part struct {
-	No, Of int
-	Sum    uint32 // of the whole
+	No, Of int    // number of this part, from 1, and number of all parts
+	Sum    uint32 // CRC-32 of the whole encoded State
 	Data   []byte
 }
 
-// State is what the new process begins with.
+// State is what the successor starts with.
 type State struct {
-	Room    int // descriptors that it may hold besides those that go along with flows
-	Drained bool
-	From    string // the address of discovery that the list came from
+	Room    int    // descriptors that the successor may hold, besides those that come with flows
+	Drained bool   // the node is drained
+	From    string // address of the discovery service that the list came from
 	List    discovery.List
-	IDs     []uint64 // hashes of ids that clients gave
-	Types   []string // that Node goes by, in order
+	IDs     []uint64 // hashes of the ids that clients used
+	Types   []string // names of the service types, in the order that Node uses
 	Node    balance.Memory
-	Hosts   map[string]balance.ServerMemory
+	Hosts   map[string]balance.ServerMemory // by UID
 }
 
-// Yield is what the old process does no longer need.
+// Yield is what the predecessor no longer needs once the successor accepts connections.
 type Yield struct {
-	Room int
-	IDs  []uint64 // given since the state
+	Room int      // descriptors
+	IDs  []uint64 // hashes of ids that clients used after the State was sent
 }
 
-// Client is a connection that has asked for nothing yet.
+// Client is a connection of a client that has not asked for a flow yet.
 type Client struct {
-	In, Out []byte // that it sent; that it is yet to get
-	Front   bool   // it asked PING
-	Age     int64  // microseconds since it came, or since its line began
+	In, Out []byte // bytes received from it and not processed; bytes not sent to it yet
+	Front   bool   // it is a health check: it sent PING
+	Age     int64  // microseconds since it connected, or since its incomplete line began
 }
 
 // Flow is an established flow.
 type Flow struct {
-	Type               string // its name: the other process may have them in another order, or not at all
-	Key, Group         uint64
-	Grouped, Again     bool
+	Type               string // name of its service type: the successor may have the types in another order, or not have this one
+	Key, Group         uint64 // hashes
+	Grouped, Again     bool   // it belongs to Group; its client had connected before
 	Hint, Load         float64
 	Age                int64  // microseconds since it was established
-	Process            uint64 // that hands it on, as other nodes know it; 0 where it keeps no limits of the fleet
-	Left               int64  // microseconds for which what it had of these counts still
+	Process            uint64 // the predecessor's process id among the nodes; 0 if it enforces no fleet-wide limits
+	Left               int64  // microseconds for which the predecessor's permits for the flow remain valid
 	Host               discovery.Entry
-	ClientIn, HostIn   []byte // that came and have not gone on
-	ClientOut          []byte
-	HostOut            []byte
-	ClientMid, HostMid bool // what went to it last does not end a line
+	ClientIn, HostIn   []byte // received from the client or the host, and not passed on yet
+	ClientOut          []byte // not sent to the client yet
+	HostOut            []byte // not sent to the host yet
+	ClientMid, HostMid bool   // the last bytes sent to the client or the host do not end a line
 }
 
 var (
-	errForm = errors.New("handover: a message that makes no sense")
-	errLong = errors.New("handover: a message longer than may be")
+	errMalformed = errors.New("handover: invalid message")
+	errTooLong   = errors.New("handover: message too long")
 )
 
-// Encode forms a message.
+// Encode sets the version of a message and encodes it. It fails if the message is longer than MaxMessageBytes.
 func (m *Message) Encode() ([]byte, error) {
 	m.V = Version
 	p, err := json.Marshal(m)
-	if err == nil && len(p) > Longest {
-		err = errLong
+	if err == nil && len(p) > MaxMessageBytes {
+		err = errTooLong
 	}
 	return p, err
 }
 
-// Decode reads a message strictly, with as many sockets as came along.
+// Decode decodes a message that came with a number of sockets. It is strict: it rejects other versions, unknown fields,
+// values out of range, and any number of sockets but the one that the message needs.
 func Decode(p []byte, sockets int) (*Message, error) {
 	var m Message
 	d := json.NewDecoder(bytes.NewReader(p))
@@ -112,93 +121,102 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if m.V != Version {
-		return nil, fmt.Errorf("handover: version %d, this is %d", m.V, Version)
+		return nil, fmt.Errorf("handover: message has version %d, want %d", m.V, Version)
+	}
+	wantSockets, ok := m.check()
+	if !ok || d.InputOffset() != int64(len(p)) || sockets != wantSockets {
+		return nil, errMalformed
 	}
-	parts, want := 0, 0
-	for _, there := range []bool{m.Hello != nil, m.Refused != "", m.State != nil, m.Take, m.Yield != nil, m.Leave,
+	return &m, nil
+}
+
+// check returns the number of sockets that come with a message, and whether the message is valid.
+func (m *Message) check() (wantSockets int, ok bool) {
+	kinds := 0
+	for _, present := range []bool{m.Hello != nil, m.Refused != "", m.State != nil, m.Take, m.Yield != nil, m.Leave,
 		m.Drains != nil, m.Client != nil, m.Flow != nil} {
-		if there {
-			parts++
+		if present {
+			kinds++
 		}
 	}
-	ok := parts == 1 && d.InputOffset() == int64(len(p))
+	ok = kinds == 1
 	switch {
 	case m.State != nil:
 		if m.State.No == m.State.Of {
-			want = 1
+			wantSockets = 1
 		}
-		ok = ok && m.State.No > 0 && m.State.No <= m.State.Of && m.State.Of <= mostState/part+1
+		ok = ok && m.State.No > 0 && m.State.No <= m.State.Of && m.State.Of <= maxStateBytes/maxPartBytes+1
 	case m.Yield != nil:
 		ok = ok && m.Yield.Room >= 0
 	case m.Client != nil:
-		want = 1
+		wantSockets = 1
 		c := m.Client
-		ok = ok && len(c.In) <= mostRing && len(c.Out) <= mostRing && c.Age >= 0
+		ok = ok && len(c.In) <= maxPendingBytes && len(c.Out) <= maxPendingBytes && c.Age >= 0
 	case m.Flow != nil:
-		want = 2
-		ok = ok && m.Flow.sound()
-	}
-	if !ok || sockets != want {
-		return nil, errForm
+		wantSockets = 2
+		ok = ok && m.Flow.isValid()
 	}
-	return &m, nil
+	return wantSockets, ok
 }
 
-func (f *Flow) sound() bool {
-	number := func(x float64) bool { return x >= 0 && x < 1e15 }
-	return f.Type != "" && f.Age >= 0 && number(f.Hint) && number(f.Load) && f.Host.UID != "" &&
-		max(len(f.ClientIn), len(f.ClientOut), len(f.HostIn), len(f.HostOut)) <= mostRing
+func (f *Flow) isValid() bool {
+	inRange := func(x float64) bool { return x >= 0 && x < maxNumber }
+	return f.Type != "" && f.Age >= 0 && inRange(f.Hint) && inRange(f.Load) && f.Host.UID != "" &&
+		max(len(f.ClientIn), len(f.ClientOut), len(f.HostIn), len(f.HostOut)) <= maxPendingBytes
 }
 
-// Parts cuts a state into messages.
+// Parts encodes a state and splits it into messages. It fails if the state is longer than 8 MiB.
 func (s *State) Parts() ([]*Message, error) {
 	p, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	if len(p) > mostState {
-		return nil, errLong
+	if len(p) > maxStateBytes {
+		return nil, errTooLong
 	}
-	of, sum := (len(p)+part-1)/part, crc32.ChecksumIEEE(p)
-	var all []*Message
-	for no := 1; no <= of; no++ {
-		n := min(part, len(p))
-		all = append(all, &Message{State: &Part{no, of, sum, p[:n]}})
+	count := (len(p) + maxPartBytes - 1) / maxPartBytes
+	sum := crc32.ChecksumIEEE(p)
+	var messages []*Message
+	for no := 1; no <= count; no++ {
+		n := min(maxPartBytes, len(p))
+		messages = append(messages, &Message{State: &Part{No: no, Of: count, Sum: sum, Data: p[:n]}})
 		p = p[n:]
 	}
-	return all, nil
+	return messages, nil
 }
 
-// Assembly gathers the parts of a state.
+// Assembly puts the parts of a State together.
 type Assembly struct {
-	text []byte
-	next int
+	received []byte // data of all parts so far
+	lastPart int    // number of the last part added
 }
 
-// Add takes the next part. The state is nil until the last has come.
+// Add adds the next part. The State is nil until the last part is added. Add fails if a part is missing or repeated, or if
+// the State is damaged or invalid.
 func (a *Assembly) Add(p *Part) (*State, error) {
-	if a.next++; p.No != a.next || len(p.Data) > part {
-		return nil, errForm
+	a.lastPart++
+	if p.No != a.lastPart || len(p.Data) > maxPartBytes {
+		return nil, errMalformed
 	}
-	a.text = append(a.text, p.Data...)
+	a.received = append(a.received, p.Data...)
 	if p.No < p.Of {
 		return nil, nil
 	}
-	if crc32.ChecksumIEEE(a.text) != p.Sum {
-		return nil, errors.New("handover: the state came otherwise than it was sent")
+	if crc32.ChecksumIEEE(a.received) != p.Sum {
+		return nil, errors.New("handover: checksum of the state does not match")
 	}
 	var s State
-	d := json.NewDecoder(bytes.NewReader(a.text))
+	d := json.NewDecoder(bytes.NewReader(a.received))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if s.Room < 0 || s.Room > math.MaxInt32 {
-		return nil, errForm
+		return nil, errMalformed
 	}
 	for _, e := range s.List.Entries {
 		if e.UID == "" || e.State != "ready" && e.State != "draining" && e.State != "gone" {
-			return nil, errForm
+			return nil, errMalformed
 		}
 	}
 	return &s, nil
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -16,18 +16,19 @@
 	"coursewinch/discovery"
 )
 
-// Guards a start against whatever stands in for a message: it is taken with the sockets it needs or not at all.
-func TestMessagesAreReadStrictly(t *testing.T) {
+// A message must be accepted only if it is valid and comes with exactly the sockets it needs. Anything else must not disturb
+// the start of a process.
+func TestDecodeIsStrict(t *testing.T) {
 	host := `"Host":{"UID":"s"}`
 	for text, sockets := range map[string]int{`{"V":2,"Take":true}`: 0, `{"V":2,"Drains":["s"]}`: 0,
 		`{"V":2,"State":{"No":1,"Of":2}}`: 0, `{"V":2,"State":{"No":2,"Of":2}}`: 1, `{"V":2,"Client":{}}`: 1,
 		`{"V":2,"Flow":{"Type":"chat",` + host + `}}`: 2} {
 		_, err := Decode([]byte(text), sockets)
 		if _, more := Decode([]byte(text), sockets+1); err != nil || more == nil {
-			t.Errorf("%s: %v; with a socket too many: %v", text, err, more)
+			t.Errorf("%s: %v; with one socket too many: %v", text, err, more)
 		}
 	}
-	long, _ := (&Message{Flow: &Flow{Type: "chat", Host: discovery.Entry{UID: "s"}, HostOut: make([]byte, mostRing+1)}}).Encode()
+	long, _ := (&Message{Flow: &Flow{Type: "chat", Host: discovery.Entry{UID: "s"}, HostOut: make([]byte, maxPendingBytes+1)}}).Encode()
 	for _, bad := range []string{"", "{", "{}", `{"V":2}`, `{"V":1,"Take":true}`, `{"V":2,"Take":true,"Leave":true}`,
 		`{"V":2,"Take":true} x`, `{"V":2,"Take":true,"More":1}`, `{"V":2,"Yield":{"Room":-1}}`,
 		`{"V":2,"State":{"No":2,"Of":1}}`, `{"V":2,"State":{"No":1,"Of":100000}}`, `{"V":2,"Flow":{}}`,
@@ -38,12 +39,12 @@
 			}
 		}
 	}
-	if _, err := (&Message{Drains: []string{strings.Repeat("x", Longest)}}).Encode(); err == nil {
-		t.Error("a message of any length goes")
+	if _, err := (&Message{Drains: []string{strings.Repeat("x", MaxMessageBytes)}}).Encode(); err == nil {
+		t.Error("a message that is too long was encoded")
 	}
 }
 
-func TestStateInParts(t *testing.T) {
+func TestStateSplitAndAssembled(t *testing.T) {
 	s := &State{Room: 7, From: "d", List: discovery.List{Rev: 5, All: true}, Hosts: map[string]balance.ServerMemory{}}
 	for i := range 9000 {
 		s.IDs = append(s.IDs, uint64(i)<<50)
@@ -66,9 +67,9 @@
 		t.Fatal(got, err)
 	}
 	for what, change := range map[string]func(p []*Message) []*Message{
-		"lost":    func(p []*Message) []*Message { return p[1:] },
-		"twice":   func(p []*Message) []*Message { return append(p[:1:1], p...) },
-		"changed": func(p []*Message) []*Message { p[0].State.Data[9] ^= 1; return p },
+		"missing":   func(p []*Message) []*Message { return p[1:] },
+		"repeated":  func(p []*Message) []*Message { return append(p[:1:1], p...) },
+		"corrupted": func(p []*Message) []*Message { p[0].State.Data[9] ^= 1; return p },
 	} {
 		if got, err := put(change); got != nil || err == nil {
 			t.Errorf("%s: %v", what, err)
@@ -80,8 +81,8 @@
 	}
 }
 
-// Guards a new version against a name that another has, and the running one against losing it.
-func TestTheNameGoesOverInOneStep(t *testing.T) {
+// A second listener must take the socket path over in one step. A path that is not a socket must not be replaced.
+func TestListenReplacesSocketAtomically(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	first, err := Listen(path)
 	if err != nil {
@@ -106,26 +107,26 @@
 	if m, sockets, err := b.Receive(); err != nil || len(sockets) != 0 || !m.Take {
 		t.Fatal(m, sockets, err)
 	}
-	for i := 0; a.Send(&Message{Drains: []string{strings.Repeat("z", Longest/2)}}) == nil; i++ {
+	for i := 0; a.Send(&Message{Drains: []string{strings.Repeat("z", MaxMessageBytes/2)}}) == nil; i++ {
 		if i > 1000 {
-			t.Fatal("the link takes without end")
+			t.Fatal("Send never fails, though nothing is received")
 		}
 	}
 	second.Close()
 	if _, err := Dial(path, time.Second); !errors.Is(err, unix.ECONNREFUSED) {
-		t.Fatal(err) // what a killed process leaves behind
+		t.Fatal(err) // a killed process leaves its socket behind like this
 	}
 	os.Remove(path)
-	os.WriteFile(path, []byte("mine"), 0o600)
+	os.WriteFile(path, []byte("a file"), 0o600)
 	if _, err := Listen(path); err == nil {
-		t.Fatal("took the place of a file")
+		t.Fatal("a file was replaced")
 	}
 }
 
-// A version that paced set-ups hands its figure on: read strictly, it must not stop a roll.
-func TestMemoryOfAVersionThatPaced(t *testing.T) {
+// Older versions that paced set-ups send the field Fresh. The strict decoder must accept it, or a handover from them fails.
+func TestMemoryWithFieldOfOlderVersion(t *testing.T) {
 	d := json.NewDecoder(strings.NewReader(`{"Fresh":41.5}`))
 	if d.DisallowUnknownFields(); d.Decode(&balance.Memory{}) != nil {
-		t.Fatal("unread")
+		t.Fatal("the field Fresh was rejected")
 	}
 }
--- a/handover/link.go
+++ b/handover/link.go
@@ -13,27 +13,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// Path is the name of a node's socket in a folder.
+// Path returns the path of a node's socket in a folder. The node is identified by its name and listening address.
 func Path(folder, name, listen string) string {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + listen))
 	return filepath.Join(folder, fmt.Sprintf("coursewinch-%016x.sock", h.Sum64()))
 }
 
-// Link carries messages between two processes. Each is whole, or an error.
+// Link carries messages between two processes. A message arrives whole, or Receive returns an error.
 type Link struct {
-	c   *net.UnixConn
-	buf []byte
+	conn *net.UnixConn
+	buf  []byte
 }
 
-// Listener is where a new process calls.
-type Listener struct{ l *net.UnixListener }
+// Listener waits for the successor to connect.
+type Listener struct{ listener *net.UnixListener }
 
-// Listen takes a path over from whoever had it, in one step: at any moment a caller finds the one or the other.
+// Listen creates a socket at a path and replaces, in one step, the socket that another process has there: a caller always
+// finds one of the two. It fails if the path exists and is not a socket.
 func Listen(path string) (*Listener, error) {
 	info, err := os.Lstat(path)
 	if err == nil && info.Mode().Type() != fs.ModeSocket {
-		return nil, fmt.Errorf("%s is no socket", path)
+		return nil, fmt.Errorf("handover: %s is not a socket", path)
 	}
 	temp := path + ".new"
 	if err := os.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -43,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // it may be another's by then
+	l.SetUnlinkOnClose(false) // the path may belong to another process when this one closes
 	if err := errors.Join(os.Chmod(temp, 0o600), os.Rename(temp, path)); err != nil {
 		l.Close()
 		os.Remove(temp)
@@ -52,38 +53,39 @@
 	return &Listener{l}, nil
 }
 
-// Accept waits for a process of the same user.
+// Accept waits until a process of the same user connects. It closes connections of other users.
 func (l *Listener) Accept() (*Link, error) {
 	for {
-		c, err := l.l.AcceptUnix()
+		c, err := l.listener.AcceptUnix()
 		if err != nil {
 			return nil, err
 		}
-		if same(c) {
-			return &Link{c: c, buf: make([]byte, Longest+1)}, nil
+		if sameUser(c) {
+			return &Link{conn: c, buf: make([]byte, MaxMessageBytes+1)}, nil
 		}
 		c.Close()
 	}
 }
 
-// Close ends the taking of callers; the name stays.
-func (l *Listener) Close() error { return l.l.Close() }
+// Close stops accepting connections. The socket stays in the file system.
+func (l *Listener) Close() error { return l.listener.Close() }
 
-// Dial calls the process that listens at a path.
-func Dial(path string, within time.Duration) (*Link, error) {
-	c, err := (&net.Dialer{Timeout: within}).Dial("unixpacket", path)
+// Dial connects to the process that listens at a path. It fails if that process belongs to another user.
+func Dial(path string, timeout time.Duration) (*Link, error) {
+	c, err := (&net.Dialer{Timeout: timeout}).Dial("unixpacket", path)
 	if err != nil {
 		return nil, err
 	}
 	u := c.(*net.UnixConn)
-	if !same(u) {
+	if !sameUser(u) {
 		u.Close()
-		return nil, errors.New("handover: the other process is another user's")
+		return nil, errors.New("handover: the peer process belongs to another user")
 	}
-	return &Link{c: u, buf: make([]byte, Longest+1)}, nil
+	return &Link{conn: u, buf: make([]byte, MaxMessageBytes+1)}, nil
 }
 
-func same(c *net.UnixConn) bool {
+// sameUser reports whether the peer process runs as the same user as this one.
+func sameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -93,59 +95,60 @@
 	return err == nil && cred.Uid == uint32(os.Getuid())
 }
 
-// Within bounds how long Receive and SendWait may wait from now; 0 ends the bound.
+// Within limits how long Receive and SendWait may wait, from now on. A duration of 0 removes the limit.
 func (l *Link) Within(d time.Duration) {
 	if d == 0 {
-		l.c.SetDeadline(time.Time{})
+		l.conn.SetDeadline(time.Time{})
 		return
 	}
-	l.c.SetDeadline(time.Now().Add(d))
+	l.conn.SetDeadline(time.Now().Add(d))
 }
 
-// SendWait sends a message and waits until there is room for it.
+// SendWait sends a message, with sockets, and waits until there is room for it.
 func (l *Link) SendWait(m *Message, sockets ...int) error {
 	p, err := m.Encode()
 	if err != nil {
 		return err
 	}
-	_, _, err = l.c.WriteMsgUnix(p, rights(sockets), nil)
+	_, _, err = l.conn.WriteMsgUnix(p, encodeRights(sockets), nil)
 	return err
 }
 
-// Send sends a message if there is room for it now. Nothing waits.
+// Send sends a message, with sockets, without waiting. It fails if there is no room for the message now.
 func (l *Link) Send(m *Message, sockets ...int) error {
 	p, err := m.Encode()
 	if err != nil {
 		return err
 	}
-	raw, err := l.c.SyscallConn()
+	raw, err := l.conn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var sent error
 	err = raw.Control(func(fd uintptr) {
-		sent = unix.Sendmsg(int(fd), p, rights(sockets), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		sent = unix.Sendmsg(int(fd), p, encodeRights(sockets), nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	})
 	return errors.Join(err, sent)
 }
 
-func rights(sockets []int) []byte {
+// encodeRights encodes sockets as the control data of a message.
+func encodeRights(sockets []int) []byte {
 	if len(sockets) == 0 {
 		return nil
 	}
 	return unix.UnixRights(sockets...)
 }
 
-// Receive waits for a message. The sockets that come with it are the caller's to close; after an error there are none.
+// Receive waits for a message. The caller has to close the sockets that come with it. After an error there are none.
 func (l *Link) Receive() (*Message, []int, error) {
-	oob := make([]byte, unix.CmsgSpace(4*mostFDs))
-	n, oobn, flags, _, err := l.c.ReadMsgUnix(l.buf, oob)
+	oob := make([]byte, unix.CmsgSpace(4*maxSockets))
+	n, oobn, flags, _, err := l.conn.ReadMsgUnix(l.buf, oob)
 	if err != nil {
 		return nil, nil, err
 	}
-	sockets, err := received(oob[:oobn])
+	sockets, err := decodeRights(oob[:oobn])
 	if err == nil && (n == 0 && oobn == 0 || flags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0) {
-		err = errForm
+		err = errMalformed
 	}
 	var m *Message
 	if err == nil {
@@ -160,7 +163,8 @@
 	return m, sockets, nil
 }
 
-func received(oob []byte) (sockets []int, err error) {
+// decodeRights decodes the sockets in the control data of a message. After an error it returns those decoded so far.
+func decodeRights(oob []byte) (sockets []int, err error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
@@ -178,5 +182,5 @@
 	return sockets, nil
 }
 
-// Close ends the link; the other side hears of it.
-func (l *Link) Close() error { return l.c.Close() }
+// Close closes the link. The peer's Receive then fails.
+func (l *Link) Close() error { return l.conn.Close() }
