--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin reads what operators ask of a node, one HTTP/1.1 call to a connection, and forms the answers. It does
-// no I/O and keeps nothing: the caller hands in all bytes that a connection has sent so far.
+// Package admin parses the HTTP/1.1 calls that operators make to a node, one call per connection, and formats the
+// responses. It does no I/O and keeps no state: the caller passes in all bytes that a connection has sent so far.
 package admin
 
 import (
@@ -9,91 +9,108 @@
 	"strings"
 )
 
-// Call is what an operator may ask.
+// Call is what an operator asks for.
 type Call uint8
 
+// The calls. None stands for a call that is incomplete or refused.
 const (
 	None    Call = iota
-	Ready        // whether this process is ready to serve
-	Metrics      // the figures
-	Drain        // empty the node
-	Resume       // back to work
+	Ready        // asks whether this process is ready to serve
+	Metrics      // asks for the metrics
+	Drain        // drains the node
+	Resume       // ends a drain
 )
 
-// Longest is how long the head of a call may be.
-const Longest = 8 << 10
+// MaxHeadBytes is the size limit of the head of a call: the request line and the headers.
+const MaxHeadBytes = 8 << 10
 
-// What a call gets that is not one of these.
+// HTTP statuses of the responses.
 const (
 	OK          = 200
 	Malformed   = 400
-	Unknown     = 404
+	UnknownPath = 404
 	WrongMethod = 405
 	TooLong     = 431
 	Failed      = 500
 	Unready     = 503
 )
 
-var reasons = map[int]string{OK: "OK", Malformed: "Bad Request", Unknown: "Not Found", WrongMethod: "Method Not Allowed",
-	TooLong: "Request Header Fields Too Large", Failed: "Internal Server Error", Unready: "Service Unavailable"}
+var statusTexts = map[int]string{
+	OK:          "OK",
+	Malformed:   "Bad Request",
+	UnknownPath: "Not Found",
+	WrongMethod: "Method Not Allowed",
+	TooLong:     "Request Header Fields Too Large",
+	Failed:      "Internal Server Error",
+	Unready:     "Service Unavailable",
+}
 
-// calls are the paths, each with its method.
-var calls = map[string]struct {
+// routes has the call and the method of each path.
+var routes = map[string]struct {
 	call   Call
 	method string
-}{"/-/ready": {Ready, "GET"}, "/-/metrics": {Metrics, "GET"}, "/-/drain": {Drain, "PUT"}, "/-/resume": {Resume, "PUT"}}
+}{
+	"/-/ready":   {Ready, "GET"},
+	"/-/metrics": {Metrics, "GET"},
+	"/-/drain":   {Drain, "PUT"},
+	"/-/resume":  {Resume, "PUT"},
+}
 
-// Read reads what has come. A status of 0 says that the call isn't whole yet, OK that it is; for any other the call is
-// refused with it, and allow names the method of a path that was called with another. A body is not waited for.
+// Read parses a call from the bytes received so far. The status is 0 while the call is incomplete, and OK when it is
+// complete. With any other status the call is refused, and with WrongMethod, allow is the method that the path allows.
+// Read does not wait for a body.
 func Read(p []byte) (call Call, status int, allow string) {
-	line, rest, whole := cutLine(p)
-	if !whole {
-		return None, unfinished(p), ""
+	line, rest, complete := cutLine(p)
+	if !complete {
+		return None, incompleteStatus(p), ""
 	}
 	method, target, ok := requestLine(line)
 	if !ok {
 		return None, Malformed, ""
 	}
 	for {
-		if line, rest, whole = cutLine(rest); !whole {
-			return None, unfinished(p), ""
+		line, rest, complete = cutLine(rest)
+		if !complete {
+			return None, incompleteStatus(p), ""
 		}
 		if len(line) == 0 {
 			break
 		}
-		if name, _, colon := bytes.Cut(line, []byte(":")); !colon || !token(string(name)) {
+		if name, _, colon := bytes.Cut(line, []byte(":")); !colon || !isToken(string(name)) {
 			return None, Malformed, ""
 		}
 	}
-	if len(p)-len(rest) > Longest {
+	if len(p)-len(rest) > MaxHeadBytes {
 		return None, TooLong, ""
 	}
-	known, ok := calls[path(target)]
+	route, ok := routes[requestPath(target)]
 	switch {
 	case !ok:
-		return None, Unknown, ""
-	case known.method != method:
-		return None, WrongMethod, known.method
+		return None, UnknownPath, ""
+	case route.method != method:
+		return None, WrongMethod, route.method
 	}
-	return known.call, OK, ""
+	return route.call, OK, ""
 }
 
-func unfinished(p []byte) int {
-	if len(p) >= Longest {
+// incompleteStatus returns the status of a call whose head is incomplete.
+func incompleteStatus(p []byte) int {
+	if len(p) >= MaxHeadBytes {
 		return TooLong
 	}
 	return 0
 }
 
-// cutLine takes the first line off, whichever way it ends.
-func cutLine(p []byte) (line, rest []byte, whole bool) {
-	line, rest, whole = bytes.Cut(p, []byte("\n"))
-	return bytes.TrimSuffix(line, []byte("\r")), rest, whole
+// cutLine cuts off the first line, which may end with "\n" or "\r\n".
+func cutLine(p []byte) (line, rest []byte, complete bool) {
+	line, rest, complete = bytes.Cut(p, []byte("\n"))
+	return bytes.TrimSuffix(line, []byte("\r")), rest, complete
 }
 
+// requestLine parses the request line of an HTTP/1.0 or HTTP/1.1 call.
 func requestLine(line []byte) (method, target string, ok bool) {
 	parts := strings.Split(string(line), " ")
-	if len(parts) != 3 || !token(parts[0]) || parts[1] == "" || parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" || parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
 		return "", "", false
 	}
 	for _, c := range []byte(parts[1]) {
@@ -104,8 +121,8 @@
 	return parts[0], parts[1], true
 }
 
-// token tells whether a text can be the name of a method or header.
-func token(text string) bool {
+// isToken reports whether a text can be the name of a method or header.
+func isToken(text string) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c > '~' || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
 			return false
@@ -114,9 +131,9 @@
 	return text != ""
 }
 
-// path is a target without its query, and without scheme and host where a proxy left them in.
-func path(target string) string {
-	if scheme, rest, ok := strings.Cut(target, "://"); ok && token(scheme) {
+// requestPath returns a request target without its query, and without the scheme and host that a proxy may have left in it.
+func requestPath(target string) string {
+	if scheme, rest, ok := strings.Cut(target, "://"); ok && isToken(scheme) {
 		target = "/"
 		if i := strings.IndexByte(rest, '/'); i >= 0 {
 			target = rest[i:]
@@ -126,10 +143,10 @@
 	return target
 }
 
-// Answer forms an answer, after which the connection ends.
+// Answer formats a response. It tells the client that the connection will close. allow may be empty.
 func Answer(status int, allow, body string) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, reasons[status])
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, statusTexts[status])
 	if allow != "" {
 		b.WriteString("Allow: " + allow + "\r\n")
 	}
@@ -138,5 +155,5 @@
 	return b.Bytes()
 }
 
-// Reason is the standard text of a status.
-func Reason(status int) string { return reasons[status] }
+// Reason returns the standard text of a status.
+func Reason(status int) string { return statusTexts[status] }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards the node against callers who send anything at all: each whole call gets one status, and none gets two.
-func TestRead(t *testing.T) {
+// Callers may send anything. Each complete call must get exactly one status, and an incomplete one none.
+func TestParseCalls(t *testing.T) {
 	for text, want := range map[string]struct {
 		call   Call
 		status int
@@ -19,15 +19,15 @@
 		"PUT /-/drain HTTP/1.1\r\nContent-Length: 9\r\n\r\n{":                              {Drain, OK},
 		"PUT /-/resume HTTP/1.1\r\nContent-Length: 0\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n": {Resume, OK},
 		"POST /-/drain HTTP/1.1\r\n\r\n":                                                   {None, WrongMethod},
-		"GET /-/nothing HTTP/1.1\r\n\r\n":                                                  {None, Unknown},
+		"GET /-/nothing HTTP/1.1\r\n\r\n":                                                  {None, UnknownPath},
 		"GET  /-/ready HTTP/1.1\r\n":                                                       {None, Malformed},
 		"OPEN 1 2 c=chat,d=5\r\n":                                                          {None, Malformed},
 		"GET /-/ready HTTP/1.1\r\nno header\r\n":                                           {None, Malformed},
 		"GET /-/ready HTTP/1.1\r\n folded: x\r\n":                                          {None, Malformed},
-		strings.Repeat("x", Longest):                                                       {None, TooLong},
-		"GET /-/ready HTTP/1.1\r\na: " + strings.Repeat("x", Longest):                      {None, TooLong},
-		"GET /-/ready HTTP/1.1\r\na: " + strings.Repeat("x", Longest-40):                   {None, 0},
-		"GET /" + strings.Repeat("y", Longest) + " HTTP/1.1\r\n\r\n":                       {None, TooLong},
+		strings.Repeat("x", MaxHeadBytes):                                                  {None, TooLong},
+		"GET /-/ready HTTP/1.1\r\na: " + strings.Repeat("x", MaxHeadBytes):                 {None, TooLong},
+		"GET /-/ready HTTP/1.1\r\na: " + strings.Repeat("x", MaxHeadBytes-40):              {None, 0},
+		"GET /" + strings.Repeat("y", MaxHeadBytes) + " HTTP/1.1\r\n\r\n":                  {None, TooLong},
 	} {
 		call, status, allow := Read([]byte(text))
 		if call != want.call || status != want.status || (status == WrongMethod) != (allow != "") {
--- a/capture/capture.go
+++ b/capture/capture.go
@@ -1,5 +1,6 @@
-// Package capture writes and reads what a node saw of its flows: arrival, type, key, group, life, lines, outcome. A
-// capture is text, a record a line, each with a checksum, so that one cut off or damaged loses that line alone.
+// Package capture writes and reads what a node recorded about its flows: arrival, service type, key, group, lifetime, lines
+// and outcome. A capture is a text file with one record per line. Each line has a checksum, so that a line that is
+// truncated or damaged is the only one lost.
 package capture
 
 import (
@@ -14,257 +15,300 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Answer is what a flow was given. Ends are how an established one ended.
+// Values of Flow.Answer.
 const (
 	Established = 'e'
 	Rejected    = 'r'
 	Aborted     = 'a'
-	Left        = 'l' // its client went before an answer
+	Left        = 'l' // the client closed the connection before it got an answer
+)
 
-	Completed = 'c' // the host's BYE
-	Severed   = 's' // broken, or its host gone
+// Values of End.How.
+const (
+	Completed = 'c' // the host sent BYE
+	Severed   = 's' // the connection broke, or the host is gone
 	Moved     = 'm'
-	Gone      = 'g' // its client ended it
+	Gone      = 'g' // the client closed the connection
 )
 
-// Start is the first record of a capture: which node, and when it began. Microseconds since 1970.
+// Start is the first record of a capture.
 type Start struct {
 	Node string
 	Zone int
-	At   int64
+	At   int64 // when the capture began, microseconds since 1970
 }
 
-// Flow is written when a flow has its answer. Times are microseconds since the capture's start.
+// Flow is written when a flow has got its answer. Times are microseconds. In a capture, At is relative to its start.
 type Flow struct {
-	No       uint64 // counted by the node
-	At       int64  // when its line came
-	Type     string
+	No       uint64 // number of the flow, counted by the node
+	At       int64  // when the client's line arrived
+	Type     string // service type
 	Key      string
-	Group    string // empty without one
-	Again    bool   // its client had come before
-	Wait     int64  // how long its client waits
+	Group    string // empty without a group
+	Again    bool   // the client had connected before
+	Wait     int64  // the client's connect timeout
 	Answer   byte
-	Took     int64 // until the answer
+	Took     int64 // time from arrival to answer
 	Host     string
-	Connects int
+	Connects int // connect attempts
 }
 
-// End is written when an established flow has ended.
+// End is written when an established flow has ended. At is as in Flow.
 type End struct {
 	No       uint64
 	At       int64
 	How      byte
-	Up, Down int // lines to the host, and to the client
+	Up, Down int // lines sent to the host, and to the client
 }
 
-// Load is written when a host tells what a flow's load is.
+// Load is written when a host reports the load of a flow. At is as in Flow.
 type Load struct {
 	No   uint64
 	At   int64
-	Load float64 // microseconds of work a second
+	Load float64 // microseconds of work per second
 }
 
-// seal puts a checksum behind a record.
-func seal(record string) string {
+// withChecksum returns the line of a record, with its checksum.
+func withChecksum(record string) string {
 	return fmt.Sprintf("%s *%04x\n", record, uint16(xxhash.Sum64String(record)))
 }
 
-func or(text string) string {
+// emptyToDash returns a text as a field of a record, which cannot be empty.
+func emptyToDash(text string) string {
 	if text == "" {
 		return "-"
 	}
 	return text
 }
 
-func (s Start) line() string { return seal(fmt.Sprintf("C 1 %s %d %d", or(s.Node), s.Zone, s.At)) }
+func (s Start) line() string {
+	return withChecksum(fmt.Sprintf("C 1 %s %d %d", emptyToDash(s.Node), s.Zone, s.At))
+}
 
 func (f Flow) line() string {
 	again := 0
 	if f.Again {
 		again = 1
 	}
-	return seal(fmt.Sprintf("F %d %d %s %s %s %d %d %c %d %s %d", f.No, f.At, f.Type, f.Key, or(f.Group), again, f.Wait,
-		f.Answer, f.Took, or(f.Host), f.Connects))
+	return withChecksum(fmt.Sprintf("F %d %d %s %s %s %d %d %c %d %s %d", f.No, f.At, f.Type, f.Key, emptyToDash(f.Group), again, f.Wait,
+		f.Answer, f.Took, emptyToDash(f.Host), f.Connects))
 }
 
 func (e End) line() string {
-	return seal(fmt.Sprintf("E %d %d %c %d %d", e.No, e.At, e.How, e.Up, e.Down))
+	return withChecksum(fmt.Sprintf("E %d %d %c %d %d", e.No, e.At, e.How, e.Up, e.Down))
 }
 
-func (l Load) line() string { return seal(fmt.Sprintf("L %d %d %.0f", l.No, l.At, l.Load)) }
+func (l Load) line() string { return withChecksum(fmt.Sprintf("L %d %d %.0f", l.No, l.At, l.Load)) }
 
-// Writer takes records and writes them from a goroutine of its own: whatever the disk does, no flow waits for it.
+// Writer writes records in a goroutine of its own, so that no flow waits for the disk.
 type Writer struct {
-	in      chan string
-	done    chan struct{}
-	most    int64
-	start   int64
-	Dropped atomic.Int64 // records that the disk was too slow or too full for
-	stop    atomic.Bool  // the file is full, or a write failed
-	why     atomic.Value // string
+	queue      chan string
+	done       chan struct{}
+	maxBytes   int64
+	startedAt  int64        // microseconds since 1970
+	Dropped    atomic.Int64 // records that were not written, because the disk was too slow or writing has stopped
+	stopped    atomic.Bool  // the size limit was reached, or a write failed
+	stopReason atomic.Value // of type string
 }
 
-const waiting = 4096 // records on their way to the disk
+const (
+	queueCapacity    = 4096 // records
+	initialLineBytes = 64 << 10
+	maxLineBytes     = 1 << 20
+)
 
-// Create begins a capture. It holds no more than most bytes; what comes after is dropped and counted.
-func Create(path string, most int64, s Start) (*Writer, error) {
+// Create creates a capture file. At most maxBytes bytes are written; the records after that are dropped and counted.
+func Create(path string, maxBytes int64, start Start) (*Writer, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
-	return New(f, most, s), nil
+	return New(f, maxBytes, start), nil
 }
 
-// New writes to something that is open already, and closes it at the end.
-func New(to io.WriteCloser, most int64, s Start) *Writer {
-	w := &Writer{in: make(chan string, waiting), done: make(chan struct{}), most: most, start: s.At}
-	go w.write(to, s.line())
+// New is like Create for a file that is open already. Close closes it.
+func New(out io.WriteCloser, maxBytes int64, start Start) *Writer {
+	w := &Writer{
+		queue:     make(chan string, queueCapacity),
+		done:      make(chan struct{}),
+		maxBytes:  maxBytes,
+		startedAt: start.At,
+	}
+	go w.run(out, start.line())
 	return w
 }
 
-func (w *Writer) write(to io.WriteCloser, first string) {
+// run writes the first record and then those from the queue, until the queue is closed.
+func (w *Writer) run(out io.WriteCloser, first string) {
 	defer close(w.done)
-	defer to.Close()
+	defer out.Close()
 	size := int64(0)
-	put := func(line string) {
-		if w.stop.Load() {
+	writeLine := func(line string) {
+		if w.stopped.Load() {
 			w.Dropped.Add(1)
 			return
 		}
-		if size += int64(len(line)); size > w.most {
+		size += int64(len(line))
+		if size > w.maxBytes {
 			w.halt("full")
 			return
 		}
-		if _, err := io.WriteString(to, line); err != nil {
+		if _, err := io.WriteString(out, line); err != nil {
 			w.halt(err.Error())
 		}
 	}
-	put(first)
-	for line := range w.in {
-		put(line)
+	writeLine(first)
+	for line := range w.queue {
+		writeLine(line)
 	}
 }
 
-func (w *Writer) halt(why string) {
-	w.why.Store(why)
-	w.stop.Store(true)
+// halt stops writing for good. The line that was to be written counts as dropped.
+func (w *Writer) halt(reason string) {
+	w.stopReason.Store(reason)
+	w.stopped.Store(true)
 	w.Dropped.Add(1)
 }
 
-// Why is the reason for which nothing more is written; empty while it goes on.
+// Why returns why writing has stopped, or "" if it has not.
 func (w *Writer) Why() string {
-	why, _ := w.why.Load().(string)
-	return why
+	reason, _ := w.stopReason.Load().(string)
+	return reason
 }
 
-func (w *Writer) put(line string) {
+// enqueue adds a line to the queue. If the queue is full, the line is dropped, so that no flow waits for a slow disk.
+func (w *Writer) enqueue(line string) {
 	select {
-	case w.in <- line:
+	case w.queue <- line:
 	default:
-		w.Dropped.Add(1) // guards flows against a slow disk
+		w.Dropped.Add(1)
 	}
 }
 
-// Flow takes a record; At is in microseconds since 1970.
+// Flow writes a record. Its At has to be in microseconds since 1970.
 func (w *Writer) Flow(f Flow) {
-	f.At -= w.start
-	w.put(f.line())
+	f.At -= w.startedAt
+	w.enqueue(f.line())
 }
 
-// End takes a record; At is in microseconds since 1970.
+// End writes a record. Its At has to be in microseconds since 1970.
 func (w *Writer) End(e End) {
-	e.At -= w.start
-	w.put(e.line())
+	e.At -= w.startedAt
+	w.enqueue(e.line())
 }
 
-// Load takes a record; At is in microseconds since 1970.
+// Load writes a record. Its At has to be in microseconds since 1970.
 func (w *Writer) Load(l Load) {
-	l.At -= w.start
-	w.put(l.line())
+	l.At -= w.startedAt
+	w.enqueue(l.line())
 }
 
-// Close writes what is on its way and ends the capture.
+// Close writes the queued records and closes the file.
 func (w *Writer) Close() {
-	close(w.in)
+	close(w.queue)
 	<-w.done
 }
 
-// Capture is one that was read.
+// Capture is the content of a capture file.
 type Capture struct {
 	Start
 	Flows []Flow
-	Ends  map[uint64]End
-	Loads map[uint64][]Load
-	Last  int64 // the time of the last record
-	Torn  int   // lines that were cut off or damaged, and left out
+	Ends  map[uint64]End    // by number of the flow
+	Loads map[uint64][]Load // by number of the flow
+	Last  int64             // time of the last event, microseconds since the start
+	Torn  int               // truncated or damaged lines, which are left out
 }
 
-// Read reads a capture. Damaged lines are counted and left out; one without its first record can't be used.
-func Read(from io.Reader) (*Capture, error) {
+// Read reads a capture. It leaves out damaged lines and counts them. It fails if the first record is missing or damaged.
+func Read(in io.Reader) (*Capture, error) {
 	c := &Capture{Ends: map[uint64]End{}, Loads: map[uint64][]Load{}}
-	s := bufio.NewScanner(from)
-	s.Buffer(make([]byte, 64<<10), 1<<20)
-	begun := false
+	s := bufio.NewScanner(in)
+	s.Buffer(make([]byte, initialLineBytes), maxLineBytes)
+	started := false
 	for s.Scan() {
 		record, sum, ok := strings.Cut(s.Text(), " *")
-		if !ok || seal(record) != record+" *"+sum+"\n" {
+		if !ok || withChecksum(record) != record+" *"+sum+"\n" {
 			c.Torn++
 			continue
 		}
-		if !c.take(strings.Fields(record), &begun) {
+		if !c.addRecord(strings.Fields(record), &started) {
 			c.Torn++
 		}
 	}
 	if err := s.Err(); err != nil {
 		return nil, err
 	}
-	if !begun {
+	if !started {
 		return nil, fmt.Errorf("no capture: its first record is missing or damaged (%d damaged lines)", c.Torn)
 	}
 	return c, nil
 }
 
-// figures reads whole numbers and keeps in mind whether all were.
-type figures struct{ bad bool }
+// integerParser parses integers and remembers whether one of them failed.
+type integerParser struct{ failed bool }
 
-func (f *figures) whole(text string) int64 {
+func (p *integerParser) parse(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
-	f.bad = f.bad || err != nil
+	p.failed = p.failed || err != nil
 	return n
 }
 
-func (c *Capture) take(p []string, begun *bool) bool {
-	var n figures
+// addRecord adds the record with the given fields. It reports whether the record is valid. started says whether the first
+// record was read.
+func (c *Capture) addRecord(fields []string, started *bool) bool {
+	var parser integerParser
 	switch {
-	case len(p) == 5 && p[0] == "C" && p[1] == "1" && !*begun:
-		c.Start = Start{p[2], int(n.whole(p[3])), n.whole(p[4])}
-		*begun = !n.bad
-	case len(p) == 12 && p[0] == "F" && len(p[8]) == 1:
-		f := Flow{No: uint64(n.whole(p[1])), At: n.whole(p[2]), Type: p[3], Key: p[4], Group: bare(p[5]), Again: p[6] == "1",
-			Wait: n.whole(p[7]), Answer: p[8][0], Took: n.whole(p[9]), Host: bare(p[10]), Connects: int(n.whole(p[11]))}
-		if !n.bad {
+	case len(fields) == 5 && fields[0] == "C" && fields[1] == "1" && !*started:
+		c.Start = Start{fields[2], int(parser.parse(fields[3])), parser.parse(fields[4])}
+		*started = !parser.failed
+	case len(fields) == 12 && fields[0] == "F" && len(fields[8]) == 1:
+		f := Flow{
+			No:       uint64(parser.parse(fields[1])),
+			At:       parser.parse(fields[2]),
+			Type:     fields[3],
+			Key:      fields[4],
+			Group:    dashToEmpty(fields[5]),
+			Again:    fields[6] == "1",
+			Wait:     parser.parse(fields[7]),
+			Answer:   fields[8][0],
+			Took:     parser.parse(fields[9]),
+			Host:     dashToEmpty(fields[10]),
+			Connects: int(parser.parse(fields[11])),
+		}
+		if !parser.failed {
 			c.Flows = append(c.Flows, f)
 			c.Last = max(c.Last, f.At+f.Took)
 		}
-	case len(p) == 4 && p[0] == "L":
-		l := Load{No: uint64(n.whole(p[1])), At: n.whole(p[2]), Load: float64(n.whole(p[3]))}
-		if !n.bad {
+	case len(fields) == 4 && fields[0] == "L":
+		l := Load{
+			No:   uint64(parser.parse(fields[1])),
+			At:   parser.parse(fields[2]),
+			Load: float64(parser.parse(fields[3])),
+		}
+		if !parser.failed {
 			c.Loads[l.No] = append(c.Loads[l.No], l)
 			c.Last = max(c.Last, l.At)
 		}
-	case len(p) == 6 && p[0] == "E" && len(p[3]) == 1:
-		e := End{No: uint64(n.whole(p[1])), At: n.whole(p[2]), How: p[3][0], Up: int(n.whole(p[4])), Down: int(n.whole(p[5]))}
-		if !n.bad {
+	case len(fields) == 6 && fields[0] == "E" && len(fields[3]) == 1:
+		e := End{
+			No:   uint64(parser.parse(fields[1])),
+			At:   parser.parse(fields[2]),
+			How:  fields[3][0],
+			Up:   int(parser.parse(fields[4])),
+			Down: int(parser.parse(fields[5])),
+		}
+		if !parser.failed {
 			c.Ends[e.No] = e
 			c.Last = max(c.Last, e.At)
 		}
 	default:
 		return false
 	}
-	return !n.bad
+	return !parser.failed
 }
 
-func bare(text string) string {
+// dashToEmpty is the inverse of emptyToDash.
+func dashToEmpty(text string) string {
 	if text == "-" {
 		return ""
 	}
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -9,44 +9,45 @@
 	"testing"
 )
 
-// disk is a file that can be made to fail.
-type disk struct {
-	text bytes.Buffer
-	room int // bytes; then it is full
-	hold chan struct{}
+// fakeFile is a file on a disk that can be full or block.
+type fakeFile struct {
+	text     bytes.Buffer
+	capacity int           // bytes that can be written
+	blocked  chan struct{} // if not nil, writes wait until it is closed
 }
 
-func (d *disk) Write(p []byte) (int, error) {
-	if d.hold != nil {
-		<-d.hold
+func (f *fakeFile) Write(p []byte) (int, error) {
+	if f.blocked != nil {
+		<-f.blocked
 	}
-	if d.text.Len()+len(p) > d.room {
+	if f.text.Len()+len(p) > f.capacity {
 		return 0, errors.New("no space left on device")
 	}
-	return d.text.Write(p)
+	return f.text.Write(p)
 }
 
-func (d *disk) Close() error { return nil }
+func (f *fakeFile) Close() error { return nil }
 
-const begun = 1_000_000
+const startedAt = 1_000_000 // microseconds since 1970
 
-func fill(w *Writer, flows int) {
+// writeFlows writes the three records of each of a number of flows.
+func writeFlows(w *Writer, flows int) {
 	for i := range flows {
 		no := uint64(i + 1)
-		w.Flow(Flow{No: no, At: begun + int64(i)*1000, Type: "t", Key: "k", Group: "g", Wait: 5, Answer: Established, Took: 7,
+		w.Flow(Flow{No: no, At: startedAt + int64(i)*1000, Type: "t", Key: "k", Group: "g", Wait: 5, Answer: Established, Took: 7,
 			Host: "h-1", Connects: 1})
-		w.Load(Load{No: no, At: begun + int64(i)*1000 + 10, Load: 500})
-		w.End(End{No: no, At: begun + int64(i)*1000 + 900, How: Gone, Up: 3, Down: 4})
+		w.Load(Load{No: no, At: startedAt + int64(i)*1000 + 10, Load: 500})
+		w.End(End{No: no, At: startedAt + int64(i)*1000 + 900, How: Gone, Up: 3, Down: 4})
 	}
 }
 
-func TestThereAndBack(t *testing.T) {
+func TestWriteAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n.capture")
-	w, err := Create(path, 1<<20, Start{"n-1", 2, begun})
+	w, err := Create(path, 1<<20, Start{"n-1", 2, startedAt})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fill(w, 50)
+	writeFlows(w, 50)
 	w.Close()
 	text, _ := os.ReadFile(path)
 	c, err := Read(bytes.NewReader(text))
@@ -56,55 +57,55 @@
 	if f := c.Flows[1]; f.At != 1000 || f.Host != "h-1" || f.Group != "g" || c.Ends[2].Up != 3 || c.Loads[2][0].Load != 500 {
 		t.Errorf("%+v %+v", f, c.Ends[2])
 	}
-	// Cut off at every byte, and with any byte changed, all other records are read.
+	// A file that is truncated, or has one byte changed, must lose only the records that this touches.
 	first := strings.IndexByte(string(text), '\n') + 1
 	for cut := first; cut < len(text); cut += 7 {
 		c, err := Read(bytes.NewReader(text[:cut]))
 		if err != nil || c.Torn > 1 {
-			t.Fatalf("cut at %d: %v, %d torn", cut, err, c.Torn)
+			t.Fatalf("truncated at %d: %v, %d damaged lines", cut, err, c.Torn)
 		}
-		bent := append([]byte(nil), text...)
-		bent[cut] ^= 0x11
-		if c, err := Read(bytes.NewReader(bent)); err != nil || c.Torn < 1 || c.Torn > 2 {
-			t.Fatalf("bent at %d: %v, %d torn", cut, err, c.Torn)
+		corrupted := append([]byte(nil), text...)
+		corrupted[cut] ^= 0x11
+		if c, err := Read(bytes.NewReader(corrupted)); err != nil || c.Torn < 1 || c.Torn > 2 {
+			t.Fatalf("corrupted at %d: %v, %d damaged lines", cut, err, c.Torn)
 		}
 	}
 	if _, err := Read(bytes.NewReader(text[first:])); err == nil {
-		t.Error("one without its first record was taken")
+		t.Error("a capture without its first record was accepted")
 	}
 }
 
-func TestFullDiskStops(t *testing.T) {
-	d := &disk{room: 300}
-	w := New(d, 1<<20, Start{"n", 0, begun})
-	fill(w, 20)
+func TestFullDiskStopsWriting(t *testing.T) {
+	f := &fakeFile{capacity: 300}
+	w := New(f, 1<<20, Start{"n", 0, startedAt})
+	writeFlows(w, 20)
 	w.Close()
 	if w.Dropped.Load() == 0 || !strings.Contains(w.Why(), "no space") {
 		t.Errorf("dropped %d, why %q", w.Dropped.Load(), w.Why())
 	}
-	if c, err := Read(&d.text); err != nil || c.Torn > 0 {
-		t.Errorf("what was written can't be read: %v", err)
+	if c, err := Read(&f.text); err != nil || c.Torn > 0 {
+		t.Errorf("the records before the disk was full cannot be read: %v", err)
 	}
 }
 
-func TestBound(t *testing.T) {
-	d := &disk{room: 1 << 20}
-	w := New(d, 500, Start{"n", 0, begun})
-	fill(w, 100)
+func TestSizeLimitStopsWriting(t *testing.T) {
+	f := &fakeFile{capacity: 1 << 20}
+	w := New(f, 500, Start{"n", 0, startedAt})
+	writeFlows(w, 100)
 	w.Close()
-	if d.text.Len() > 500 || w.Why() != "full" {
-		t.Errorf("%d bytes, %q", d.text.Len(), w.Why())
+	if f.text.Len() > 500 || w.Why() != "full" {
+		t.Errorf("%d bytes, %q", f.text.Len(), w.Why())
 	}
 }
 
-// TestSlowDisk guards flows: with a disk that takes nothing at all, no call waits.
-func TestSlowDisk(t *testing.T) {
-	d := &disk{room: 1 << 20, hold: make(chan struct{})}
-	w := New(d, 1<<20, Start{"n", 0, begun})
-	fill(w, 10*waiting) // would never return if one of them waited
-	if w.Dropped.Load() < 8*waiting {
+// A disk that blocks must not make any caller wait: records are dropped instead.
+func TestSlowDiskDropsRecords(t *testing.T) {
+	f := &fakeFile{capacity: 1 << 20, blocked: make(chan struct{})}
+	w := New(f, 1<<20, Start{"n", 0, startedAt})
+	writeFlows(w, 10*queueCapacity) // would never return if a call waited for the disk
+	if w.Dropped.Load() < 8*queueCapacity {
 		t.Errorf("%d dropped", w.Dropped.Load())
 	}
-	close(d.hold)
+	close(f.blocked)
 	w.Close()
 }
