--- a/lines/lines.go
+++ b/lines/lines.go
@@ -30,14 +30,15 @@
 	timeoutEnd   int
 }
 
-// Errors of ParseOpen. They are few and carry no details, so that a flood of invalid lines can be counted by error.
+// Errors of ParseOpen. They are few and carry no details, so that a flood of invalid lines can be counted by error. The
+// lengths of their texts count in the memory that a node reports as held for log lines.
 var (
 	ErrLong             = errors.New("line too long")
 	ErrNotOpen          = errors.New("not an OPEN line")
-	ErrInvalidName      = errors.New("id, key, group or host is not a valid name")
-	ErrInvalidParameter = errors.New("parameter without name or value, or given twice")
-	ErrInvalidTimeout   = errors.New("d is not a valid time")
-	ErrInvalidLoad      = errors.New("h is not a valid load")
+	ErrInvalidName      = errors.New("id, key, group or host is invalid")
+	ErrInvalidParameter = errors.New("a parameter without name or value or given twice")
+	ErrInvalidTimeout   = errors.New("d is invalid")
+	ErrInvalidLoad      = errors.New("h is invalid")
 	ErrMissingParameter = errors.New("c or d is missing")
 )
 
