--- a/admission/admission.go
+++ b/admission/admission.go
@@ -128,7 +128,7 @@
 	Decisions [len(reasonTexts)]int // number of decisions by Reason
 }
 
-// New returns a Gate with the given limits.
+// New returns the admission control of one node, with the given limits and no connections.
 func New(limits Limits) *Gate {
 	if limits.KnownAddresses == 0 {
 		limits.KnownAddresses = defaultTableSize
@@ -190,7 +190,7 @@
 }
 
 // Come decides on a new connection. room is the number of free descriptors, without those reserved for flows that were
-// already accepted. For each connection that was accepted, the caller has to call Gone once.
+// already accepted. Each connection that was accepted has to be released once, when it closes.
 func (g *Gate) Come(key netip.Prefix, now int64, room int) Reason {
 	reason := g.decide(key, now, room)
 	g.Decisions[reason]++
@@ -248,7 +248,7 @@
 	g.known.markUsed(r)
 }
 
-// Gone records that an accepted connection has closed.
+// Gone releases an accepted connection that has closed.
 func (g *Gate) Gone(key netip.Prefix) {
 	if r := g.find(key); r != nil && r.openConnections > 0 {
 		r.openConnections--
--- a/capture/capture.go
+++ b/capture/capture.go
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Values of Flow.Answer.
+// Answers to a flow.
 const (
 	Established = 'e'
 	Rejected    = 'r'
@@ -23,7 +23,7 @@
 	Left        = 'l' // the client closed the connection before it got an answer
 )
 
-// Values of End.How.
+// Ways in which an established flow ended.
 const (
 	Completed = 'c' // the host sent BYE
 	Severed   = 's' // the connection broke, or the host is gone
--- a/handover/link.go
+++ b/handover/link.go
@@ -95,7 +95,7 @@
 	return err == nil && cred.Uid == uint32(os.Getuid())
 }
 
-// Within limits how long Receive and SendWait may wait, from now on. A duration of 0 removes the limit.
+// Within limits how long receiving, and sending that waits, may take from now on. A duration of 0 removes the limit.
 func (l *Link) Within(d time.Duration) {
 	if d == 0 {
 		l.conn.SetDeadline(time.Time{})
--- a/lines/ring.go
+++ b/lines/ring.go
@@ -12,7 +12,7 @@
 	RingSize = 2 * Longest // size of an ordinary ring
 	WideSize = 64 << 10    // size of a ring for bulk data
 
-	maxMoveBytes = 512 // Drop moves up to this many bytes to the start of a block, so that they lie in one piece with those added later
+	maxMoveBytes = 512 // up to this many bytes are moved to the start of a block, so that they lie in one piece with those added later
 )
 
 const defaultMaxWide = 32 // wide rings at a time
@@ -108,8 +108,8 @@
 	r.block = nil
 }
 
-// Space returns free memory for the next bytes, in one piece. Grow adds what was written there to the ring. If nothing
-// was written, Drop(0) has to be called, which releases the memory of an empty ring.
+// Space returns free memory for the next bytes, in one piece. The caller then adds the bytes that were written there to the
+// ring. If there are none, it has to remove 0 bytes, which releases the memory of an empty ring.
 func (r *Ring) Space() []byte {
 	if r.block == nil {
 		r.acquire()
@@ -122,10 +122,11 @@
 	return r.block.data[writeAt:min(writeAt+r.Free(), size)]
 }
 
-// Grow adds n bytes that were written to the memory from Space.
+// Grow adds n bytes that were written to the ring's free memory.
 func (r *Ring) Grow(n int) { r.length += n }
 
-// Head returns the first bytes of the ring, as far as they lie in one piece. They are valid until the next call of Drop.
+// Head returns the first bytes of the ring, as far as they lie in one piece. They are valid until bytes are
+// removed.
 func (r *Ring) Head() []byte {
 	if r.block == nil {
 		return nil
--- a/lines/stats.go
+++ b/lines/stats.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Figures are the values of a host's load report, as texts.
+// Figures holds the values of a host's load report, as texts.
 type Figures [][]byte
 
 // Stats parses the answer to a STATS probe: PONG and the values, separated by commas. ok is false for any other line.
