--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestInvalidJSONIsRejected(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "null", "[]", "{}", `{"Balancers":"three"}`} {
 		if s, err := JSON([]byte(text)); err == nil {
 			t.Errorf("%q: %+v", text, s)
