--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -7,33 +7,33 @@
 	"testing"
 )
 
-func TestOneAnswerWhenNothingIsLeft(t *testing.T) {
-	b, w := start(1, Repeatable, ScopeAll)
-	f := b.flow()
-	f.Tries = b.set.MaxConnects
+func TestExhaustedFlowIsRejectedOnce(t *testing.T) {
+	b, decisions := newTestBalancer(1, Repeatable, ScopeAll)
+	f := b.newTestFlow()
+	f.Tries = b.settings.MaxConnects
 	b.Demand(f)
-	w.want(t, "reject")
+	decisions.want(t, "reject")
 }
 
-func TestAnswerBeforeTheConnectTimeout(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	f := b.flow()
+func TestExpiredFlowIsRejected(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	f := b.newTestFlow()
 	b.servers[0].add(f)
 	f.server, f.Tries, f.Deadline = b.servers[0], 1, b.now
 	b.Ended(f, f.server, Overdue, second, false)
-	w.want(t, "reject")
+	decisions.want(t, "reject")
 }
 
-func TestNothingAfterTheAnswer(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	f := b.flow()
+func TestNoDecisionAfterTheAnswer(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	f := b.newTestFlow()
 	b.servers[0].add(f)
 	f.server, f.Tries = b.servers[0], 1
 	b.Ended(f, f.server, Severed, second, true)
-	w.want(t)
+	decisions.want(t)
 }
 
-func TestEffects(t *testing.T) {
+func TestRetryFollowsEffectAndScope(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect Effect
@@ -50,49 +50,49 @@
 		{"referenced out of its zone", Referenced, ScopeZone, Overdue, 0, "abort"},
 		{"referenced out of its cell", Referenced, ScopeCell, Errored, 0, "abort"},
 	} {
-		b, w := start(2, c.effect, c.scope)
-		f := b.flow()
+		b, decisions := newTestBalancer(2, c.effect, c.scope)
+		f := b.newTestFlow()
 		b.servers[0].add(f)
-		f.server, f.Tries, f.sent = b.servers[0], 1, b.now-c.age
-		if b.Ended(f, f.server, c.end, 1000, false); len(w.words) != 1 || w.words[0] != c.want {
-			t.Errorf("%s: got %v, want %s", c.name, w.words, c.want)
+		f.server, f.Tries, f.connectAt = b.servers[0], 1, b.now-c.age
+		if b.Ended(f, f.server, c.end, 1000, false); len(decisions.decisions) != 1 || decisions.decisions[0] != c.want {
+			t.Errorf("%s: got %v, want %s", c.name, decisions.decisions, c.want)
 		}
 	}
 }
 
-func TestReferencedGoesOnInItsZone(t *testing.T) {
-	b, w := start(3, Referenced, ScopeZone)
+func TestReferencedFlowRetriesInItsZone(t *testing.T) {
+	b, decisions := newTestBalancer(3, Referenced, ScopeZone)
 	b.servers[2].Zone = b.servers[0].Zone
-	f := b.flow()
-	f.maybe, f.maybeAt, f.failed = b.servers[0], b.now, []*Server{b.servers[0]}
-	b.place(f)
-	w.want(t, "connect c")
+	f := b.newTestFlow()
+	f.mayHaveRunOn, f.mayHaveRunAt, f.failedServers = b.servers[0], b.now, []*Server{b.servers[0]}
+	b.chooseServer(f)
+	decisions.want(t, "connect c")
 }
 
-func TestOnceOnlyWaitsToTheEnd(t *testing.T) {
-	b, _ := start(2, OnceOnly, ScopeAll)
+func TestOnceOnlyConnectTimeoutIsTheDeadline(t *testing.T) {
+	b, _ := newTestBalancer(2, OnceOnly, ScopeAll)
 	for range 20 {
-		b.setups[0].Add(5000, keepAll)
+		b.setupTimes[0].Add(5000, nodeSamples)
 	}
-	if got := b.timeout(b.flow()); got != 2*second {
+	if got := b.connectTimeout(b.newTestFlow()); got != 2*second {
 		t.Fatalf("time-out %d leaves a flow that may not be sent again", got)
 	}
 }
 
-func TestDrainingAndGoneGetNothingNew(t *testing.T) {
-	b, w := start(3, Repeatable, ScopeAll)
+func TestDrainingAndRemovedServersGetNoNewFlows(t *testing.T) {
+	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
 	b.Entry(b.servers[0], Draining, 1, 0)
 	b.Entry(b.servers[1], Removed, 1, 0)
 	for range 9 {
-		b.place(b.flow())
+		b.chooseServer(b.newTestFlow())
 	}
-	if w.count("connect b")+w.count("connect a") > 0 || w.count("connect c") != 9 {
-		t.Fatal(w.words)
+	if decisions.count("connect b")+decisions.count("connect a") > 0 || decisions.count("connect c") != 9 {
+		t.Fatal(decisions.decisions)
 	}
 }
 
-func TestWholeListDropsWhatItDoesNotName(t *testing.T) {
-	b, _ := start(2, Repeatable, ScopeAll)
+func TestCompleteListRemovesUnnamedServers(t *testing.T) {
+	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	b.List(Whole)
 	s := b.servers[0]
 	b.Entry(s, Up, 1, 0)
@@ -103,27 +103,27 @@
 
 // Cold servers stayed empty beside drowning ones at 80 nodes with a flow or two each (join+vast), and must not fall over:
 // all nodes together have one budget, whatever their number, calm or in a storm.
-func TestColdServerGetsOneBudgetFromAllNodes(t *testing.T) {
+func TestColdStartBudgetIsSharedByAllNodes(t *testing.T) {
 	for _, nodes := range []int{1, 8, 80, 400} {
 		calm, storm := 0, 0
 		for i := range nodes {
-			b, w := start(4, Repeatable, ScopeAll)
-			b.set.Nodes, b.rng = nodes, rand.New(rand.NewSource(int64(i)))
+			b, decisions := newTestBalancer(4, Repeatable, ScopeAll)
+			b.settings.Nodes, b.rng = nodes, rand.New(rand.NewSource(int64(i)))
 			b.Entry(b.servers[0], Up, 1, b.now)
 			for range 300 { // 200 flows a second from all nodes, for 3 s
 				b.now += 10_000
-				b.held = 200 / float64(nodes) // on each server
+				b.flowsPerServer = 200 / float64(nodes) // on each server
 				if b.rng.Intn(nodes) < 2 {
-					b.place(b.flow())
+					b.chooseServer(b.newTestFlow())
 				}
 			}
-			calm += w.count("connect a")
+			calm += decisions.count("connect a")
 			b.now += 5 * second
-			w.words = nil
+			decisions.decisions = nil
 			for range 20 {
-				b.place(b.flow())
+				b.chooseServer(b.newTestFlow())
 			}
-			storm += w.count("connect a")
+			storm += decisions.count("connect a")
 		}
 		// 200 in 20 s x 3 x 3 x 0.2 to 0.32 warm: 29 a second at the most, of which chance takes two thirds; five
 		// seconds later what six seconds at half of it bring.
@@ -134,102 +134,102 @@
 }
 
 // A flow or two made up most of all that a node knew, so their group looked large and was given homes all over (zone+vast).
-func TestAGroupIsNotLargeByOneFlow(t *testing.T) {
-	b, _ := start(20, Repeatable, ScopeAll)
-	f := b.flow()
+func TestOneFlowDoesNotMakeAGroupLarge(t *testing.T) {
+	b, _ := newTestBalancer(20, Repeatable, ScopeAll)
+	f := b.newTestFlow()
 	f.Group = &Group{Hash: 5}
 	b.servers[0].add(f)
-	if near, _, _, _ := b.near(f); 20*(1-near) > 6 {
+	if near, _, _, _ := b.groupAffinity(f); 20*(1-near) > 6 {
 		t.Fatalf("%.0f homes of 20", 20*(1-near))
 	}
 	for range 200 {
-		g := b.flow()
+		g := b.newTestFlow()
 		g.Group = f.Group
 		b.servers[0].add(g)
 	}
-	if near, _, _, _ := b.near(f); 20*(1-near) < 15 {
+	if near, _, _, _ := b.groupAffinity(f); 20*(1-near) < 15 {
 		t.Fatalf("%.0f homes of 20 for a group that is all there is", 20*(1-near))
 	}
 }
 
-func TestOrderNeedsBothMargins(t *testing.T) {
+func TestOutranksNeedsBothMargins(t *testing.T) {
 	for _, c := range []struct {
 		challenger, leader int64
 		want               bool
 	}{{10_000, 29_000, false}, {90_000, 115_000, false}, {60_000, 100_000, true}} {
-		if beats(&Server{rank: c.challenger}, &Server{rank: c.leader}) != c.want {
+		if outranks(&Server{rankLatency: c.challenger}, &Server{rankLatency: c.leader}) != c.want {
 			t.Errorf("%d against %d: not %v", c.challenger, c.leader, c.want)
 		}
 	}
 }
 
-func TestMeasureReorders(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
-	first := b.order[0]
-	if b.measure(first, 15_000); b.order[0] != first {
+func TestLatencySamplesReorderTheRanking(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
+	first := b.ranking[0]
+	if b.recordLatency(first, 15_000); b.ranking[0] != first {
 		t.Fatal("reordered within the margins")
 	}
 	for range 8 {
-		b.measure(first, 120_000)
+		b.recordLatency(first, 120_000)
 	}
-	if b.order[2] != first {
+	if b.ranking[2] != first {
 		t.Fatal("a server far slower keeps its rank")
 	}
 }
 
-func TestListChangeVoidsTheOrder(t *testing.T) {
-	b, _ := start(2, Repeatable, ScopeAll)
+func TestNewServerGetsTheMeanRank(t *testing.T) {
+	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	b.Entry(&Server{Name: "x"}, Up, 1, 0)
-	if b.rank(); !b.order[2].listed || b.order[2].rank != 10_000 {
+	if b.updateRanking(); !b.ranking[2].listed || b.ranking[2].rankLatency != 10_000 {
 		t.Fatal("a new server does not sit at the others' mean")
 	}
 }
 
-func TestUnrankedIsByChance(t *testing.T) {
-	b, w := start(3, Repeatable, ScopeAll)
+func TestUnrankedServersAreChosenAtRandom(t *testing.T) {
+	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
 	for _, s := range b.servers {
 		s.latency.Reset()
 	}
-	b.void = true
+	b.rankingStale = true
 	for range 60 {
-		b.place(b.flow())
+		b.chooseServer(b.newTestFlow())
 		b.servers[0].load, b.servers[1].load, b.servers[2].load = 0, 0, 0
 	}
 	for _, s := range []string{"a", "b", "c"} {
-		if n := w.count("connect " + s); n < 8 {
+		if n := decisions.count("connect " + s); n < 8 {
 			t.Fatalf("%s drawn %d times in 60", s, n)
 		}
 	}
 }
 
-func TestCapPassesOver(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	b.fill(b.servers[0], 10, firstLoad)
-	b.fill(b.servers[1], 4, firstLoad)
-	b.place(b.flow())
-	w.want(t, "connect b")
+func TestServerOverTheLoadCapIsPassedOver(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	b.addOpenFlows(b.servers[0], 10, initialFlowLoad)
+	b.addOpenFlows(b.servers[1], 4, initialFlowLoad)
+	b.chooseServer(b.newTestFlow())
+	decisions.want(t, "connect b")
 }
 
-func TestCapGoesBySize(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
+func TestLoadCapScalesWithSize(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	b.servers[0].Size = 4
-	b.fill(b.servers[0], 10, firstLoad)
-	b.fill(b.servers[1], 5, firstLoad)
-	b.place(b.flow())
-	w.want(t, "connect a")
+	b.addOpenFlows(b.servers[0], 10, initialFlowLoad)
+	b.addOpenFlows(b.servers[1], 5, initialFlowLoad)
+	b.chooseServer(b.newTestFlow())
+	decisions.want(t, "connect a")
 }
 
-func TestGroupIsKeptTogether(t *testing.T) {
-	b, w := start(4, Repeatable, ScopeAll)
-	g := &Group{Hash: 7, held: map[*Server]int{b.servers[2]: 1}}
-	f := b.flow()
+func TestGroupFlowsShareAServer(t *testing.T) {
+	b, decisions := newTestBalancer(4, Repeatable, ScopeAll)
+	g := &Group{Hash: 7, flowsOn: map[*Server]int{b.servers[2]: 1}}
+	f := b.newTestFlow()
 	f.Group = g
-	b.place(f)
-	w.want(t, "connect c")
+	b.chooseServer(f)
+	decisions.want(t, "connect c")
 }
 
-func TestSkippedUntilTwoGoodProbes(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
+func TestSkippedServerRecoversAfterTwoGoodProbes(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
 	s := b.servers[0]
 	if b.Probed(s, Overdue, second); !s.skipped {
 		t.Fatal("not skipped after a failed probe")
@@ -237,39 +237,39 @@
 	if b.Probed(s, Completed, 1000); !s.skipped {
 		t.Fatal("back after one good probe")
 	}
-	if b.Probed(s, Completed, 1000); s.skipped || s.rampTo != b.now+rampTime {
+	if b.Probed(s, Completed, 1000); s.skipped || s.rampEnd != b.now+rampDuration {
 		t.Fatal("not back on a ramp after two")
 	}
 }
 
-func TestFailedSetupsSkip(t *testing.T) {
-	b, _ := start(4, Repeatable, ScopeAll)
-	for range failStreak {
-		b.failed(b.servers[0], b.flow(), Unreachable, 1000)
+func TestRepeatedFailedSetupsSkipAServer(t *testing.T) {
+	b, _ := newTestBalancer(4, Repeatable, ScopeAll)
+	for range failedSetupsToSkip {
+		b.recordFailedSetup(b.servers[0], b.newTestFlow(), Unreachable, 1000)
 	}
 	if !b.servers[0].skipped {
 		t.Fatal("a server whose set-ups fail in a row is not skipped")
 	}
 }
 
-func TestWithoutProbesASkipEnds(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
-	b.set.Probing = false
+func TestSkipExpiresWithoutProbing(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
+	b.settings.Probing = false
 	s := b.servers[0]
-	if b.skip(s, ""); b.usable(s, b.flow()) {
+	if b.skip(s, ""); b.usable(s, b.newTestFlow()) {
 		t.Fatal("usable at once")
 	}
-	if b.now += probeEvery; !b.usable(s, b.flow()) {
+	if b.now += probeInterval; !b.usable(s, b.newTestFlow()) {
 		t.Fatal("skipped for good where nothing could bring it back")
 	}
 }
 
 // What all servers share fails: skipped for it, none would be left.
-func TestSharedCauseSkipsNobody(t *testing.T) {
-	b, _ := start(6, Repeatable, ScopeAll)
-	for range failStreak {
+func TestFailuresOfMostServersSkipNone(t *testing.T) {
+	b, _ := newTestBalancer(6, Repeatable, ScopeAll)
+	for range failedSetupsToSkip {
 		for _, s := range b.servers {
-			b.failed(s, b.flow(), Errored, 1000)
+			b.recordFailedSetup(s, b.newTestFlow(), Errored, 1000)
 		}
 	}
 	for _, s := range b.servers {
@@ -279,88 +279,88 @@
 	}
 }
 
-func TestFullIsNotSick(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	b.fill(b.servers[0], 1, firstLoad)
-	if b.Ended(b.servers[0].flows[0], b.servers[0], Saturated, 1000, false); b.servers[0].failures > 0 {
+func TestSaturatedIsNotAFailedSetup(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	b.addOpenFlows(b.servers[0], 1, initialFlowLoad)
+	if b.Ended(b.servers[0].flows[0], b.servers[0], Saturated, 1000, false); b.servers[0].failedSetups > 0 {
 		t.Fatal("full counts as failed")
 	}
-	w.want(t, "connect b")
+	decisions.want(t, "connect b")
 }
 
 // Drowning servers dropped flows that came back and drowned the next: the sahm incident.
-func TestSlowServerIsShieldedAndRelieved(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
+func TestSlowServerIsLimitedAndLosesLoad(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	s := b.servers[0]
-	b.fill(s, 20, firstLoad)
+	b.addOpenFlows(s, 20, initialFlowLoad)
 	b.Slow(s, 120_000)
-	if n := w.count("move"); n < 3 || n > 8 {
+	if n := decisions.count("move"); n < 3 || n > 8 {
 		t.Fatalf("%d of 20 moved", n)
 	}
-	if s.limit >= s.load {
+	if s.loadLimit >= s.load {
 		t.Fatal("its share is not cut")
 	}
 }
 
 // Many nodes with one flow each all moved it: the kingston incident.
-func TestFewFlowsMoveByChance(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
+func TestSingleFlowsMoveByProbability(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	for range 100 {
-		s := &Server{Name: "s", Size: 1, limit: noLimit, listed: true}
-		b.fill(s, 1, firstLoad)
+		s := &Server{Name: "s", Size: 1, loadLimit: noLimit, listed: true}
+		b.addOpenFlows(s, 1, initialFlowLoad)
 		b.Slow(s, 60_000)
 	}
-	if moves := w.count("move"); moves < 3 || moves > 25 {
+	if moves := decisions.count("move"); moves < 3 || moves > 25 {
 		t.Fatalf("%d of 100 single flows moved", moves)
 	}
 }
 
-func TestAllDrowningSheds(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
+func TestFlowIsRejectedWhenAllServersAreAtTheirLimit(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	for _, s := range b.servers {
-		b.fill(s, 5, firstLoad)
-		s.limit = 5 * firstLoad
+		b.addOpenFlows(s, 5, initialFlowLoad)
+		s.loadLimit = 5 * initialFlowLoad
 	}
-	b.place(b.flow())
-	w.want(t, "reject")
+	b.chooseServer(b.newTestFlow())
+	decisions.want(t, "reject")
 }
 
-func TestTimeoutFollowsSetups(t *testing.T) {
-	b, _ := start(2, Repeatable, ScopeAll)
+func TestConnectTimeoutFollowsSetupTimes(t *testing.T) {
+	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	for range 20 {
-		b.setups[0].Add(5000, keepAll)
+		b.setupTimes[0].Add(5000, nodeSamples)
 	}
-	if got := b.timeout(b.flow()); got != 300_000 {
+	if got := b.connectTimeout(b.newTestFlow()); got != 300_000 {
 		t.Fatalf("time-out %d where set-ups take 5 ms", got)
 	}
 }
 
-func TestWatchIsAskedAgain(t *testing.T) {
-	b, w := start(0, Repeatable, ScopeAll)
-	b.set.OnRequest = true
-	b.due()
+func TestWatchIsRequestedAgainAfterARefusal(t *testing.T) {
+	b, decisions := newTestBalancer(0, Repeatable, ScopeAll)
+	b.settings.OnRequest = true
+	b.review()
 	b.List(Refused)
 	b.now += second
-	b.due()
+	b.review()
 	b.List(Changes)
 	b.now += 20 * second
-	b.due()
-	w.want(t, "watch", "watch")
+	b.review()
+	decisions.want(t, "watch", "watch")
 }
 
 // Eighty nodes asked in the instant of their start and then twice a second each: discovery turned all away for the rest of
 // the day (herd+vast).
-func TestAFleetSpreadsItsCalls(t *testing.T) {
+func TestFleetSpreadsItsWatchRequests(t *testing.T) {
 	const nodes = 80
 	first, calls := map[int64]int{}, map[int64]int{} // by quarters of a second, and by seconds
 	for i := range nodes {
-		b, w := start(3, Repeatable, ScopeAll)
-		b.set.OnRequest, b.set.Nodes, b.rng = true, nodes, rand.New(rand.NewSource(int64(i)))
-		b.askAt = b.now + b.spread()
+		b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
+		b.settings.OnRequest, b.settings.Nodes, b.rng = true, nodes, rand.New(rand.NewSource(int64(i)))
+		b.nextWatchAt = b.now + b.firstWatchDelay()
 		from, asked := b.now, 0
 		for b.now < from+30*second {
 			b.now += 50_000
-			if b.due(); w.count("watch") > asked {
+			if b.review(); decisions.count("watch") > asked {
 				if asked++; asked == 1 {
 					first[(b.now-from)/250_000]++
 				}
@@ -383,31 +383,31 @@
 }
 
 // Guards a lone node, and one whose watch stood, against waiting without need.
-func TestOneRefusalIsAskedAgainSoon(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
-	b.set.Nodes = 1
-	if b.spread() != 0 {
+func TestLoneRefusalIsRetriedSoon(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
+	b.settings.Nodes = 1
+	if b.firstWatchDelay() != 0 {
 		t.Fatal("a lone node waits")
 	}
-	b.refused, b.watching, b.heardAt = 6, true, b.now-4*second
-	if b.List(Refused); b.askAt > b.now+second {
-		t.Fatal(b.askAt - b.now)
+	b.refusals, b.watching, b.watchBeganAt = 6, true, b.now-4*second
+	if b.List(Refused); b.nextWatchAt > b.now+second {
+		t.Fatal(b.nextWatchAt - b.now)
 	}
 }
 
-func TestProbesWithinFiveSeconds(t *testing.T) {
-	b, w := start(1, Repeatable, ScopeAll)
-	b.set.Probing = true
+func TestProbeIntervalIsAtMostFiveSeconds(t *testing.T) {
+	b, decisions := newTestBalancer(1, Repeatable, ScopeAll)
+	b.settings.Probing = true
 	s := b.servers[0]
-	s.probeAt = b.now
-	b.due()
-	if next := s.probeAt - b.now; next > 5*second || next < 2*second {
+	s.nextProbeAt = b.now
+	b.review()
+	if next := s.nextProbeAt - b.now; next > 5*second || next < 2*second {
 		t.Fatalf("next probe in %d", next)
 	}
-	w.want(t, "probe a")
+	decisions.want(t, "probe a")
 }
 
-func TestQuantileAndHalving(t *testing.T) {
+func TestHistQuantileAndHalving(t *testing.T) {
 	var h Hist
 	for range 100 {
 		h.Add(3000, 64)
@@ -418,36 +418,36 @@
 }
 
 // A heavy flow that was cut off came back as one of usual load and drowned the next server.
-func TestReturningFlowIsKnownByItsKey(t *testing.T) {
-	b, _ := start(2, Repeatable, ScopeAll)
+func TestReturningFlowLoadIsKnownByItsKey(t *testing.T) {
+	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	s := b.servers[0]
 	for _, hash := range []uint64{9, 0} {
-		b.fill(s, 1, firstLoad)
+		b.addOpenFlows(s, 1, initialFlowLoad)
 		f := s.flows[0]
 		f.Hash = hash
 		b.Load(f, 900_000)
 		b.Ended(f, s, Severed, second, true)
 	}
-	if _, ok := b.known[0]; ok || b.usual(&Flow{Hash: 9}) != 900_000 {
-		t.Fatal("not known by its key, or flows without a key are taken for one:", b.known)
+	if _, ok := b.loadsByKey[0]; ok || b.estimatedLoad(&Flow{Hash: 9}) != 900_000 {
+		t.Fatal("not known by its key, or flows without a key are taken for one:", b.loadsByKey)
 	}
 }
 
 // Groups scattered over the fleet, each server paying for its part: second kingston and sahm incidents.
-func TestGroupIsNotScatteredWhenMostAreUnwell(t *testing.T) {
-	b, w := start(20, Repeatable, ScopeAll)
+func TestGroupIsNotScatteredWhenMostServersAreUnhealthy(t *testing.T) {
+	b, decisions := newTestBalancer(20, Repeatable, ScopeAll)
 	for _, s := range b.servers[:10] {
-		s.slow = 100_000
+		s.messageDelay = 100_000
 	}
 	g := &Group{Hash: 3}
 	used := map[string]bool{}
 	for range 100 {
-		f := b.flow()
+		f := b.newTestFlow()
 		f.Group = g
-		b.fill(b.servers[19], 4, firstLoad) // others' flows
-		b.place(f)
+		b.addOpenFlows(b.servers[19], 4, initialFlowLoad) // others' flows
+		b.chooseServer(f)
 	}
-	for _, s := range w.words {
+	for _, s := range decisions.decisions {
 		used[s] = true
 	}
 	delete(used, "reject")
@@ -457,52 +457,52 @@
 }
 
 // One small flow held when messages turned slow left a limit that nothing fitted: third kingston incident.
-func TestLimitIsNotTiny(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	b.fill(b.servers[1], 20, firstLoad)
-	b.fill(b.servers[0], 1, firstLoad/100)
+func TestLoadLimitHasAFloor(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	b.addOpenFlows(b.servers[1], 20, initialFlowLoad)
+	b.addOpenFlows(b.servers[0], 1, initialFlowLoad/100)
 	b.Slow(b.servers[0], 25_000)
 	b.Slow(b.servers[0], 1000)
-	b.place(b.flow())
-	w.want(t, "connect a")
+	b.chooseServer(b.newTestFlow())
+	decisions.want(t, "connect a")
 }
 
 // A machine that goes silent keeps its flows without a word: sahm-muscat-roster, days with vanish.
-func TestFlowsLeaveASilentServer(t *testing.T) {
-	b, w := start(3, Repeatable, ScopeAll)
+func TestFlowsMoveOffASilentServer(t *testing.T) {
+	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
 	s := b.servers[0]
-	b.fill(s, 10, firstLoad)
+	b.addOpenFlows(s, 10, initialFlowLoad)
 	b.Probed(s, Overdue, second)
-	w.want(t)
+	decisions.want(t)
 	b.Probed(s, Overdue, second)
-	if n := w.count("move"); n != 10 {
+	if n := decisions.count("move"); n != 10 {
 		t.Fatalf("%d of 10 moved at the second failed probe", n)
 	}
 }
 
-func TestPassedFlowsAreFoundByTheirKey(t *testing.T) {
-	b, w := large()
+func TestPassthroughFlowsHashToTheSameServer(t *testing.T) {
+	b, decisions := newLargeFleetBalancer()
 	for i := range 2 { // another node, with another share of the list
-		b.set.Index, b.void = i, true
-		f := b.flow()
+		b.settings.Index, b.rankingStale = i, true
+		f := b.newTestFlow()
 		f.Passed, f.Hash = true, 77
-		b.place(f)
+		b.chooseServer(f)
 		f.server.remove(f)
 	}
-	if len(w.words) != 2 || w.words[0] != w.words[1] {
-		t.Fatal(w.words)
+	if len(decisions.decisions) != 2 || decisions.decisions[0] != decisions.decisions[1] {
+		t.Fatal(decisions.decisions)
 	}
 }
 
 // Each of hundreds of nodes probed every server: the three deployments at full size.
-func TestEveryServerIsInEquallyManyShares(t *testing.T) {
+func TestServersAreInEquallyManySubsets(t *testing.T) {
 	shares := map[string]int{}
 	for i := range 200 {
-		b, _ := start(26, Repeatable, ScopeAll)
-		b.set.Nodes, b.set.Index, b.void = 200, i, true
-		b.rank()
-		for _, s := range b.order {
-			if s.share {
+		b, _ := newTestBalancer(26, Repeatable, ScopeAll)
+		b.settings.Nodes, b.settings.Index, b.rankingStale = 200, i, true
+		b.updateRanking()
+		for _, s := range b.ranking {
+			if s.inSubset {
 				shares[s.Name]++
 			}
 		}
@@ -514,29 +514,29 @@
 	}
 }
 
-func TestOnlyTheShareIsProbedAndTheRestStandsIn(t *testing.T) {
-	b, w := large()
+func TestOnlyTheSubsetIsProbedAndOtherServersAreFallback(t *testing.T) {
+	b, decisions := newLargeFleetBalancer()
 	for _, s := range b.servers {
-		s.probeAt = b.now
+		s.nextProbeAt = b.now
 	}
-	if b.due(); w.count("probe") != 5 { // of every fourth one
-		t.Fatal(w.words)
+	if b.review(); decisions.count("probe") != 5 { // of every fourth one
+		t.Fatal(decisions.decisions)
 	}
 	for _, s := range b.servers {
-		s.skipped = s.share
+		s.skipped = s.inSubset
 	}
-	if b.Demand(b.flow()); w.count("connect") != 1 {
-		t.Fatal(w.words)
+	if b.Demand(b.newTestFlow()); decisions.count("connect") != 1 {
+		t.Fatal(decisions.decisions)
 	}
 }
 
 // Each node put its one flow of a group on the same server: kingston at full size.
-func TestGroupIsDrawnAmongItsFirstOwnZoneBefore(t *testing.T) {
-	b, _ := large()
+func TestGroupIsDrawnAmongPreferredServersOfTheOwnZone(t *testing.T) {
+	b, _ := newLargeFleetBalancer()
 	picked := map[*Server]bool{}
-	b.set.Zone = 1
+	b.settings.Zone = 1
 	for range 40 {
-		f := b.grouped()
+		f := b.placeGroupFlow()
 		picked[f.server] = true
 		if f.server.Zone != 1 {
 			t.Fatal("a home of another zone was taken")
@@ -549,199 +549,199 @@
 }
 
 // All drown, and each node knows it of its few servers only: second kingston incident at full size.
-func TestUnknownServersAreAsWellAsThoseInUse(t *testing.T) {
-	b, w := large()
-	_, _, blind, _ := b.near(&Flow{Group: &Group{}}) // a node that uses no server yet turns no group away
-	others := slices.Clone(b.servers)                // than the group's homes
+func TestUnusedServersAreAssumedAsHealthyAsUsedOnes(t *testing.T) {
+	b, decisions := newLargeFleetBalancer()
+	_, _, blind, _ := b.groupAffinity(&Flow{Group: &Group{}}) // a node that uses no server yet turns no group away
+	others := slices.Clone(b.servers)                         // than the group's homes
 	slices.SortFunc(others, func(x, y *Server) int {
 		f := &Flow{Group: &Group{Hash: 5}}
-		return cmp.Compare(f.liking(x, false), f.liking(y, false))
+		return cmp.Compare(f.affinity(x, false), f.affinity(y, false))
 	})
 	for _, s := range others[:8] {
-		s.slow, s.triedAt = 60_000, b.now
+		s.messageDelay, s.setupTriedAt = 60_000, b.now
 	}
 	for range 100 {
-		if f := b.grouped(); f.server != nil {
+		if f := b.placeGroupFlow(); f.server != nil {
 			f.server.remove(f)
 		}
 	}
-	if n := w.count("connect"); blind || n == 0 || n > 50 { // two of ten, by the prior alone
+	if n := decisions.count("connect"); blind || n == 0 || n > 50 { // two of ten, by the prior alone
 		t.Fatal(n, "connects of 100 flows, tight before any:", blind)
 	}
 }
 
 // A server that drops what it holds got it all again at once: kingston incident at full size.
-func TestBreakLeavesTheServerOut(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
+func TestServerIsAvoidedAfterItsOnlyFlowBreaks(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
 	s := b.servers[0]
-	b.fill(s, 1, firstLoad)
-	if b.Ended(s.flows[0], s, Severed, second, true); b.usable(s, b.flow()) {
+	b.addOpenFlows(s, 1, initialFlowLoad)
+	if b.Ended(s.flows[0], s, Severed, second, true); b.usable(s, b.newTestFlow()) {
 		t.Fatal("asked again at once")
 	}
 }
 
 // Guards servers' standing and the counts against clients that give no time to answer or name loads that none can be.
-func TestBadClientsTeachNothing(t *testing.T) {
-	b, _ := start(2, Repeatable, ScopeAll)
+func TestImplausibleClientValuesAreIgnored(t *testing.T) {
+	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	s := b.servers[0]
-	for range failStreak {
-		f := b.flow()
+	for range failedSetupsToSkip {
+		f := b.newTestFlow()
 		f.Tries, f.server = 1, s
 		s.add(f)
 		b.Ended(f, s, Overdue, 20_000, false)
 	}
-	if s.skipped || s.failures > 0 || b.setups[0].Total() > 0 {
-		t.Fatal(s.skipped, s.failures)
+	if s.skipped || s.failedSetups > 0 || b.setupTimes[0].Total() > 0 {
+		t.Fatal(s.skipped, s.failedSetups)
 	}
-	f := b.flow()
+	f := b.newTestFlow()
 	f.Hint = 1e12
-	if got := b.usual(f); got != mostHint*firstLoad {
+	if got := b.estimatedLoad(f); got != maxHintFactor*initialFlowLoad {
 		t.Fatal(got)
 	}
 }
 
 // Guards servers against being left out for what the path did: it breaks one flow of many, a server that drowns several.
-func TestOneBreakOfManyLeavesNobodyOut(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
+func TestOneBrokenFlowOfManyDoesNotAvoidTheServer(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
 	s := b.servers[0]
-	b.fill(s, 4, firstLoad)
-	if b.Ended(s.flows[0], s, Severed, second, true); !b.usable(s, b.flow()) {
+	b.addOpenFlows(s, 4, initialFlowLoad)
+	if b.Ended(s.flows[0], s, Severed, second, true); !b.usable(s, b.newTestFlow()) {
 		t.Fatal("left out for one break")
 	}
 	b.now += second / 2
-	if b.Ended(s.flows[0], s, Severed, second, true); b.usable(s, b.flow()) {
+	if b.Ended(s.flows[0], s, Severed, second, true); b.usable(s, b.newTestFlow()) {
 		t.Fatal("a second break within a second is no chance")
 	}
 }
 
 // Guards flows on a server that drowns where nobody tells: what the cap would not place there moves, and comes to rest.
-func TestFlowsOverTheCapMoveWhereNobodyTells(t *testing.T) {
-	b, w := start(3, Repeatable, ScopeAll)
-	b.fill(b.servers[0], 10, 30_000)
-	b.fill(b.servers[1], 2, 30_000)
-	b.due()
-	w.want(t)
-	b.set.Untold = true
+func TestFlowsOverTheCapMoveWithoutDelayReports(t *testing.T) {
+	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
+	b.addOpenFlows(b.servers[0], 10, 30_000)
+	b.addOpenFlows(b.servers[1], 2, 30_000)
+	b.review()
+	decisions.want(t)
+	b.settings.Untold = true
 	for range 20 {
-		b.now, b.void = b.now+second/10, true
-		b.due()
+		b.now, b.rankingStale = b.now+second/10, true
+		b.review()
 		for _, f := range b.servers[0].flows {
-			if f.moved {
+			if f.moveRequested {
 				b.Ended(f, b.servers[0], Recalled, 0, true)
 				break
 			}
 		}
 	}
-	if got := w.count("move"); got != 6 { // with four left there and two elsewhere, the rest of any lies under one and a half times the mean
+	if got := decisions.count("move"); got != 6 { // with four left there and two elsewhere, the rest of any lies under one and a half times the mean
 		t.Fatalf("%d moves", got)
 	}
-	b.fill(b.servers[0], 10, 30_000)
+	b.addOpenFlows(b.servers[0], 10, 30_000)
 	for _, f := range b.servers[0].flows {
-		f.Again, f.sent = true, b.now
+		f.Again, f.connectAt = true, b.now
 	}
-	b.now, b.void = b.now+second/10, true
-	if b.due(); w.count("move") != 6 {
+	b.now, b.rankingStale = b.now+second/10, true
+	if b.review(); decisions.count("move") != 6 {
 		t.Fatal("a client that has just come again is moved")
 	}
-	b.now, b.void = b.now+probeEvery, true
-	if b.due(); w.count("move") != 7 {
+	b.now, b.rankingStale = b.now+probeInterval, true
+	if b.review(); decisions.count("move") != 7 {
 		t.Fatal("far over the cap, a client that came again stays for good")
 	}
 }
 
 // Guards a server that holds a group from being fed to twice the mean and more: no slow message would end it.
-func TestHoldersHaveALowerCapWhereNobodyTells(t *testing.T) {
+func TestGroupHoldersHaveALowerCapWithoutDelayReports(t *testing.T) {
 	for _, untold := range []bool{false, true} {
-		b, w := start(2, Repeatable, ScopeAll)
-		b.set.Untold = untold
-		f := b.grouped()
-		b.fill(f.server, 9, firstLoad)
-		b.fill(b.servers[1-slices.Index(b.servers, f.server)], 3, firstLoad)
-		g := b.flow()
+		b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+		b.settings.Untold = untold
+		f := b.placeGroupFlow()
+		b.addOpenFlows(f.server, 9, initialFlowLoad)
+		b.addOpenFlows(b.servers[1-slices.Index(b.servers, f.server)], 3, initialFlowLoad)
+		g := b.newTestFlow()
 		g.Group = f.Group
-		if b.place(g); (g.server == f.server) == untold {
-			t.Fatal(untold, w.words)
+		if b.chooseServer(g); (g.server == f.server) == untold {
+			t.Fatal(untold, decisions.decisions)
 		}
 	}
 }
 
 // Guards a group's servers against one that is filled to its cap beside another that holds the group and little else.
-func TestLeastLoadedHolderIsTakenWhereNobodyTells(t *testing.T) {
+func TestLeastLoadedGroupHolderIsChosenWithoutDelayReports(t *testing.T) {
 	for i := range 2 {
-		b, w := start(2, Repeatable, ScopeAll)
-		b.set.Untold = true
+		b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+		b.settings.Untold = true
 		g := &Group{Hash: 5}
 		for j, s := range b.servers {
-			f := b.flow()
+			f := b.newTestFlow()
 			f.Group, f.server, f.open = g, s, true
 			s.add(f)
-			b.fill(s, 2+(i+j)%2, firstLoad)
+			b.addOpenFlows(s, 2+(i+j)%2, initialFlowLoad)
 		}
-		f := b.flow()
+		f := b.newTestFlow()
 		f.Group = g
-		b.place(f)
-		w.want(t, "connect "+b.servers[i].Name)
+		b.chooseServer(f)
+		decisions.want(t, "connect "+b.servers[i].Name)
 	}
 }
 
 // Guards clients against moves that relieve nobody: beside a flow that can't go, the light ones weigh nothing.
-func TestLightFlowsStay(t *testing.T) {
-	b, w := start(3, Repeatable, ScopeAll)
-	b.set.Untold = true
-	b.fill(b.servers[0], 1, 500_000)
-	b.fill(b.servers[0], 9, 3_000)
-	b.fill(b.servers[1], 2, 30_000)
-	b.due()
-	w.want(t)
+func TestLightFlowsAreNotMoved(t *testing.T) {
+	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
+	b.settings.Untold = true
+	b.addOpenFlows(b.servers[0], 1, 500_000)
+	b.addOpenFlows(b.servers[0], 9, 3_000)
+	b.addOpenFlows(b.servers[1], 2, 30_000)
+	b.review()
+	decisions.want(t)
 }
 
 // Guards cold servers against a full share of load: they count for what they can do by now.
-func TestColdServersHoldLess(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	b.set.Untold = true
+func TestColdServersHaveALowerCap(t *testing.T) {
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	b.settings.Untold = true
 	for _, s := range b.servers {
-		b.fill(s, 5, 30_000)
+		b.addOpenFlows(s, 5, 30_000)
 	}
-	b.due()
-	w.want(t)
+	b.review()
+	decisions.want(t)
 	s := b.servers[1]
-	s.Started, b.void = b.now-2*second, true
-	if warm := b.warm(s); warm < 0.27 || warm > 0.29 {
+	s.Started, b.rankingStale = b.now-2*second, true
+	if warm := b.warmShare(s); warm < 0.27 || warm > 0.29 {
 		t.Fatal(warm)
 	}
-	b.due()
-	w.want(t, "move")
+	b.review()
+	decisions.want(t, "move")
 }
 
 // Guards clients against being cut off when their server leaves.
 func TestFlowsMoveOffADrainingServer(t *testing.T) {
-	b, w := start(2, Repeatable, ScopeAll)
-	b.set.Untold = true
-	b.fill(b.servers[0], 4, 30_000)
+	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+	b.settings.Untold = true
+	b.addOpenFlows(b.servers[0], 4, 30_000)
 	b.servers[0].flows[2].Again = true
 	b.Entry(b.servers[0], Draining, 1, 0)
 	for range 10 {
-		b.now, b.void = b.now+second/10, true
-		b.due()
+		b.now, b.rankingStale = b.now+second/10, true
+		b.review()
 	}
-	if got := w.count("move"); got != 4 {
+	if got := decisions.count("move"); got != 4 {
 		t.Fatalf("%d moves", got)
 	}
 }
 
 // Sixty flows left three draining servers in one second, each the only one of its node, for servers that drowned by it
 // (join+vast): together, eighty nodes move as many a second as one would.
-func TestAFleetMovesOffADrainingServerNoFasterThanANode(t *testing.T) {
+func TestFleetMovesFlowsOffADrainingServerAtTheRateOfOneNode(t *testing.T) {
 	const nodes = 80
 	at := map[int64]int{}
 	for i := range nodes {
-		b, w := start(2, Repeatable, ScopeAll)
-		b.set.Untold, b.set.Nodes, b.rng = true, nodes, rand.New(rand.NewSource(int64(i)))
-		b.fill(b.servers[0], 1, 30_000)
+		b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
+		b.settings.Untold, b.settings.Nodes, b.rng = true, nodes, rand.New(rand.NewSource(int64(i)))
+		b.addOpenFlows(b.servers[0], 1, 30_000)
 		b.Entry(b.servers[0], Draining, 1, 0)
 		for k := range 100 {
-			b.now, b.void = b.now+second/10, true
-			if b.due(); w.count("move") > 0 {
+			b.now, b.rankingStale = b.now+second/10, true
+			if b.review(); decisions.count("move") > 0 {
 				at[int64(k/10)]++
 				break
 			}
@@ -753,47 +753,47 @@
 }
 
 // Guards a busy server where only set-ups show it.
-func TestSlowSetUpsCountWhereNobodyTells(t *testing.T) {
+func TestSlowSetupsCountWithoutDelayReports(t *testing.T) {
 	for _, untold := range []bool{false, true} {
-		b, _ := start(2, Repeatable, ScopeAll)
-		b.set.Untold = untold
+		b, _ := newTestBalancer(2, Repeatable, ScopeAll)
+		b.settings.Untold = untold
 		for i := range 6 {
-			f := b.flow()
+			f := b.newTestFlow()
 			f.server = b.servers[i/5]
 			b.Established(f, int64(10_000+i/5*60_000))
 		}
-		if (b.servers[1].slow > 0) != untold || b.servers[0].slow > 0 {
-			t.Fatal(untold, b.servers[0].slow, b.servers[1].slow)
+		if (b.servers[1].messageDelay > 0) != untold || b.servers[0].messageDelay > 0 {
+			t.Fatal(untold, b.servers[0].messageDelay, b.servers[1].messageDelay)
 		}
 	}
 }
 
 // A server that told of piled-up work was taken back at the first quick set-up (zone+vast).
-func TestAQuickSetUpDoesNotOutweighTheServersWord(t *testing.T) {
-	b, _ := start(2, Repeatable, ScopeAll)
-	b.set.Untold = true
+func TestFastSetupDoesNotOverrideTheReportedDelay(t *testing.T) {
+	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
+	b.settings.Untold = true
 	for range 5 {
-		f := b.flow()
+		f := b.newTestFlow()
 		f.server = b.servers[0]
 		b.Established(f, 10_000)
 	}
 	b.Slow(b.servers[0], 500_000)
-	f := b.flow()
+	f := b.newTestFlow()
 	f.server = b.servers[0]
-	if b.Established(f, 10_000); b.servers[0].slow == 0 {
+	if b.Established(f, 10_000); b.servers[0].messageDelay == 0 {
 		t.Fatal("the server counts as well")
 	}
 	b.now += second
-	if b.Established(f, 10_000); b.servers[0].slow > 0 {
+	if b.Established(f, 10_000); b.servers[0].messageDelay > 0 {
 		t.Fatal("the server is slow for good")
 	}
 }
 
 // Guards flows on a server with work piled up: where nobody tells, a probe far over the fastest fails.
-func TestLateProbesFailWhereNobodyTells(t *testing.T) {
+func TestLateProbesFailWithoutDelayReports(t *testing.T) {
 	for _, untold := range []bool{false, true} {
-		b, _ := start(2, Repeatable, ScopeAll)
-		b.set.Untold = untold
+		b, _ := newTestBalancer(2, Repeatable, ScopeAll)
+		b.settings.Untold = untold
 		for _, took := range []int64{4_500, 4_300, 6_000, 7_500} {
 			if b.servers[0].skipped {
 				t.Fatal(untold, "skipped for an ordinary delay")
@@ -808,13 +808,13 @@
 
 // Guards against leaving most servers out for a cause that they share, or that lies in this node: with every probe late,
 // half of them at the most are skipped; a node with one server keeps it.
-func TestLateProbesSkipHalfAtMost(t *testing.T) {
+func TestLateProbesSkipAtMostHalfTheServers(t *testing.T) {
 	for n, most := range map[int]int{1: 0, 2: 1, 5: 2, 8: 4} {
-		b, _ := start(n, Repeatable, ScopeAll)
-		b.set.Untold = true
+		b, _ := newTestBalancer(n, Repeatable, ScopeAll)
+		b.settings.Untold = true
 		for range 3 {
 			for _, s := range b.servers {
-				s.fastest = 1000
+				s.fastestProbe = 1000
 				b.Probed(s, Completed, 20_000)
 			}
 		}
@@ -832,14 +832,14 @@
 
 // Guards the latency of a server against the node's own lateness: a probe of which only the least time is known counts as
 // answered, and as late only if that least time is.
-func TestUnsureProbes(t *testing.T) {
-	b, _ := start(4, Repeatable, ScopeAll)
-	b.set.Untold = true
+func TestProbesWithOnlyAMinimumTime(t *testing.T) {
+	b, _ := newTestBalancer(4, Repeatable, ScopeAll)
+	b.settings.Untold = true
 	s := b.servers[0]
-	s.fastest = 1000
+	s.fastestProbe = 1000
 	b.Probed(s, Recalled, 1200)
-	if s.skipped || s.fastest != 1000 || s.latency.Total() != 1 {
-		t.Errorf("skipped %t, fastest %d, %d samples", s.skipped, s.fastest, s.latency.Total())
+	if s.skipped || s.fastestProbe != 1000 || s.latency.Total() != 1 {
+		t.Errorf("skipped %t, fastest %d, %d samples", s.skipped, s.fastestProbe, s.latency.Total())
 	}
 	if b.Probed(s, Recalled, 20_000); !s.skipped {
 		t.Error("late at the least, and not skipped")
@@ -852,15 +852,15 @@
 
 // What a group shares is paid on every server that holds any of it: with a flow or two a node it was paid on most, and
 // cost as much as all flows (zone+vast, join+vast). From a slow server what stands away from its homes goes, whole.
-func TestStraysLeaveASlowServerAndHomeFlowsByChance(t *testing.T) {
+func TestDisplacedFlowsLeaveASlowServerAndOthersByProbability(t *testing.T) {
 	for _, away := range []bool{true, false} {
 		moves := 0
 		for i := range 50 {
-			b, w := start(9, Repeatable, ScopeAll)
-			b.set.Nodes, b.rng = 80, rand.New(rand.NewSource(int64(i)))
-			f := b.flow()
+			b, decisions := newTestBalancer(9, Repeatable, ScopeAll)
+			b.settings.Nodes, b.rng = 80, rand.New(rand.NewSource(int64(i)))
+			f := b.newTestFlow()
 			f.Group = &Group{Hash: 5}
-			slices.SortFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.liking(x, false), f.liking(y, false)) })
+			slices.SortFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
 			s := b.servers[0]
 			if !away {
 				s = b.servers[8]
@@ -868,7 +868,7 @@
 			f.server, f.open = s, true
 			s.add(f)
 			b.Slow(s, 60_000)
-			moves += w.count("move")
+			moves += decisions.count("move")
 		}
 		if away && moves != 50 || !away && (moves < 1 || moves > 20) {
 			t.Errorf("away %t: %d of 50 moved", away, moves)
@@ -877,185 +877,185 @@
 }
 
 // Eighty nodes probed each server that was gone every 0.7 s (herd+vast); few nodes find one that is back as soon as before.
-func TestAFleetProbesWhatGoesOnFailingLessOften(t *testing.T) {
+func TestFleetProbesFailingServersLessOften(t *testing.T) {
 	for nodes, most := range map[int]int{3: 40, 80: 10} {
-		b, w := start(3, Repeatable, ScopeAll)
-		b.set.Nodes, b.servers[0].probeAt = nodes, b.now
+		b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
+		b.settings.Nodes, b.servers[0].nextProbeAt = nodes, b.now
 		for range 200 { // 20 s
 			b.now += second / 10
-			if b.due(); b.servers[0].probeOut {
+			if b.review(); b.servers[0].probePending {
 				b.Probed(b.servers[0], Unreachable, 1_000)
 			}
 		}
-		if n := w.count("probe a"); n > most || n < most/2 {
+		if n := decisions.count("probe a"); n > most || n < most/2 {
 			t.Errorf("%d nodes: %d probes in 20 s", nodes, n)
 		}
 	}
 }
 
 // Chance refused most of what the budget gave a cold server, at nodes that seldom have a flow to place (herd+vast).
-func TestASetUpDueToAColdServerIsNotRefusedByChance(t *testing.T) {
-	b, _ := start(3, Repeatable, ScopeAll)
+func TestColdStartSlotIsNotRefusedAtRandom(t *testing.T) {
+	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
 	s := b.servers[0]
-	s.Started, s.due.at = b.now, b.now
+	s.Started, s.coldStart.updatedAt = b.now, b.now
 	for range 20 {
-		if b.passOver(s, &Flow{}) {
+		if b.deferredByWarmUp(s, &Flow{}) {
 			t.Fatal("left out though a set-up is due")
 		}
 	}
-	if s.due.slot = 1; !b.passOver(s, &Flow{}) {
+	if s.coldStart.nextSlot = 1; !b.deferredByWarmUp(s, &Flow{}) {
 		t.Fatal("taken though none is due")
 	}
 }
 
 // Guards a small fleet whose servers are mostly unwell: what no home of a group can take goes to one that stands idle,
 // not back to the client, and never to one that holds its share already.
-func TestIdleServerTakesWhatNoHomeCan(t *testing.T) {
-	for idle, want := range map[float64]string{0: "connect", 2 * firstLoad: "reject"} {
-		b, w := start(5, Repeatable, ScopeAll)
-		f := b.flow()
+func TestIdleServerTakesWhatNoPreferredServerCan(t *testing.T) {
+	for idle, want := range map[float64]string{0: "connect", 2 * initialFlowLoad: "reject"} {
+		b, decisions := newTestBalancer(5, Repeatable, ScopeAll)
+		f := b.newTestFlow()
 		f.Group = &Group{Hash: 5}
 		for _, s := range b.servers {
-			b.fill(s, 4, firstLoad)
-			s.slow = 100_000
+			b.addOpenFlows(s, 4, initialFlowLoad)
+			s.messageDelay = 100_000
 		}
-		away := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.liking(x, false), f.liking(y, false)) })
-		away.slow, away.flows, away.load = 0, nil, idle
-		b.place(f)
-		if w.count(want) != 1 || want == "connect" && f.server != away {
-			t.Fatal(idle, w.words)
+		away := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
+		away.messageDelay, away.flows, away.load = 0, nil, idle
+		b.chooseServer(f)
+		if decisions.count(want) != 1 || want == "connect" && f.server != away {
+			t.Fatal(idle, decisions.decisions)
 		}
 	}
 }
 
 // Guards clients that stand astray when a day begins: of those that a slow server holds one leaves for certain, the next
 // two seconds later, and the others by chance as ever.
-func TestStraysLeaveOneByOne(t *testing.T) {
-	b, w := large()
+func TestDisplacedFlowsLeaveOneAtATime(t *testing.T) {
+	b, decisions := newLargeFleetBalancer()
 	s := b.servers[0]
 	for i := range 40 {
-		f := b.flow()
+		f := b.newTestFlow()
 		f.Group = &Group{Hash: uint64(100 + i)}
-		if near, _, _, _ := b.near(f); f.Group.fit(s) < near {
+		if near, _, _, _ := b.groupAffinity(f); f.Group.hashAffinity(s) < near {
 			f.server, f.open, f.Tries = s, true, 1
 			s.add(f)
 		}
 	}
-	for _, after := range []int64{0, 0, 0, strayEvery + 1} {
+	for _, after := range []int64{0, 0, 0, displacedMoveInterval + 1} {
 		b.now += after
-		b.shift(s, 1) // far less than a flow is due
+		b.moveLoad(s, 1) // far less than a flow is due
 	}
-	if n := w.count("move"); n != 2 {
+	if n := decisions.count("move"); n != 2 {
 		t.Fatal(n, "of", len(s.flows), "left")
 	}
 }
 
-// reporting gives a balancer of four nodes that may talk, with six servers that reported this much.
-func reporting(busy float64) (*Balancer, *said) {
-	b, w := start(6, Repeatable, ScopeAll)
-	b.set.Nodes, b.set.Peers, b.set.Zone = 4, true, 5
+// newReportingBalancer gives a balancer of four nodes that may talk, with six servers that reported this much.
+func newReportingBalancer(busy float64) (*Balancer, *recorder) {
+	b, w := newTestBalancer(6, Repeatable, ScopeAll)
+	b.settings.Nodes, b.settings.Peers, b.settings.Zone = 4, true, 5
 	for _, s := range b.servers {
-		b.fill(s, 10, firstLoad)
+		b.addOpenFlows(s, 10, initialFlowLoad)
 		b.Reported(s, busy, false)
 	}
-	b.dueAt = 0
-	b.due()
+	b.nextReviewAt = 0
+	b.review()
 	return b, w
 }
 
 // A cold server stood in for full ones without a look at its budget and fell over: xela-citas, rules-4.
-func TestAColdServerNeverStandsIn(t *testing.T) {
-	b, _ := reporting(0.4)
+func TestColdServerIsNoFallbackForSaturatedOnes(t *testing.T) {
+	b, _ := newReportingBalancer(0.4)
 	cold, own, full := b.servers[0], b.servers[1], b.servers[2]
-	cold.Started, own.base = b.now, own.base-1e6 // own placements since
-	if b.Reported(full, 0.9, true); b.spare(cold) || b.spare(full) || !b.full(own) || !b.spare(own) {
+	cold.Started, own.loadInReport = b.now, own.loadInReport-1e6 // own placements since
+	if b.Reported(full, 0.9, true); b.hasSpareCapacity(cold) || b.hasSpareCapacity(full) || !b.isSaturated(own) || !b.hasSpareCapacity(own) {
 		t.Fatal("only a warm one stands in, full by own placements alone")
 	}
 }
 
 // Nine tries in ten were turned away while servers reported 0.5 to 0.75: bilbao-norte, overload.
-func TestLimitsComeBackWhereServersReportRoom(t *testing.T) {
+func TestLoadLimitsRecoverWhereServersReportRoom(t *testing.T) {
 	for _, busy := range []float64{0.4, 0.8} {
-		b, _ := reporting(busy)
+		b, _ := newReportingBalancer(busy)
 		s := b.servers[0]
-		s.slow = 60_000
+		s.messageDelay = 60_000
 		for b.Slow(s, 60_000); b.now < 64*second; {
-			b.now, b.dueAt = b.now+second+1, 0
-			b.due()
+			b.now, b.nextReviewAt = b.now+second+1, 0
+			b.review()
 		}
-		if (s.limit >= s.load) != (busy < hotMean) {
-			t.Fatal(busy, s.limit, s.load)
+		if (s.loadLimit >= s.load) != (busy < busyFleetReport) {
+			t.Fatal(busy, s.loadLimit, s.load)
 		}
 	}
 }
 
 // A server that stands still says once that it is slow, and its load over nothing: bilbao-norte, big-2.
-func TestStandingStillForAMomentMovesNobody(t *testing.T) {
-	b, w := reporting(0.5)
+func TestMomentaryStallMovesNoFlows(t *testing.T) {
+	b, decisions := newReportingBalancer(0.5)
 	s := b.servers[0]
 	b.Slow(s, 400_000)
-	if b.Reported(s, 9, true); w.count("move") > 0 || s.busy > fullAt+riseMost {
-		t.Fatal(w.words, s.busy)
+	if b.Reported(s, 9, true); decisions.count("move") > 0 || s.reportedLoad > maxSaturationThreshold+maxReportRise {
+		t.Fatal(decisions.decisions, s.reportedLoad)
 	}
-	if b.Slow(s, 400_000); w.count("move") == 0 {
+	if b.Slow(s, 400_000); decisions.count("move") == 0 {
 		t.Fatal("slow twice in a row moved nobody")
 	}
 }
 
 // Groups of five flows had three homes and more, one a node: xela-citas, rough-2. Heard never or twice, all are placed.
-func TestAGroupGoesWhereAnotherNodeHoldsIt(t *testing.T) {
+func TestGroupFollowsPlacementsOfOtherNodes(t *testing.T) {
 	for heard := range 3 {
-		b, _ := reporting(0.3)
-		b.apart = roomMean // crossings cost less than what groups share
-		f := &Flow{Type: &b.set.Types[0], Group: &Group{Hash: 5}}
-		s := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.liking(x, false), f.liking(y, false)) })
+		b, _ := newReportingBalancer(0.3)
+		b.meanReportByZone = roomyFleetReport // crossings cost less than what groups share
+		f := &Flow{Type: &b.settings.Types[0], Group: &Group{Hash: 5}}
+		s := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
 		for range heard {
 			b.Held(f.Group, s)
 		}
-		if b.place(f); (f.server == s) != (heard > 0) || (len(b.homes) == 0) != (heard > 0) {
-			t.Fatal(heard, f.server.Name, b.homes)
+		if b.chooseServer(f); (f.server == s) != (heard > 0) || (len(b.unpublishedPlacements) == 0) != (heard > 0) {
+			t.Fatal(heard, f.server.Name, b.unpublishedPlacements)
 		}
-		b.now += newsKept + 1
-		if b.hold(f, f.server); len(b.homes) == 0 {
+		b.now += reportLifetime + 1
+		if b.recordPlacement(f, f.server); len(b.unpublishedPlacements) == 0 {
 			t.Fatal("not told again, for nodes that came back since")
 		}
 	}
 }
 
-func TestOwnPlaceFirstWhileThereIsRoom(t *testing.T) {
+func TestOwnZoneIsPreferredWhileThereIsRoom(t *testing.T) {
 	for _, busy := range []float64{0.2, 0.55} {
-		b, _ := reporting(busy)
-		b.shared.Add(30, keepRank)
-		b.dueAt = 0
-		b.due()
-		f := &Flow{Type: &b.set.Types[0], Group: &Group{Hash: 5}} // its first home is elsewhere
-		if b.place(f); (f.server == b.servers[5]) != (busy < roomMean) {
+		b, _ := newReportingBalancer(busy)
+		b.sameGroupFlows.Add(30, serverSamples)
+		b.nextReviewAt = 0
+		b.review()
+		f := &Flow{Type: &b.settings.Types[0], Group: &Group{Hash: 5}} // its first home is elsewhere
+		if b.chooseServer(f); (f.server == b.servers[5]) != (busy < roomyFleetReport) {
 			t.Fatal(busy, f.server.Name)
 		}
 	}
 }
 
 // The list's weights halve as servers fill, at all nodes at once: neither the order goes by that, nor flows that stand.
-func TestMovingWeightsMoveNobody(t *testing.T) {
-	b, w := reporting(0.5)
+func TestChangedSizesMoveNoFlows(t *testing.T) {
+	b, decisions := newReportingBalancer(0.5)
 	for _, s := range b.servers {
 		b.Entry(s, Up, 0.5, s.Started)
 	}
-	void := b.void
-	b.set.Untold, b.dueAt = true, 0
-	if b.due(); void || w.count("move") > 0 {
-		t.Fatal(void, w.words)
+	void := b.rankingStale
+	b.settings.Untold, b.nextReviewAt = true, 0
+	if b.review(); void || decisions.count("move") > 0 {
+		t.Fatal(void, decisions.decisions)
 	}
 }
 
 // A report older than it is kept counts for nothing, and neither do homes on servers that have left the list.
-func TestOldReportsAndHomesCountForNothing(t *testing.T) {
-	b, _ := reporting(0.95)
-	s, g, was := b.servers[0], &Group{Hash: 5}, b.full(b.servers[0])
-	b.now += newsKept
+func TestOldReportsAndRemovedPlacementsAreIgnored(t *testing.T) {
+	b, _ := newReportingBalancer(0.95)
+	s, g, was := b.servers[0], &Group{Hash: 5}, b.isSaturated(b.servers[0])
+	b.now += reportLifetime
 	b.Held(g, s)
 	b.Entry(s, Removed, 1, 0)
-	if b.Held(g, b.servers[0]); !was || b.full(s) || len(g.homes) != 1 {
-		t.Fatal(was, b.full(s), len(g.homes))
+	if b.Held(g, b.servers[0]); !was || b.isSaturated(s) || len(g.placements) != 1 {
+		t.Fatal(was, b.isSaturated(s), len(g.placements))
 	}
 }
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -8,7 +8,7 @@
 // What a balancer knows can go on to another process of the same node, which then doesn't begin cold. All times are on
 // the clock that both go by.
 
-const keepLoads = 200 // samples of loads
+const loadSamples = 200 // samples of loads
 
 // ServerMemory is what is handed on of a server.
 type ServerMemory struct {
@@ -31,19 +31,19 @@
 
 // Memory gives what the balancer knows.
 func (b *Balancer) Memory() Memory {
-	m := Memory{Every: b.every.bins, Held: b.held, Known: maps.Clone(b.known)}
-	for i := range b.setups {
-		m.Setups = append(m.Setups, b.setups[i].bins)
-		m.Loads = append(m.Loads, [2]float64{b.loads[i].sum, b.loads[i].n})
+	m := Memory{Every: b.allSetupTimes.bins, Held: b.flowsPerServer, Known: maps.Clone(b.loadsByKey)}
+	for i := range b.setupTimes {
+		m.Setups = append(m.Setups, b.setupTimes[i].bins)
+		m.Loads = append(m.Loads, [2]float64{b.typeLoads[i].sum, b.typeLoads[i].n})
 	}
 	return m
 }
 
 // MemoryOf gives what it knows of a server.
 func (b *Balancer) MemoryOf(s *Server) ServerMemory {
-	m := ServerMemory{Started: s.Started, Latency: s.latency.bins, Rank: s.rank, Fastest: s.fastest, Skipped: s.skipped}
-	if s.limit < noLimit {
-		m.Limit = s.limit
+	m := ServerMemory{Started: s.Started, Latency: s.latency.bins, Rank: s.rankLatency, Fastest: s.fastestProbe, Skipped: s.skipped}
+	if s.loadLimit < noLimit {
+		m.Limit = s.loadLimit
 	}
 	return m
 }
@@ -66,49 +66,49 @@
 
 // Recall takes over what another knew. What makes no sense, or was made for other service types, is left out.
 func (b *Balancer) Recall(now int64, m Memory) {
-	if len(m.Setups) != len(b.setups) || len(m.Loads) != len(b.loads) || !sane(m.Held) {
+	if len(m.Setups) != len(b.setupTimes) || len(m.Loads) != len(b.typeLoads) || !isPlausible(m.Held) {
 		return
 	}
 	for _, l := range m.Loads {
-		if !sane(l[0]) || !sane(l[1]) {
+		if !isPlausible(l[0]) || !isPlausible(l[1]) {
 			return
 		}
 	}
-	for i := range b.setups {
+	for i := range b.setupTimes {
 		if m.Loads[i][1] < 1 {
 			continue // nothing is known of this one
 		}
-		b.setups[i].recall(m.Setups[i], keepAll)
-		n := min(m.Loads[i][1], keepLoads)
-		b.loads[i] = Mean{m.Loads[i][0] / m.Loads[i][1] * n, n}
+		b.setupTimes[i].restore(m.Setups[i], nodeSamples)
+		n := min(m.Loads[i][1], loadSamples)
+		b.typeLoads[i] = Mean{m.Loads[i][0] / m.Loads[i][1] * n, n}
 	}
-	b.every.recall(m.Every, keepAll)
+	b.allSetupTimes.restore(m.Every, nodeSamples)
 	for key, load := range m.Known {
-		if sane(load) && len(b.known) < mostKnown {
-			b.known[key] = load
+		if isPlausible(load) && len(b.loadsByKey) < maxLoadsByKey {
+			b.loadsByKey[key] = load
 		}
 	}
-	b.held = m.Held
+	b.flowsPerServer = m.Held
 }
 
 // RecallOf takes over what another knew of a server that the list names; of one that was started anew since, nothing.
 func (b *Balancer) RecallOf(s *Server, m ServerMemory) {
-	if m.Started != s.Started || !sane(m.Limit) || m.Rank < 0 || m.Fastest < 0 {
+	if m.Started != s.Started || !isPlausible(m.Limit) || m.Rank < 0 || m.Fastest < 0 {
 		return
 	}
-	s.latency.recall(m.Latency, keepRank)
-	s.rank, s.fastest = m.Rank, m.Fastest
+	s.latency.restore(m.Latency, serverSamples)
+	s.rankLatency, s.fastestProbe = m.Rank, m.Fastest
 	if m.Limit > 0 {
-		s.limit = m.Limit
+		s.loadLimit = m.Limit
 	}
-	s.skipped = m.Skipped && b.set.Probing // a skipped one comes back by probes alone
-	b.void = true
+	s.skipped = m.Skipped && b.settings.Probing // a skipped one comes back by probes alone
+	b.rankingStale = true
 }
 
-func sane(x float64) bool { return x >= 0 && x < noLimit }
+func isPlausible(x float64) bool { return x >= 0 && x < noLimit }
 
-// recall takes bins over, as long as they are no more samples than are ever held.
-func (h *Hist) recall(bins [histBins]uint32, most uint32) {
+// restore takes bins over, as long as they are no more samples than are ever held.
+func (h *Hist) restore(bins [histBins]uint32, most uint32) {
 	total := uint64(0)
 	for _, n := range bins {
 		total += uint64(n)
--- a/balance/sparse_test.go
+++ b/balance/sparse_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// fleet gives nodes that know the same 60 servers, alike but in size, and hold a flow each of a few groups.
-func fleet(nodes, flows int) (all []*Balancer) {
+// newSparseFleet gives nodes that know the same 60 servers, alike but in size, and hold a flow each of a few groups.
+func newSparseFleet(nodes, flows int) (all []*Balancer) {
 	for i := range nodes {
-		b, _ := start(60, Repeatable, ScopeAll)
-		b.set.Nodes, b.set.Index, b.void, b.rng = nodes, i, true, rand.New(rand.NewSource(int64(i)))
+		b, _ := newTestBalancer(60, Repeatable, ScopeAll)
+		b.settings.Nodes, b.settings.Index, b.rankingStale, b.rng = nodes, i, true, rand.New(rand.NewSource(int64(i)))
 		for k := range flows {
-			f := b.flow()
+			f := b.newTestFlow()
 			f.Group, f.open, f.server = &Group{Hash: uint64(i + k)}, true, b.servers[(i+k)%60]
 			f.server.add(f)
 		}
-		b.rank()
+		b.updateRanking()
 		all = append(all, b)
 	}
 	return all
@@ -25,17 +25,17 @@
 
 // Each server that holds any of a group pays three flows' work for it, and 300 nodes with a flow or two each put groups on a
 // dozen servers once homes were unwell; they counted homes among servers that left, and rejected by the hundred (roll+mass).
-func TestGroupsKeepToFewServersThatAreUp(t *testing.T) {
+func TestGroupsKeepToFewUpServers(t *testing.T) {
 	used, placed := map[string]bool{}, 0
-	for i, b := range fleet(100, 4) {
-		f := b.flow()
+	for i, b := range newSparseFleet(100, 4) {
+		f := b.newTestFlow()
 		f.Group = &Group{Hash: 5}
-		slices.SortFunc(b.servers, func(x, y *Server) int { return int(1e9 * (f.Group.fit(y) - f.Group.fit(x))) })
+		slices.SortFunc(b.servers, func(x, y *Server) int { return int(1e9 * (f.Group.hashAffinity(y) - f.Group.hashAffinity(x))) })
 		for _, s := range b.servers[:30] {
 			s.State = Draining
 		}
-		b.servers[30+i%3].asideTo, b.servers[40].slow = b.now+second, 60_000 // other homes at one node than at the next
-		if b.place(f); f.server != nil {
+		b.servers[30+i%3].avoidedUntil, b.servers[40].messageDelay = b.now+second, 60_000 // other homes at one node than at the next
+		if b.chooseServer(f); f.server != nil {
 			used[f.server.Name], placed = true, placed+1
 		}
 	}
@@ -44,79 +44,79 @@
 	}
 }
 
-// crowd is 300 nodes, to any of which clients come again, while half of 60 servers are cold, and when each of these was sent a
+// returningCrowd is 300 nodes, to any of which clients come again, while half of 60 servers are cold, and when each of these was sent a
 // flow. Servers hold half of what they can.
-type crowd struct {
-	nodes []*Balancer
-	rng   *rand.Rand
-	from  int64
-	sent  map[string][]int64
-	total int
+type returningCrowd struct {
+	nodes        []*Balancer
+	rng          *rand.Rand
+	startedAt    int64
+	connectTimes map[string][]int64
+	total        int
 }
 
-func newCrowd(others State) *crowd {
-	c := &crowd{nodes: fleet(300, 6), rng: rand.New(rand.NewSource(1)), sent: map[string][]int64{}}
-	c.from = c.nodes[0].now
+func newReturningCrowd(others State) *returningCrowd {
+	c := &returningCrowd{nodes: newSparseFleet(300, 6), rng: rand.New(rand.NewSource(1)), connectTimes: map[string][]int64{}}
+	c.startedAt = c.nodes[0].now
 	for _, b := range c.nodes {
-		b.set.FallTime = 3 * second
+		b.settings.FallTime = 3 * second
 		for _, s := range b.servers[:30] {
-			b.Entry(s, Up, 1, c.from-second)
+			b.Entry(s, Up, 1, c.startedAt-second)
 		}
 		for _, s := range b.servers[30:] {
 			b.Entry(s, others, 1, 0)
 		}
-		b.due()
+		b.review()
 	}
 	return c
 }
 
-// try has a client of a group ask one node; it tells whether it was placed.
-func (c *crowd) try(t *testing.T, at int64, hash, group uint64) bool {
+// requestPlacement has a client of a group ask one node; it tells whether it was placed.
+func (c *returningCrowd) requestPlacement(t *testing.T, at int64, hash, group uint64) bool {
 	b := c.nodes[c.rng.Intn(len(c.nodes))]
-	f := c.ask(b, at, hash, &Group{Hash: group})
-	if f.server != nil && b.warm(f.server) < 1 {
-		c.count(t, f.server, at)
+	f := c.requestAt(b, at, hash, &Group{Hash: group})
+	if f.server != nil && b.warmShare(f.server) < 1 {
+		c.countColdConnect(t, f.server, at)
 	}
 	return f.server != nil
 }
 
-// ask has a client of a group ask a node.
-func (c *crowd) ask(b *Balancer, at int64, hash uint64, group *Group) *Flow {
+// requestAt has a client of a group ask a node.
+func (c *returningCrowd) requestAt(b *Balancer, at int64, hash uint64, group *Group) *Flow {
 	b.now = at
-	b.due()
-	f := b.flow()
+	b.review()
+	f := b.newTestFlow()
 	f.Hash, f.Group = hash, group
-	b.place(f)
+	b.chooseServer(f)
 	return f
 }
 
-// count holds each server to the rule: N in the time that the settings name, and what is put down to chance.
-func (c *crowd) count(t *testing.T, s *Server, at int64) {
-	times := append(c.sent[s.Name], at)
+// countColdConnect holds each server to the rule: N in the time that the settings name, and what is put down to chance.
+func (c *returningCrowd) countColdConnect(t *testing.T, s *Server, at int64) {
+	times := append(c.connectTimes[s.Name], at)
 	past, _ := slices.BinarySearch(times, at-3*second)
-	able := 3 * 3 * 2 * 300 * 6 / 60.0 / 20 * (0.2 + 0.8*max(float64(at-3*second-c.from), 0)/float64(20*second))
-	if c.sent[s.Name], c.total = times, c.total+1; float64(len(times)-past) > able+2*math.Sqrt(able)+2 {
+	able := 3 * 3 * 2 * 300 * 6 / 60.0 / 20 * (0.2 + 0.8*max(float64(at-3*second-c.startedAt), 0)/float64(20*second))
+	if c.connectTimes[s.Name], c.total = times, c.total+1; float64(len(times)-past) > able+2*math.Sqrt(able)+2 {
 		t.Fatalf("%s got %d in 3 s, where it can bear %.1f", s.Name, len(times)-past, able)
 	}
 }
 
 // Of what the rule lets cold servers have a fifth was used: a node with a flow to place was seldom the one with a set-up due
 // to just the server that the flow found (roll+mass, join+mass). Used in full, the rule must hold at each of them.
-func TestColdServersOfALargeFleetGetTheirPart(t *testing.T) {
-	c := newCrowd(Draining)
+func TestColdServersOfASparseFleetUseTheirBudget(t *testing.T) {
+	c := newReturningCrowd(Draining)
 	type client struct {
 		hash, group uint64
 		tries       int
 	}
 	var waits [40][]client // by when they come again, in steps of 50 ms: after half a second, and for three seconds
 	for step := range 200 {
-		at, now := c.from+int64(step)*second/20, waits[step%40]
+		at, now := c.startedAt+int64(step)*second/20, waits[step%40]
 		for range 5 { // of the new ones
 			now = append(now, client{hash: c.rng.Uint64(), group: uint64(c.rng.Intn(60))})
 		}
 		waits[step%40] = nil
 		for _, k := range now {
-			if k.tries++; !c.try(t, at, k.hash, k.group) && k.tries <= 6 {
+			if k.tries++; !c.requestPlacement(t, at, k.hash, k.group) && k.tries <= 6 {
 				waits[(step+10)%40] = append(waits[(step+10)%40], k)
 			}
 		}
@@ -128,15 +128,15 @@
 
 // In two of ten plays of herd+mass at ferry-desk's settings a cold host fell: hosts broke what they held, and all
 // clients of a group came again within a second, at node after node, each of which had a set-up due to any cold host.
-func TestACrowdThatComesAgainPushesNoColdServerOver(t *testing.T) {
+func TestReturningCrowdOverloadsNoColdServer(t *testing.T) {
 	for group := range uint64(20) {
-		c := newCrowd(Draining)
+		c := newReturningCrowd(Draining)
 		clients := make([]uint64, 30) // what a server held
 		for no := range clients {
 			clients[no] = c.rng.Uint64()
 		}
-		for at := c.from; at < c.from+6*second; at += second / 10 {
-			clients = slices.DeleteFunc(clients, func(hash uint64) bool { return c.try(t, at+int64(hash%100_000), hash, 1000+group) })
+		for at := c.startedAt; at < c.startedAt+6*second; at += second / 10 {
+			clients = slices.DeleteFunc(clients, func(hash uint64) bool { return c.requestPlacement(t, at+int64(hash%100_000), hash, 1000+group) })
 		}
 		if c.total < 10 {
 			t.Fatal(c.total, "of a crowd were taken by cold servers")
@@ -148,16 +148,16 @@
 // flows in the time in which they fall at six, in most plays, as each home drew from all of the group. Here a sixth of all flows
 // are one group's, half of the nodes have been killed and know none of it, and all its clients come again at once. What a home is
 // sent is still over the rule (some 12) then: this holds it to half of what it was, 54 on average.
-func TestALargeGroupThatComesAgainIsCountedAtEachHome(t *testing.T) {
+func TestReturningLargeGroupIsLimitedAtEachPreferredServer(t *testing.T) {
 	const groups = 10
 	sum := 0
 	for no := range uint64(groups) {
-		c := newCrowd(Draining)
+		c := newReturningCrowd(Draining)
 		known, sent := map[*Balancer]*Group{}, map[string][]int64{}
 		for i, b := range c.nodes {
 			known[b] = &Group{Hash: 2000 + no}
 			for k := range 2 * (i % 2) {
-				f := b.flow()
+				f := b.newTestFlow()
 				f.Group, f.open, f.server = known[b], true, b.servers[30+(i+k)%30]
 				f.server.add(f)
 			}
@@ -166,11 +166,11 @@
 		for i := range clients {
 			clients[i] = c.rng.Uint64()
 		}
-		for at := c.from; at < c.from+6*second; at += second / 4 {
+		for at := c.startedAt; at < c.startedAt+6*second; at += second / 4 {
 			clients = slices.DeleteFunc(clients, func(hash uint64) bool {
 				b := c.nodes[c.rng.Intn(len(c.nodes))]
-				f := c.ask(b, at+int64(hash%250_000), hash, known[b])
-				if f.server == nil || b.warm(f.server) == 1 {
+				f := c.requestAt(b, at+int64(hash%250_000), hash, known[b])
+				if f.server == nil || b.warmShare(f.server) == 1 {
 					return f.server != nil
 				}
 				times := append(sent[f.server.Name], b.now)
@@ -189,17 +189,17 @@
 }
 
 // Guards groups' homes against a list that goes over fifty servers and back with each step of a deploy.
-func TestALargeFleetStaysOneWhileItsListChanges(t *testing.T) {
-	b, _ := start(60, Repeatable, ScopeAll)
-	b.set.Nodes = 60
+func TestSparseFleetDetectionHasHysteresis(t *testing.T) {
+	b, _ := newTestBalancer(60, Repeatable, ScopeAll)
+	b.settings.Nodes = 60
 	for _, c := range []struct {
 		servers int
 		large   bool
 	}{{49, false}, {50, true}, {49, true}, {42, true}, {51, true}, {39, false}, {49, false}} {
-		b.servers, b.void = b.servers[:c.servers], true
-		b.rank()
-		if b.sparse() != c.large {
-			t.Fatal(c.servers, b.sparse())
+		b.servers, b.rankingStale = b.servers[:c.servers], true
+		b.updateRanking()
+		if b.sparseFleet() != c.large {
+			t.Fatal(c.servers, b.sparseFleet())
 		}
 		b.servers = b.servers[:60]
 	}
--- a/balance/types.go
+++ b/balance/types.go
@@ -37,8 +37,8 @@
 	Superseded                 // never sent
 )
 
-// neverRan tells the outcomes that prove that the flow had no effect.
-func (o Outcome) neverRan() bool { return o == Saturated || o == Unreachable || o == Superseded }
+// hadNoEffect tells the outcomes that prove that the flow had no effect.
+func (o Outcome) hadNoEffect() bool { return o == Saturated || o == Unreachable || o == Superseded }
 
 // Times are in microseconds throughout.
 
@@ -72,61 +72,61 @@
 
 // RefusedMost is the most that passes between a call for the list that was refused and the next.
 func (s *Settings) RefusedMost() int64 {
-	return cmp.Or(s.AskMost, max(min(askSpread*int64(s.Nodes), askMost), second))
+	return cmp.Or(s.AskMost, max(min(watchSpreadPerNode*int64(s.Nodes), maxWatchBackoff), second))
 }
 
 // Balancer is what one node knows; Round in balance.go is the way in.
 type Balancer struct {
-	set     *Settings
-	bounds  Bounds
-	rng     *rand.Rand
-	out     Writer
-	now     int64
-	started int64
-
-	servers  []*Server // as the list names them
-	order    []*Server // ranked, best first; those of this node's share before the rest
-	step     int       // each so many servers of the list are in this node's share
-	large    bool      // the share is one of ten and more, or was and is one of eight still
-	void     bool
-	unranked bool               // fewer than two servers have been measured
-	setups   []Hist             // by service type
-	every    Hist               // set-ups of all service types
-	loads    []Mean             // told, by service type
-	known    map[uint64]float64 // loads of keys that may come again
-	tightest int64              // the shortest message target
-	held     float64            // own flows on a server, of late
-
-	watching bool
-	asking   bool
-	askAt    int64
-	heardAt  int64 // when the watch began
-	refused  int   // calls in a row
-	dueAt    int64 // when the servers must next be gone through
-	nextAt   int64 // and when the first probe is due
-	alarmAt  int64
-	strayAt  int64     // when a flow last left as a stray
-	perLoad  float64   // reported load for each unit of own load
-	heat     float64   // mean of what servers report
-	news     []*Server // whose reports the other nodes have not been told
-	shared   Mean      // other own flows of the group of a flow
-	apart    float64   // mean report if each place had its own home for each group
-	zones    float64
-	homes    []Home // that the other nodes have not been told
-	tellAt   int64  // when they may next be told
-	turned   int    // away: flows of groups, if sparse
-	logAt    int64
+	settings *Settings
+	bounds   Bounds
+	rng      *rand.Rand
+	writer   Writer
+	now      int64
+	started  int64
+
+	servers               []*Server // as the list names them
+	ranking               []*Server // ranked, best first; those of this node's share before the rest
+	subsetStride          int       // each so many servers of the list are in this node's share
+	largeFleet            bool      // the share is one of ten and more, or was and is one of eight still
+	rankingStale          bool
+	unranked              bool               // fewer than two servers have been measured
+	setupTimes            []Hist             // by service type
+	allSetupTimes         Hist               // set-ups of all service types
+	typeLoads             []Mean             // told, by service type
+	loadsByKey            map[uint64]float64 // loads of keys that may come again
+	shortestMessageTarget int64              // the shortest message target
+	flowsPerServer        float64            // own flows on a server, of late
+
+	watching              bool
+	watchRequested        bool
+	nextWatchAt           int64
+	watchBeganAt          int64 // when the watch began
+	refusals              int   // calls in a row
+	nextReviewAt          int64 // when the servers must next be gone through
+	nextProbeAt           int64 // and when the first probe is due
+	alarmAt               int64
+	displacedAt           int64     // when a flow last left as a stray
+	reportPerLoad         float64   // reported load for each unit of own load
+	meanReport            float64   // mean of what servers report
+	unpublishedReports    []*Server // whose reports the other nodes have not been told
+	sameGroupFlows        Mean      // other own flows of the group of a flow
+	meanReportByZone      float64   // mean report if each place had its own home for each group
+	zoneCount             float64
+	unpublishedPlacements []Home // that the other nodes have not been told
+	nextPublishAt         int64  // when they may next be told
+	rejectedGroupFlows    int    // away: flows of groups, if sparse
+	nextLogAt             int64
 }
 
 // Group is a set of flows that share work on a server. Hash is the same at every node.
 type Group struct {
-	Hash   uint64
-	held   map[*Server]int
-	count  int               // flows of this node
-	taken  int               // connects that it ever made for this group
-	turned int               // flows of it that it turned away, if sparse
-	crowd  float64           // of it, in servers' flows, that comes to each home where all of it comes at once
-	homes  map[*Server]int64 // where nodes said that they hold it, and when
+	Hash           uint64
+	flowsOn        map[*Server]int
+	flows          int               // flows of this node
+	connects       int               // connects that it ever made for this group
+	rejected       int               // flows of it that it turned away, if sparse
+	crowdPerServer float64           // of it, in servers' flows, that comes to each home where all of it comes at once
+	placements     map[*Server]int64 // where nodes said that they hold it, and when
 }
 
 // Home is a server that holds a group.
@@ -150,36 +150,36 @@
 	Tries    int     // connects made
 	Ref      any     // the caller's own handle
 
-	server   *Server // of the last connect
-	sent     int64   // when it was made
-	maybe    *Server // first server that may have run it
-	maybeAt  int64
-	failed   []*Server
-	open     bool
-	moved    bool
-	stray    bool    // away from its group's homes, when flows were last to be moved
-	load     float64 // work a second
-	measured bool
-	pos      int // in server.flows
+	server        *Server // of the last connect
+	connectAt     int64   // when it was made
+	mayHaveRunOn  *Server // first server that may have run it
+	mayHaveRunAt  int64
+	failedServers []*Server
+	open          bool
+	moveRequested bool
+	displaced     bool    // away from its group's homes, when flows were last to be moved
+	load          float64 // work a second
+	measured      bool
+	index         int // in server.flows
 }
 
-// wayThere is kept back from the window in which repeats are known: the line of a further connect has to come within it.
-const wayThere = 20_000
+// repeatTransitTime is kept back from the window in which repeats are known: the line of a further connect has to come within it.
+const repeatTransitTime = 20_000
 
 // SendBy is until when the line of a connect may be sent: a referenced flow that may have run goes on only while its
 // repeats are known. Guards against a connect that was decided in time and comes up late.
 func (f *Flow) SendBy() int64 {
-	if f.maybe == nil || f.Type.Effect != Referenced {
+	if f.mayHaveRunOn == nil || f.Type.Effect != Referenced {
 		return never
 	}
-	return f.maybeAt + f.Type.Window - wayThere
+	return f.mayHaveRunAt + f.Type.Window - repeatTransitTime
 }
 
-// Dues are set-ups due from this node.
-type Dues struct {
-	budget float64
-	slot   float64 // the budget at which the next may be made
-	at     int64   // when it was worked out
+// coldStartBudget are set-ups due from this node.
+type coldStartBudget struct {
+	accrued   float64
+	nextSlot  float64 // the budget at which the next may be made
+	updatedAt int64   // when it was worked out
 }
 
 // State is what the server list says.
@@ -201,38 +201,38 @@
 	Name       string
 	Seen       bool // named by the list being read
 
-	listed   bool
-	share    bool // in this node's share of the list
-	latency  Hist
-	rank     int64 // latency the order goes by, refreshed as samples come
-	flows    []*Flow
-	load     float64 // own flows' work a second
-	taken    int     // connects ever made for flows with a group
-	skipped  bool
-	streak   int // good probes in a row while skipped
-	bad      int // failed probes in a row
-	failures int // failed set-ups in a row
-	failedAt int64
-	triedAt  int64
-	rampTo   int64
-	due      Dues    // set-ups due to it from this node while it is cold
-	draw     float64 // one over what it can bear by now, as large fleets draw groups' homes; 0 where they don't
-	growAt   int64
-	cutAt    int64
-	limit    float64 // own load it may hold, known once messages turn slow
-	slowAt   int64
-	slow     int64
-	movedAt  int64
-	asideTo  int64
-	brokeAt  int64 // when it broke an open flow last
-	probeAt  int64
-	fastest  int64 // probe of late
-	probeOut bool
-	busy     float64 // its load over what it can do, by its last report
-	base     float64 // own load that is in it
-	busyAt   int64   // when that came; 0 for never
-	news     bool
-	told     bool // the other nodes heard last that it is full
+	listed             bool
+	inSubset           bool // in this node's share of the list
+	latency            Hist
+	rankLatency        int64 // latency the order goes by, refreshed as samples come
+	flows              []*Flow
+	load               float64 // own flows' work a second
+	groupConnects      int     // connects ever made for flows with a group
+	skipped            bool
+	goodProbes         int // good probes in a row while skipped
+	failedProbes       int // failed probes in a row
+	failedSetups       int // failed set-ups in a row
+	setupFailedAt      int64
+	setupTriedAt       int64
+	rampEnd            int64
+	coldStart          coldStartBudget // set-ups due to it from this node while it is cold
+	drawExponent       float64         // one over what it can bear by now, as large fleets draw groups' homes; 0 where they don't
+	limitGrownAt       int64
+	limitCutAt         int64
+	loadLimit          float64 // own load it may hold, known once messages turn slow
+	messageDelayAt     int64
+	messageDelay       int64
+	loadMovedAt        int64
+	avoidedUntil       int64
+	flowBrokeAt        int64 // when it broke an open flow last
+	nextProbeAt        int64
+	fastestProbe       int64 // probe of late
+	probePending       bool
+	reportedLoad       float64 // its load over what it can do, by its last report
+	loadInReport       float64 // own load that is in it
+	reportedAt         int64   // when that came; 0 for never
+	unpublished        bool
+	publishedSaturated bool // the other nodes heard last that it is full
 }
 
 // ListKind says what a list report is: List begins one, Entry follows for each server, then ListEnd.
@@ -259,38 +259,38 @@
 }
 
 func (s *Server) add(f *Flow) {
-	f.pos = len(s.flows)
+	f.index = len(s.flows)
 	s.flows = append(s.flows, f)
 	s.load += f.load
 	if f.Group != nil {
-		if f.Group.held == nil {
-			f.Group.held = map[*Server]int{}
+		if f.Group.flowsOn == nil {
+			f.Group.flowsOn = map[*Server]int{}
 		}
-		f.Group.held[s]++
-		f.Group.count++
-		f.Group.taken++
-		s.taken++
+		f.Group.flowsOn[s]++
+		f.Group.flows++
+		f.Group.connects++
+		s.groupConnects++
 	}
 }
 
 func (s *Server) remove(f *Flow) {
 	last := s.flows[len(s.flows)-1]
-	s.flows[f.pos] = last
-	last.pos = f.pos
+	s.flows[f.index] = last
+	last.index = f.index
 	s.flows = s.flows[:len(s.flows)-1]
 	s.load = max(s.load-f.load, 0)
 	if f.Group != nil {
-		f.Group.count--
-		if f.Group.held[s]--; f.Group.held[s] <= 0 {
-			delete(f.Group.held, s)
+		f.Group.flows--
+		if f.Group.flowsOn[s]--; f.Group.flowsOn[s] <= 0 {
+			delete(f.Group.flowsOn, s)
 		}
 	}
 }
 
-const hashMix = 0x9e3779b97f4a7c15 // sets numbers that follow each other far apart
+const hashMultiplier = 0x9e3779b97f4a7c15 // sets numbers that follow each other far apart
 
-// share spreads the bits of a hash and gives a number from 0 to 1.
-func share(x uint64) float64 {
+// hashFraction spreads the bits of a hash and gives a number from 0 to 1.
+func hashFraction(x uint64) float64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -299,10 +299,12 @@
 }
 
 // Avoided tells whether a server gets no new flows for its own sake: it drains, is skipped, or is left out for a while.
-func (s *Server) Avoided(now int64) bool { return s.State == Draining || s.skipped || now < s.asideTo }
+func (s *Server) Avoided(now int64) bool {
+	return s.State == Draining || s.skipped || now < s.avoidedUntil
+}
 
 // Busy is its load over what it can do, by its last report.
-func (s *Server) Busy() float64 { return s.busy }
+func (s *Server) Busy() float64 { return s.reportedLoad }
 
 // Load is the load that its node counts for a flow, microseconds of work a second.
 func (f *Flow) Load() float64 { return f.load }
@@ -313,11 +315,11 @@
 // Flows is how many own flows are on a server, connects under way included.
 func (s *Server) Flows() int { return len(s.flows) }
 
-// Warm is the share of its size that a server can bear by now.
-func (b *Balancer) Warm(s *Server) float64 { return b.warm(s) }
+// WarmShare is the share of its size that a server can bear by now.
+func (b *Balancer) WarmShare(s *Server) float64 { return b.warmShare(s) }
 
-// worth is what a flow's benefit counts for.
-func (f *Flow) worth() float64 { return cmp.Or(f.Worth, 1) }
+// benefit is what a flow's benefit counts for.
+func (f *Flow) benefit() float64 { return cmp.Or(f.Worth, 1) }
 
 // Bounds is what all nodes together allow this one. They say how much; which server takes a flow, whether it is tried
 // again and what is refused is decided here, within them.
@@ -332,14 +334,14 @@
 	Granted(s *Server) bool             // whether a cold server may be sent a flow by the fleet's word, in place of its budget
 }
 
-// free bounds nothing.
-type free struct{}
-
-func (free) Odds(*Flow) float64                 { return 1 }
-func (free) Room(*Server, *Flow) float64        { return 1 }
-func (free) Retry(*Flow, *Server) bool          { return true }
-func (free) Excess(*Server) float64             { return 0 }
-func (free) Wait(_ *Flow, usual int64) int64    { return usual }
-func (free) SlowProbes() bool                   { return false }
-func (free) ProbeEvery(usual, most int64) int64 { return usual }
-func (free) Granted(*Server) bool               { return false }
+// unbounded bounds nothing.
+type unbounded struct{}
+
+func (unbounded) Odds(*Flow) float64                 { return 1 }
+func (unbounded) Room(*Server, *Flow) float64        { return 1 }
+func (unbounded) Retry(*Flow, *Server) bool          { return true }
+func (unbounded) Excess(*Server) float64             { return 0 }
+func (unbounded) Wait(_ *Flow, usual int64) int64    { return usual }
+func (unbounded) SlowProbes() bool                   { return false }
+func (unbounded) ProbeEvery(usual, most int64) int64 { return usual }
+func (unbounded) Granted(*Server) bool               { return false }
