--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -139,16 +139,16 @@
 	f := b.newTestFlow()
 	f.Group = &Group{Hash: 5}
 	b.servers[0].add(f)
-	if near, _, _, _ := b.groupAffinity(f); 20*(1-near) > 6 {
-		t.Fatalf("%.0f homes of 20", 20*(1-near))
+	if preferred := b.groupAffinity(f).preferred; 20*(1-preferred) > 6 {
+		t.Fatalf("%.0f homes of 20", 20*(1-preferred))
 	}
 	for range 200 {
 		g := b.newTestFlow()
 		g.Group = f.Group
 		b.servers[0].add(g)
 	}
-	if near, _, _, _ := b.groupAffinity(f); 20*(1-near) < 15 {
-		t.Fatalf("%.0f homes of 20 for a group that is all there is", 20*(1-near))
+	if preferred := b.groupAffinity(f).preferred; 20*(1-preferred) < 15 {
+		t.Fatalf("%.0f homes of 20 for a group that is all there is", 20*(1-preferred))
 	}
 }
 
@@ -551,8 +551,8 @@
 // All drown, and each node knows it of its few servers only: second kingston incident at full size.
 func TestUnusedServersAreAssumedAsHealthyAsUsedOnes(t *testing.T) {
 	b, decisions := newLargeFleetBalancer()
-	_, _, blind, _ := b.groupAffinity(&Flow{Group: &Group{}}) // a node that uses no server yet turns no group away
-	others := slices.Clone(b.servers)                         // than the group's homes
+	fewHealthy := b.groupAffinity(&Flow{Group: &Group{}}).fewHealthy // a node that uses no server yet turns no group away
+	others := slices.Clone(b.servers)                                // than the group's homes
 	slices.SortFunc(others, func(x, y *Server) int {
 		f := &Flow{Group: &Group{Hash: 5}}
 		return cmp.Compare(f.affinity(x, false), f.affinity(y, false))
@@ -565,8 +565,8 @@
 			f.server.remove(f)
 		}
 	}
-	if n := decisions.count("connect"); blind || n == 0 || n > 50 { // two of ten, by the prior alone
-		t.Fatal(n, "connects of 100 flows, tight before any:", blind)
+	if n := decisions.count("connect"); fewHealthy || n == 0 || n > 50 { // two of ten, by the prior alone
+		t.Fatal(n, "connects of 100 flows, few healthy before any:", fewHealthy)
 	}
 }
 
@@ -936,7 +936,7 @@
 	for i := range 40 {
 		f := b.newTestFlow()
 		f.Group = &Group{Hash: uint64(100 + i)}
-		if near, _, _, _ := b.groupAffinity(f); f.Group.hashAffinity(s) < near {
+		if preferred := b.groupAffinity(f).preferred; f.Group.hashAffinity(s) < preferred {
 			f.server, f.open, f.Tries = s, true, 1
 			s.add(f)
 		}
--- /dev/null
+++ b/balance/groups.go
@@ -0,0 +1,121 @@
+package balance
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+)
+
+// sparseFleet reports whether there are fifty nodes and servers at least. A node then has few flows, and it receives
+// nothing of what other nodes have where.
+func (b *Balancer) sparseFleet() bool {
+	return b.largeFleet && !b.settings.Peers && b.settings.Bounds == nil
+}
+
+// affinity says how well a server suits the flow by its group. It is over 1 where the server holds the group already;
+// up to 1 it is the same at every node. Placements that other nodes reported count only if useReported is set.
+func (f *Flow) affinity(s *Server, useReported bool) float64 {
+	if f.Group == nil && f.Passed {
+		return hashFraction(f.Hash ^ s.Hash) // another node that its packets reach finds its server the same way
+	} else if f.Group == nil {
+		return 0
+	}
+	affinity := f.Group.hashAffinity(s)
+	if reportedAt := f.Group.placements[s]; f.Group.flowsOn[s] > 0 || useReported && reportedAt > 0 {
+		affinity++
+	}
+	return affinity
+}
+
+// hashAffinity is the same at every node. The larger the capacity of a server, the more likely it is the highest.
+func (g *Group) hashAffinity(s *Server) float64 {
+	return math.Pow(hashFraction(g.Hash^s.Hash), cmp.Or(s.drawExponent, 1))
+}
+
+// groupRange says which servers a flow may go to by its group, and how healthy the servers in use are.
+type groupRange struct {
+	preferred  float64 // least affinity of a preferred server
+	minimum    float64 // least affinity of a server that takes the flow
+	fewHealthy bool    // no more than fewHealthyShare of the servers in use are healthy
+	healthy    float64 // estimated share of healthy servers
+}
+
+// groupAffinity gives the range of a flow's group. Each server that holds any of a group pays for the work that the
+// group shares, so a group is kept to few servers.
+func (b *Balancer) groupAffinity(f *Flow) groupRange {
+	if f.Group == nil {
+		return groupRange{healthy: 1}
+	}
+	n, all, used, healthy, affinities := float64(len(b.servers)), assumedOtherFlows, 0.0, 0.0, []float64{}
+	for _, s := range b.servers {
+		all += float64(len(s.flows) + s.groupConnects)
+		if s.load > 0 || b.now-s.setupTriedAt < recentSetupTime {
+			used++ // nothing is known of the other servers
+			if !b.isSaturated(s) && s.messageDelay == 0 && s.load < s.loadLimit && s.avoidedUntil <= b.now {
+				healthy++
+			}
+		}
+		s.drawExponent = 1
+		if b.sparseFleet() && s.State == Up {
+			s.drawExponent /= s.Size * min(b.warmShare(s)*b.settings.FallMultiple, 1) // a cold server is empty
+			affinities = append(affinities, f.Group.hashAffinity(s))
+		}
+	}
+	groupServers := n * float64(f.Group.flows+f.Group.connects) / all // by the group's part of all flows
+	f.Group.crowdPerServer = max(n*float64(f.Group.flows+f.Group.connects+f.Group.rejected)/(all+float64(b.rejectedGroupFlows)), 1)
+	r := groupRange{fewHealthy: used > 0 && healthy <= used*fewHealthyShare, healthy: (healthy + 2) / (used + 2)}
+	if len(affinities) > 0 {
+		// The preferred servers are the first that are up. A choice by more than that could not be seen from other nodes.
+		slices.Sort(affinities)
+		count := int(minPreferredServers + sparsePreferredShare*groupServers + b.rng.Float64())
+		r.preferred = affinities[max(len(affinities)-count, 0)]
+		r.minimum = r.preferred
+		return r
+	}
+	count := min(max(n/minSubsetSize, minPreferredServers), maxBasePreferredServers)
+	count += groupServers
+	if r.fewHealthy {
+		count = max(count*fewHealthyPreferredShare, minPreferredServers)
+		r.minimum = 1 - count/n
+	}
+	r.preferred = 1 - count/n
+	return r
+}
+
+// Held takes another node's report that a server holds a group.
+func (b *Balancer) Held(g *Group, s *Server) {
+	if g.placements == nil {
+		g.placements = map[*Server]int64{}
+	}
+	maps.DeleteFunc(g.placements, func(o *Server, _ int64) bool { return !o.listed }) // bounds the memory in use
+	g.placements[s] = b.now
+}
+
+// recordPlacement notes that this node placed a flow on a server. If no node has reported the placement of its group
+// recently, it is published, so that other nodes place the group on the same server instead of one server each.
+func (b *Balancer) recordPlacement(f *Flow, s *Server) {
+	g := f.Group
+	if g == nil {
+		return
+	}
+	b.sameGroupFlows.Add(float64(g.flows-1), serverSamples)
+	if b.settings.Peers && (g.placements[s] == 0 || b.now-g.placements[s] > reportLifetime) {
+		b.Held(g, s)
+		b.unpublishedPlacements = append(b.unpublishedPlacements, Home{g, s})
+	}
+}
+
+// publish sends new reports and placements to the other nodes, at most twice a second. Without it each node would learn
+// of a server only by its own probes, every five seconds.
+func (b *Balancer) publish() {
+	if len(b.unpublishedReports)+len(b.unpublishedPlacements) == 0 || b.now < b.nextPublishAt {
+		return
+	}
+	for _, s := range b.unpublishedReports {
+		s.unpublished = false
+	}
+	b.writer.Tell(b.unpublishedReports, b.unpublishedPlacements)
+	b.unpublishedReports, b.unpublishedPlacements = b.unpublishedReports[:0], b.unpublishedPlacements[:0]
+	b.nextPublishAt = b.now + publishInterval
+}
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -5,31 +5,30 @@
 	"slices"
 )
 
-// What a balancer knows can go on to another process of the same node, which then doesn't begin cold. All times are on
-// the clock that both go by.
+// A node hands what its balancer has learned on to its successor, the process of the next version, which then does not
+// start cold. All times are on the clock that both processes share. Memory and ServerMemory are encoded under the names
+// of their fields.
 
-const loadSamples = 200 // samples of loads
-
-// ServerMemory is what is handed on of a server.
+// ServerMemory is what is handed on of one server.
 type ServerMemory struct {
 	Started       int64
 	Latency       [histBins]uint32
-	Rank, Fastest int64
+	Rank, Fastest int64 // median latency, shortest probe
 	Skipped       bool
-	Limit         float64 // 0 for none
+	Limit         float64 // load limit; 0 for none
 }
 
-// Memory is what is handed on besides.
+// Memory is what is handed on besides the servers.
 type Memory struct {
-	Setups [][histBins]uint32 // by service type
-	Every  [histBins]uint32
-	Loads  [][2]float64 // sum and number, by service type
-	Held   float64
-	Known  map[uint64]float64 // loads of keys that may come again
-	Fresh  float64            // of versions that paced set-ups: it has to be readable, and counts for nothing
+	Setups [][histBins]uint32 // set-up times by service type
+	Every  [histBins]uint32   // set-up times of all service types
+	Loads  [][2]float64       // sum and number of measured loads, by service type
+	Held   float64            // own flows per server
+	Known  map[uint64]float64 // loads of keys that may return
+	Fresh  float64            // of versions that paced set-ups: it has to be readable, and is not used
 }
 
-// Memory gives what the balancer knows.
+// Memory returns what the balancer has learned.
 func (b *Balancer) Memory() Memory {
 	m := Memory{Every: b.allSetupTimes.bins, Held: b.flowsPerServer, Known: maps.Clone(b.loadsByKey)}
 	for i := range b.setupTimes {
@@ -39,19 +38,27 @@
 	return m
 }
 
-// MemoryOf gives what it knows of a server.
+// MemoryOf returns what the balancer has learned of a server.
 func (b *Balancer) MemoryOf(s *Server) ServerMemory {
-	m := ServerMemory{Started: s.Started, Latency: s.latency.bins, Rank: s.rankLatency, Fastest: s.fastestProbe, Skipped: s.skipped}
+	m := ServerMemory{
+		Started: s.Started,
+		Latency: s.latency.bins,
+		Rank:    s.rankLatency,
+		Fastest: s.fastestProbe,
+		Skipped: s.skipped,
+	}
 	if s.loadLimit < noLimit {
 		m.Limit = s.loadLimit
 	}
 	return m
 }
 
-// By gives what is handed on in the order of other service types, by their names. Of those that it doesn't know, nothing.
+// By returns the memory with its service types, which are named old, in the order of names. A type that is not in old
+// gets empty values. If old does not fit the memory, nothing is kept by type.
 func (m Memory) By(old, names []string) Memory {
 	setups, loads := m.Setups, m.Loads
-	if m.Setups, m.Loads = nil, nil; len(setups) != len(old) || len(loads) != len(old) {
+	m.Setups, m.Loads = nil, nil
+	if len(setups) != len(old) || len(loads) != len(old) {
 		return m
 	}
 	for _, name := range names {
@@ -64,7 +71,8 @@
 	return m
 }
 
-// Recall takes over what another knew. What makes no sense, or was made for other service types, is left out.
+// Recall takes over the memory of another process. Implausible values, and a memory made for another number of service
+// types, are ignored.
 func (b *Balancer) Recall(now int64, m Memory) {
 	if len(m.Setups) != len(b.setupTimes) || len(m.Loads) != len(b.typeLoads) || !isPlausible(m.Held) {
 		return
@@ -76,7 +84,7 @@
 	}
 	for i := range b.setupTimes {
 		if m.Loads[i][1] < 1 {
-			continue // nothing is known of this one
+			continue // nothing is known of this type
 		}
 		b.setupTimes[i].restore(m.Setups[i], nodeSamples)
 		n := min(m.Loads[i][1], loadSamples)
@@ -91,7 +99,8 @@
 	b.flowsPerServer = m.Held
 }
 
-// RecallOf takes over what another knew of a server that the list names; of one that was started anew since, nothing.
+// RecallOf takes over the memory of a server that the list names. If the server has been started anew since, nothing is
+// taken over.
 func (b *Balancer) RecallOf(s *Server, m ServerMemory) {
 	if m.Started != s.Started || !isPlausible(m.Limit) || m.Rank < 0 || m.Fastest < 0 {
 		return
@@ -101,19 +110,9 @@
 	if m.Limit > 0 {
 		s.loadLimit = m.Limit
 	}
-	s.skipped = m.Skipped && b.settings.Probing // a skipped one comes back by probes alone
+	s.skipped = m.Skipped && b.settings.Probing // only probes end a skip
 	b.rankingStale = true
 }
 
+// isPlausible reports whether x is a finite number from 0 up to noLimit.
 func isPlausible(x float64) bool { return x >= 0 && x < noLimit }
-
-// restore takes bins over, as long as they are no more samples than are ever held.
-func (h *Hist) restore(bins [histBins]uint32, most uint32) {
-	total := uint64(0)
-	for _, n := range bins {
-		total += uint64(n)
-	}
-	if total <= uint64(most) {
-		h.bins, h.total = bins, uint32(total)
-	}
-}
--- a/balance/types.go
+++ b/balance/types.go
@@ -5,77 +5,81 @@
 	"math/rand"
 )
 
-// Effect says what a second run of a flow of this service type would do.
+// All times and durations of this package are in microseconds.
+
+// Effect says what a second run of a flow of a service type would do.
 type Effect uint8
 
 const (
-	Repeatable Effect = iota // may run again
-	Referenced               // a repeat is known by its mark within Scope and Window
-	OnceOnly                 // must never run twice
+	Repeatable Effect = iota // the flow may run again
+	Referenced               // servers recognise a repeat by its reference, within Scope and Window
+	OnceOnly                 // the flow must never run twice
 )
 
-// Scope is the set of servers that drops the repeats of a referenced flow.
+// Scope is the set of servers that recognise and drop the repeats of a referenced flow.
 type Scope uint8
 
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all servers
+	ScopeZone              // the servers of one zone
+	ScopeCell              // the servers of one cell
 )
 
-// Outcome is how a connect or a probe ended.
+// Outcome is how a connect, an established flow or a probe ended.
 type Outcome uint8
 
 const (
 	Completed   Outcome = iota // ran to its end
 	Errored                    // the server answered with an error
-	Saturated                  // turned away unseen: full or draining
+	Saturated                  // the server turned it away before running it: it is full or draining
 	Overdue                    // no answer in time
 	Unreachable                // no connection could be opened
 	Severed                    // the connection broke
-	Recalled                   // called off
+	Recalled                   // called off by the node; for a probe: answered, with only a minimum of the time known
 	Superseded                 // never sent
 )
 
-// hadNoEffect tells the outcomes that prove that the flow had no effect.
-func (o Outcome) hadNoEffect() bool { return o == Saturated || o == Unreachable || o == Superseded }
-
-// Times are in microseconds throughout.
+// hadNoEffect reports whether the outcome proves that the flow had no effect on the server.
+func (o Outcome) hadNoEffect() bool {
+	return o == Saturated || o == Unreachable || o == Superseded
+}
 
+// ServiceType holds what the settings say about one service type.
 type ServiceType struct {
-	SetupTarget   int64
-	MessageTarget int64
-	Effect        Effect
-	Scope         Scope
-	Window        int64
+	SetupTarget   int64  // within which a flow is to be set up
+	MessageTarget int64  // within which a message is to be delivered
+	Effect        Effect // of a repeated flow
+	Scope         Scope  // of referenced flows
+	Window        int64  // for which repeats of referenced flows are recognised
 }
 
+// Settings are the settings that the balancer decides by.
 type Settings struct {
 	Types        []ServiceType
-	Nodes, Index int // how many nodes there are, and which of them this is
+	Nodes, Index int // number of nodes, and the index of this one among them
 	Zone         int // of this node
-	MaxConnects  int
+	MaxConnects  int // connects that a flow may take
 	Probing      bool
-	Peers        bool  // nodes may tell each other things
-	Untold       bool  // nobody tells how long messages take at a server
-	OnRequest    bool  // the server list must be asked for
-	AskWithin    int64 // unasked for so long, a node is deemed told
-	AskMost      int64 // between a call that failed and the next; 0: by the size of the fleet
-	AskSpread    int64 // within which all nodes of a fleet that starts ask; 0: by its size
-	MaxWait      int64 // that clients obey when told to come again later; 0 where they are not told
-	ColdFrom     float64
-	ColdTime     int64
-	FallMultiple float64
-	FallTime     int64  // sent more than that in so long, a cold server falls; 0 where nothing is said
-	Bounds       Bounds // nil: nothing bounds the module but what it sees itself
+	Peers        bool    // nodes may send each other messages
+	Untold       bool    // nothing reports how long messages take at a server
+	OnRequest    bool    // the server list has to be requested
+	AskWithin    int64   // a node that has not requested the list counts as told of a change after this long
+	AskMost      int64   // longest wait between a failed list call and the next; 0 derives it from the number of nodes
+	AskSpread    int64   // time over which the nodes of a starting fleet spread their first list calls; 0 derives it
+	MaxWait      int64   // longest retry delay that clients obey; 0 where they are not told one
+	ColdFrom     float64 // share of its size that a server can carry when it has just started
+	ColdTime     int64   // time in which a started server warms up to its full size
+	FallMultiple float64 // a cold server falls when it is sent this multiple of what it can carry
+	FallTime     int64   // time over which FallMultiple counts; 0 where nothing is said
+	Bounds       Bounds  // limits set by all nodes together; nil for none
 }
 
-// RefusedMost is the most that passes between a call for the list that was refused and the next.
+// RefusedMost is the longest wait between a refused list call and the next.
 func (s *Settings) RefusedMost() int64 {
 	return cmp.Or(s.AskMost, max(min(watchSpreadPerNode*int64(s.Nodes), maxWatchBackoff), second))
 }
 
-// Balancer is what one node knows; Round in balance.go is the way in.
+// Balancer holds what one node knows and decides by. All input goes through Round.
 type Balancer struct {
 	settings *Settings
 	bounds   Bounds
@@ -84,90 +88,87 @@
 	now      int64
 	started  int64
 
-	servers               []*Server // as the list names them
-	ranking               []*Server // ranked, best first; those of this node's share before the rest
-	subsetStride          int       // each so many servers of the list are in this node's share
-	largeFleet            bool      // the share is one of ten and more, or was and is one of eight still
+	servers               []*Server // in the order of the list
+	ranking               []*Server // best first; the servers of this node's subset before all others
+	subsetStride          int       // every subsetStride-th server of the sorted list is in this node's subset
+	largeFleet            bool      // the stride is sparseMinStride or more, or has been and is still four fifths of it
 	rankingStale          bool
-	unranked              bool               // fewer than two servers have been measured
+	unranked              bool               // fewer than two servers have latency samples
 	setupTimes            []Hist             // by service type
 	allSetupTimes         Hist               // set-ups of all service types
-	typeLoads             []Mean             // told, by service type
-	loadsByKey            map[uint64]float64 // loads of keys that may come again
-	shortestMessageTarget int64              // the shortest message target
-	flowsPerServer        float64            // own flows on a server, of late
+	typeLoads             []Mean             // measured loads of flows, by service type
+	loadsByKey            map[uint64]float64 // loads of flows whose client may return, by the hash of their key
+	shortestMessageTarget int64
+	flowsPerServer        float64 // own flows per server: a maximum that decays with each review
 
-	watching              bool
+	watching              bool // a watch of the server list stands
 	watchRequested        bool
-	nextWatchAt           int64
-	watchBeganAt          int64 // when the watch began
-	refusals              int   // calls in a row
-	nextReviewAt          int64 // when the servers must next be gone through
-	nextProbeAt           int64 // and when the first probe is due
-	alarmAt               int64
-	displacedAt           int64     // when a flow last left as a stray
-	reportPerLoad         float64   // reported load for each unit of own load
-	meanReport            float64   // mean of what servers report
-	unpublishedReports    []*Server // whose reports the other nodes have not been told
-	sameGroupFlows        Mean      // other own flows of the group of a flow
-	meanReportByZone      float64   // mean report if each place had its own home for each group
+	nextWatchAt           int64 // when the list is requested next
+	watchBeganAt          int64
+	refusals              int       // refused list calls in a row
+	nextReviewAt          int64     // when the servers are reviewed next
+	nextProbeAt           int64     // when the first probe is due
+	alarmAt               int64     // alarm that was asked for; never if none is outstanding
+	displacedAt           int64     // when a displaced flow was last moved
+	reportPerLoad         float64   // rise of reported load for each unit of own load
+	meanReport            float64   // mean of the servers' reported loads
+	unpublishedReports    []*Server // servers whose reports the other nodes have not received
+	sameGroupFlows        Mean      // number of other own flows in the group of a flow
+	meanReportByZone      float64   // estimated mean report if each zone had its own servers for each group
 	zoneCount             float64
-	unpublishedPlacements []Home // that the other nodes have not been told
-	nextPublishAt         int64  // when they may next be told
-	rejectedGroupFlows    int    // away: flows of groups, if sparse
-	nextLogAt             int64
+	unpublishedPlacements []Home // placements that the other nodes have not received
+	nextPublishAt         int64  // earliest time of the next message to the other nodes
+	rejectedGroupFlows    int    // flows with a group that were rejected; counted in a sparse fleet only
+	nextLogAt             int64  // earliest time of the next log line
 }
 
-// Group is a set of flows that share work on a server. Hash is the same at every node.
+// Group is a set of flows that share work on a server. Its hash is the same at every node.
 type Group struct {
 	Hash           uint64
-	flowsOn        map[*Server]int
-	flows          int               // flows of this node
-	connects       int               // connects that it ever made for this group
-	rejected       int               // flows of it that it turned away, if sparse
-	crowdPerServer float64           // of it, in servers' flows, that comes to each home where all of it comes at once
-	placements     map[*Server]int64 // where nodes said that they hold it, and when
+	flowsOn        map[*Server]int   // own flows by server
+	flows          int               // own flows
+	connects       int               // connects ever made for this group by this node
+	rejected       int               // flows of this group that this node rejected; counted in a sparse fleet only
+	crowdPerServer float64           // flows that reach each preferred server if all of the group arrive at once, over the flows of one server
+	placements     map[*Server]int64 // servers that nodes reported to hold the group, and when they did
 }
 
-// Home is a server that holds a group.
+// Home says that a server holds flows of a group.
 type Home struct {
 	Group  *Group
 	Server *Server
 }
 
-// Flow is one connection asked for by a client.
+// Flow is one connection requested by a client.
 type Flow struct {
 	Type     *ServiceType
-	TypeNo   int
-	Group    *Group // nil without one
-	Hash     uint64 // of the flow's key; 0 without one
-	Again    bool   // its client has come before: a retry, or after a break or a move
-	Unsure   bool   // its node could not judge how long its set-up took
-	Passed   bool   // its packets pass through and may land on another node
-	Deadline int64  // the client's connect timeout
-	Hint     float64
-	Worth    float64 // benefit, where refusals weigh it; 0 counts as 1
+	TypeNo   int     // index of Type in Settings.Types
+	Group    *Group  // nil without one
+	Hash     uint64  // of the flow's key; 0 without one
+	Again    bool    // the client has come before: a retry, or a return after a break or a move
+	Unsure   bool    // the node could not measure reliably how long the set-up took
+	Passed   bool    // its packets pass through this node and may reach another node later
+	Deadline int64   // when the client's connect timeout ends
+	Hint     float64 // load that the client announced; 0 for none
+	Worth    float64 // benefit, by which rejections are weighed; 0 counts as 1
 	Tries    int     // connects made
 	Ref      any     // the caller's own handle
 
-	server        *Server // of the last connect
-	connectAt     int64   // when it was made
-	mayHaveRunOn  *Server // first server that may have run it
-	mayHaveRunAt  int64
-	failedServers []*Server
+	server        *Server   // of the last connect
+	connectAt     int64     // when the last connect was made
+	mayHaveRunOn  *Server   // first server that may have run the flow
+	mayHaveRunAt  int64     // when that connect was made
+	failedServers []*Server // not tried again
 	open          bool
 	moveRequested bool
-	displaced     bool    // away from its group's homes, when flows were last to be moved
-	load          float64 // work a second
-	measured      bool
-	index         int // in server.flows
+	displaced     bool    // was away from the preferred servers of its group at the last call of moveLoad
+	load          float64 // microseconds of work a second
+	measured      bool    // load was measured, not estimated
+	index         int     // in server.flows
 }
 
-// repeatTransitTime is kept back from the window in which repeats are known: the line of a further connect has to come within it.
-const repeatTransitTime = 20_000
-
-// SendBy is until when the line of a connect may be sent: a referenced flow that may have run goes on only while its
-// repeats are known. Guards against a connect that was decided in time and comes up late.
+// SendBy is the time until which the line of a connect may be sent. A referenced flow that may have run can be tried
+// again only while its repeats are recognised. This guards against a connect that was decided in time and opens late.
 func (f *Flow) SendBy() int64 {
 	if f.mayHaveRunOn == nil || f.Type.Effect != Referenced {
 		return never
@@ -175,102 +176,101 @@
 	return f.mayHaveRunAt + f.Type.Window - repeatTransitTime
 }
 
-// coldStartBudget are set-ups due from this node.
+// Load is the load that this node counts for the flow, in microseconds of work a second.
+func (f *Flow) Load() float64 { return f.load }
+
+// benefit is the weight of the flow when rejections are chosen.
+func (f *Flow) benefit() float64 { return cmp.Or(f.Worth, 1) }
+
+// coldStartBudget paces the connects of this node to one cold server.
 type coldStartBudget struct {
-	accrued   float64
-	nextSlot  float64 // the budget at which the next may be made
-	updatedAt int64   // when it was worked out
+	accrued   float64 // connects allowed so far
+	nextSlot  float64 // value of accrued at which the next connect may be made
+	updatedAt int64   // when accrued was last updated
 }
 
-// State is what the server list says.
+// State is what the server list says of a server.
 type State uint8
 
 const (
-	Up State = iota
-	Draining
-	Removed
+	Up       State = iota // takes flows
+	Draining              // takes no new flows
+	Removed               // no longer in the list
 )
 
-// Server is one entry of the server list and what this node has seen of it.
+// Server is one entry of the server list and what this node has observed of it.
 type Server struct {
 	Zone, Cell int
 	Hash       uint64
 	State      State
-	Size       float64
-	Started    int64 // 0 for long ago
+	Size       float64 // capacity relative to other servers
+	Started    int64   // 0 if it started long ago
 	Name       string
-	Seen       bool // named by the list being read
+	Seen       bool // named by the list that is being read
 
 	listed             bool
-	inSubset           bool // in this node's share of the list
-	latency            Hist
-	rankLatency        int64 // latency the order goes by, refreshed as samples come
+	inSubset           bool  // in this node's subset of the list
+	latency            Hist  // of set-ups and probes
+	rankLatency        int64 // median latency, by which the ranking is ordered
 	flows              []*Flow
-	load               float64 // own flows' work a second
+	load               float64 // load of own flows, in microseconds of work a second
 	groupConnects      int     // connects ever made for flows with a group
-	skipped            bool
-	goodProbes         int // good probes in a row while skipped
-	failedProbes       int // failed probes in a row
-	failedSetups       int // failed set-ups in a row
+	skipped            bool    // gets no flows until enough probes in a row succeed
+	goodProbes         int     // successful probes in a row
+	failedProbes       int     // failed probes in a row
+	failedSetups       int     // failed set-ups in a row
 	setupFailedAt      int64
-	setupTriedAt       int64
-	rampEnd            int64
-	coldStart          coldStartBudget // set-ups due to it from this node while it is cold
-	drawExponent       float64         // one over what it can bear by now, as large fleets draw groups' homes; 0 where they don't
+	setupTriedAt       int64           // when a set-up last succeeded or failed
+	rampEnd            int64           // when the ramp after a recovery ends
+	coldStart          coldStartBudget // connects from this node while the server is cold
+	drawExponent       float64         // weight of its hash in a sparse fleet: the inverse of its present capacity; 1 otherwise
 	limitGrownAt       int64
 	limitCutAt         int64
-	loadLimit          float64 // own load it may hold, known once messages turn slow
-	messageDelayAt     int64
-	messageDelay       int64
-	loadMovedAt        int64
+	loadLimit          float64 // own load that it may hold; set once messages turn slow
+	messageDelayAt     int64   // when messages last turned out slow
+	messageDelay       int64   // time that messages take there while they are slow; 0 otherwise
+	loadMovedAt        int64   // when load was last moved off it because of slow messages
 	avoidedUntil       int64
-	flowBrokeAt        int64 // when it broke an open flow last
+	flowBrokeAt        int64 // when an open flow on it last broke
 	nextProbeAt        int64
-	fastestProbe       int64 // probe of late
+	fastestProbe       int64 // shortest recent probe; rises slowly
 	probePending       bool
-	reportedLoad       float64 // its load over what it can do, by its last report
-	loadInReport       float64 // own load that is in it
-	reportedAt         int64   // when that came; 0 for never
-	unpublished        bool
-	publishedSaturated bool // the other nodes heard last that it is full
+	reportedLoad       float64 // load over capacity, by its last report
+	loadInReport       float64 // own load that this report includes
+	reportedAt         int64   // when the report came; 0 for never
+	unpublished        bool    // its report is to be published
+	publishedSaturated bool    // the last published report said that it is saturated
 }
 
-// ListKind says what a list report is: List begins one, Entry follows for each server, then ListEnd.
-type ListKind uint8
+// Avoided reports whether a server gets no new flows because of its own state: it is draining, skipped or avoided for a
+// while.
+func (s *Server) Avoided(now int64) bool {
+	return s.State == Draining || s.skipped || now < s.avoidedUntil
+}
 
-const (
-	Changes ListKind = iota
-	Whole
-	Remembered
-	Refused
-)
+// Busy is the server's load over its capacity, by its last report.
+func (s *Server) Busy() float64 { return s.reportedLoad }
 
-// Writer takes the decisions of a round, in order.
-type Writer interface {
-	Connect(f *Flow, s *Server, timeout int64)
-	Reject(f *Flow, wait int64)
-	Abort(f *Flow)
-	Move(f *Flow)
-	Probe(s *Server)
-	Tell(servers []*Server, homes []Home) // the other nodes, the servers' Busy and where groups are held
-	Watch()
-	Alarm(at int64)
-	Trace(line string)
-}
+// Held is the load of this node's flows on a server, including connects in progress.
+func (s *Server) Held() float64 { return s.load }
+
+// Flows is the number of this node's flows on a server, including connects in progress.
+func (s *Server) Flows() int { return len(s.flows) }
 
 func (s *Server) add(f *Flow) {
 	f.index = len(s.flows)
 	s.flows = append(s.flows, f)
 	s.load += f.load
-	if f.Group != nil {
-		if f.Group.flowsOn == nil {
-			f.Group.flowsOn = map[*Server]int{}
-		}
-		f.Group.flowsOn[s]++
-		f.Group.flows++
-		f.Group.connects++
-		s.groupConnects++
+	if f.Group == nil {
+		return
+	}
+	if f.Group.flowsOn == nil {
+		f.Group.flowsOn = map[*Server]int{}
 	}
+	f.Group.flowsOn[s]++
+	f.Group.flows++
+	f.Group.connects++
+	s.groupConnects++
 }
 
 func (s *Server) remove(f *Flow) {
@@ -279,62 +279,71 @@
 	last.index = f.index
 	s.flows = s.flows[:len(s.flows)-1]
 	s.load = max(s.load-f.load, 0)
-	if f.Group != nil {
-		f.Group.flows--
-		if f.Group.flowsOn[s]--; f.Group.flowsOn[s] <= 0 {
-			delete(f.Group.flowsOn, s)
-		}
+	if f.Group == nil {
+		return
+	}
+	f.Group.flows--
+	f.Group.flowsOn[s]--
+	if f.Group.flowsOn[s] <= 0 {
+		delete(f.Group.flowsOn, s)
 	}
 }
 
-const hashMultiplier = 0x9e3779b97f4a7c15 // sets numbers that follow each other far apart
+// ListKind says what a report of the server list is. A report begins with List, has one Entry for each server and ends
+// with ListEnd.
+type ListKind uint8
 
-// hashFraction spreads the bits of a hash and gives a number from 0 to 1.
-func hashFraction(x uint64) float64 {
-	x ^= x >> 33
-	x *= 0xff51afd7ed558ccd
-	x ^= x >> 33
-	x *= 0xc4ceb9fe1a85ec53
-	return float64((x^x>>33)>>11) / (1 << 53)
-}
+const (
+	Changes    ListKind = iota // names the servers that changed
+	Whole                      // names all servers; others are removed
+	Remembered                 // known from before a restart or from the predecessor
+	Refused                    // no list: the call failed
+)
 
-// Avoided tells whether a server gets no new flows for its own sake: it drains, is skipped, or is left out for a while.
-func (s *Server) Avoided(now int64) bool {
-	return s.State == Draining || s.skipped || now < s.avoidedUntil
+// Writer takes the decisions of a round, in order.
+type Writer interface {
+	// Connect opens a connection for the flow to the server and gives up after the timeout.
+	Connect(f *Flow, s *Server, timeout int64)
+	// Reject refuses the flow; its client may come again after wait, 0 for no word on that. Trying again is harmless.
+	Reject(f *Flow, wait int64)
+	// Abort refuses a flow that may have run and must not run again.
+	Abort(f *Flow)
+	// Move asks to move an open flow off its server.
+	Move(f *Flow)
+	// Probe sends a probe to the server.
+	Probe(s *Server)
+	// Tell publishes to the other nodes the reported loads of servers, and where groups are placed.
+	Tell(servers []*Server, homes []Home)
+	// Watch requests the server list and its changes.
+	Watch()
+	// Alarm asks for a round at this time; it replaces an alarm that was set before.
+	Alarm(at int64)
+	// Trace logs one line.
+	Trace(line string)
 }
 
-// Busy is its load over what it can do, by its last report.
-func (s *Server) Busy() float64 { return s.reportedLoad }
-
-// Load is the load that its node counts for a flow, microseconds of work a second.
-func (f *Flow) Load() float64 { return f.load }
-
-// Held is the own load on a server, that of connects under way included.
-func (s *Server) Held() float64 { return s.load }
-
-// Flows is how many own flows are on a server, connects under way included.
-func (s *Server) Flows() int { return len(s.flows) }
-
-// WarmShare is the share of its size that a server can bear by now.
-func (b *Balancer) WarmShare(s *Server) float64 { return b.warmShare(s) }
-
-// benefit is what a flow's benefit counts for.
-func (f *Flow) benefit() float64 { return cmp.Or(f.Worth, 1) }
-
-// Bounds is what all nodes together allow this one. They say how much; which server takes a flow, whether it is tried
-// again and what is refused is decided here, within them.
+// Bounds limits what one node may do by what all nodes together allow. It says how much; which server takes a flow,
+// whether a flow is tried again and which flow is rejected is decided in this package, within those limits.
 type Bounds interface {
-	Odds(f *Flow) float64               // of a new flow to be placed at all
-	Room(s *Server, f *Flow) float64    // the odds of a server to have room for a flow
-	Retry(f *Flow, last *Server) bool   // whether the budget of further connects has one
-	Excess(s *Server) float64           // own load that has to leave a server within a tenth of a second
-	Wait(f *Flow, usual int64) int64    // after which the client of a refused flow is to come again; 0 for nothing said
-	SlowProbes() bool                   // whether slow probes count as a sign of load there, and skip nobody here
-	ProbeEvery(usual, most int64) int64 // how often a skipped server may be probed
-	Granted(s *Server) bool             // whether a cold server may be sent a flow by the fleet's word, in place of its budget
+	// Odds is the probability with which a new flow may be placed at all.
+	Odds(f *Flow) float64
+	// Room is the probability that the server has room for the flow.
+	Room(s *Server, f *Flow) float64
+	// Retry reports whether the retry budget allows one more connect; last is the server of the connect before.
+	Retry(f *Flow, last *Server) bool
+	// Excess is the own load that has to leave the server within a tenth of a second.
+	Excess(s *Server) float64
+	// Wait is the delay after which the client of a rejected flow is to come again; 0 to say nothing.
+	Wait(f *Flow, usual int64) int64
+	// SlowProbes reports whether slow probes are taken as a sign of load there, and skip no server here.
+	SlowProbes() bool
+	// ProbeEvery is the interval at which a skipped server may be probed.
+	ProbeEvery(usual, most int64) int64
+	// Granted reports whether the fleet grants a connect to a cold server, in place of this node's cold-start budget.
+	Granted(s *Server) bool
 }
 
-// unbounded bounds nothing.
+// unbounded is the Bounds that limits nothing.
 type unbounded struct{}
 
 func (unbounded) Odds(*Flow) float64                 { return 1 }
@@ -345,3 +354,12 @@
 func (unbounded) SlowProbes() bool                   { return false }
 func (unbounded) ProbeEvery(usual, most int64) int64 { return usual }
 func (unbounded) Granted(*Server) bool               { return false }
+
+// hashFraction mixes the bits of a hash and maps it to a number from 0 to 1.
+func hashFraction(x uint64) float64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	x *= 0xc4ceb9fe1a85ec53
+	return float64((x^x>>33)>>11) / (1 << 53)
+}
