--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -54,8 +54,8 @@
 		f := b.newTestFlow()
 		b.servers[0].add(f)
 		f.server, f.Tries, f.connectAt = b.servers[0], 1, b.now-c.age
-		if b.Ended(f, f.server, c.end, 1000, false); len(decisions.decisions) != 1 || decisions.decisions[0] != c.want {
-			t.Errorf("%s: got %v, want %s", c.name, decisions.decisions, c.want)
+		if b.Ended(f, f.server, c.end, 1000, false); len(decisions.lines) != 1 || decisions.lines[0] != c.want {
+			t.Errorf("%s: got %v, want %s", c.name, decisions.lines, c.want)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 		b.chooseServer(b.newTestFlow())
 	}
 	if decisions.count("connect b")+decisions.count("connect a") > 0 || decisions.count("connect c") != 9 {
-		t.Fatal(decisions.decisions)
+		t.Fatalf("new flows did not all go to the server that is up: %q", decisions.lines)
 	}
 }
 
@@ -105,7 +105,7 @@
 // either: all nodes together have one cold-start budget, whatever their number and however fast flows arrive.
 func TestColdStartBudgetIsSharedByAllNodes(t *testing.T) {
 	for _, nodes := range []int{1, 8, 80, 400} {
-		calm, storm := 0, 0
+		steady, burst := 0, 0
 		for i := range nodes {
 			b, decisions := newTestBalancer(4, Repeatable, ScopeAll)
 			b.settings.Nodes, b.rng = nodes, rand.New(rand.NewSource(int64(i)))
@@ -117,18 +117,18 @@
 					b.chooseServer(b.newTestFlow())
 				}
 			}
-			calm += decisions.count("connect a")
+			steady += decisions.count("connect a")
 			b.now += 5 * second
-			decisions.decisions = nil
+			decisions.lines = nil
 			for range 20 {
 				b.chooseServer(b.newTestFlow())
 			}
-			storm += decisions.count("connect a")
+			burst += decisions.count("connect a")
 		}
 		// 200 flows in 20 s, times 3, times 3, times a warm share of 0.2 to 0.32: 29 a second at the most, of which random
 		// draws take two thirds. Five seconds later there is what six seconds at half of that add up to.
-		if calm < 5 || calm > 90 || storm > 250 {
-			t.Fatalf("%d nodes: %d connects to a cold server in its first 3 s, %d in one instant", nodes, calm, storm)
+		if steady < 5 || steady > 90 || burst > 250 {
+			t.Fatalf("%d nodes: %d connects to a cold server in its first 3 s, %d in one instant", nodes, steady, burst)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 	}
 	for _, s := range b.servers {
 		if s.skipped {
-			t.Fatal(s.Name, "skipped")
+			t.Fatalf("server %s is skipped though all servers fail", s.Name)
 		}
 	}
 }
@@ -392,7 +392,7 @@
 	}
 	b.refusals, b.watching, b.watchBeganAt = 6, true, b.now-4*second
 	if b.List(Refused); b.nextWatchAt > b.now+second {
-		t.Fatal(b.nextWatchAt - b.now)
+		t.Fatalf("the next call is %d us away after a watch that stood", b.nextWatchAt-b.now)
 	}
 }
 
@@ -414,7 +414,7 @@
 		h.Add(3000, 64)
 	}
 	if q := h.Quantile(0.5); q < 2000 || q > 4000 || h.Total() > 64 {
-		t.Fatal(q, h.Total())
+		t.Fatalf("median %d of samples of 3000, %d samples held", q, h.Total())
 	}
 }
 
@@ -449,7 +449,7 @@
 		b.addOpenFlows(b.servers[19], 4, initialFlowLoad) // of other groups
 		b.chooseServer(f)
 	}
-	for _, s := range decisions.decisions {
+	for _, s := range decisions.lines {
 		used[s] = true
 	}
 	delete(used, "reject")
@@ -492,8 +492,8 @@
 		b.chooseServer(f)
 		f.server.remove(f)
 	}
-	if len(decisions.decisions) != 2 || decisions.decisions[0] != decisions.decisions[1] {
-		t.Fatal(decisions.decisions)
+	if len(decisions.lines) != 2 || decisions.lines[0] != decisions.lines[1] {
+		t.Fatalf("nodes chose different servers for one key: %q", decisions.lines)
 	}
 }
 
@@ -523,13 +523,13 @@
 		s.nextProbeAt = b.now
 	}
 	if b.review(); decisions.count("probe") != 5 { // every fourth server
-		t.Fatal(decisions.decisions)
+		t.Fatalf("not exactly the five servers of the subset were probed: %q", decisions.lines)
 	}
 	for _, s := range b.servers {
 		s.skipped = s.inSubset
 	}
 	if b.Demand(b.newTestFlow()); decisions.count("connect") != 1 {
-		t.Fatal(decisions.decisions)
+		t.Fatalf("no server outside the subset took the flow: %q", decisions.lines)
 	}
 }
 
@@ -547,7 +547,7 @@
 		f.server.remove(f)
 	}
 	if len(picked) < 2 || len(picked) > 5 {
-		t.Fatal(len(picked), "servers")
+		t.Fatalf("40 flows of one group went to %d servers", len(picked))
 	}
 }
 
@@ -556,12 +556,12 @@
 func TestUnusedServersAreAssumedAsHealthyAsUsedOnes(t *testing.T) {
 	b, decisions := newLargeFleetBalancer()
 	fewHealthy := b.groupAffinity(&Flow{Group: &Group{}}).fewHealthy // false for a node that uses no server yet
-	others := slices.Clone(b.servers)                                // besides the preferred servers of the group
-	slices.SortFunc(others, func(x, y *Server) int {
+	notPreferred := slices.Clone(b.servers)                          // besides the preferred servers of the group
+	slices.SortFunc(notPreferred, func(x, y *Server) int {
 		f := &Flow{Group: &Group{Hash: 5}}
 		return cmp.Compare(f.affinity(x, false), f.affinity(y, false))
 	})
-	for _, s := range others[:8] {
+	for _, s := range notPreferred[:8] {
 		s.messageDelay, s.setupTriedAt = 60_000, b.now
 	}
 	for range 100 {
@@ -596,12 +596,12 @@
 		b.Ended(f, s, Overdue, 20_000, false)
 	}
 	if s.skipped || s.failedSetups > 0 || b.setupTimes[0].Total() > 0 {
-		t.Fatal(s.skipped, s.failedSetups)
+		t.Fatalf("timeouts of impatient clients count: skipped %t, %d failed set-ups", s.skipped, s.failedSetups)
 	}
 	f := b.newTestFlow()
 	f.Hint = 1e12
 	if got := b.estimatedLoad(f); got != maxHintFactor*initialFlowLoad {
-		t.Fatal(got)
+		t.Fatalf("an impossible hint counts as load %g", got)
 	}
 }
 
@@ -659,16 +659,16 @@
 // A server that holds a group must not be loaded to twice the mean and more where no report of slow messages would end
 // that.
 func TestGroupHoldersHaveALowerCapWithoutDelayReports(t *testing.T) {
-	for _, untold := range []bool{false, true} {
+	for _, noDelayReports := range []bool{false, true} {
 		b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
-		b.settings.Untold = untold
+		b.settings.Untold = noDelayReports
 		f := b.placeGroupFlow()
 		b.addOpenFlows(f.server, 9, initialFlowLoad)
 		b.addOpenFlows(b.servers[1-slices.Index(b.servers, f.server)], 3, initialFlowLoad)
 		g := b.newTestFlow()
 		g.Group = f.Group
-		if b.chooseServer(g); (g.server == f.server) == untold {
-			t.Fatal(untold, decisions.decisions)
+		if b.chooseServer(g); (g.server == f.server) == noDelayReports {
+			t.Fatalf("no delay reports %t: %q", noDelayReports, decisions.lines)
 		}
 	}
 }
@@ -715,7 +715,7 @@
 	s := b.servers[1]
 	s.Started, b.rankingStale = b.now-2*second, true
 	if warm := b.warmShare(s); warm < 0.27 || warm > 0.29 {
-		t.Fatal(warm)
+		t.Fatalf("warm share %g two seconds after the start", warm)
 	}
 	b.review()
 	decisions.want(t, "move")
@@ -756,22 +756,23 @@
 		}
 	}
 	if at[0] < 2 || at[0] > 25 || at[0]+at[1]+at[2]+at[3] < 20 {
-		t.Fatal(at)
+		t.Fatalf("flows moved by second: %v", at)
 	}
 }
 
 // Guards a busy server where only set-up times show that it is busy.
 func TestSlowSetupsCountWithoutDelayReports(t *testing.T) {
-	for _, untold := range []bool{false, true} {
+	for _, noDelayReports := range []bool{false, true} {
 		b, _ := newTestBalancer(2, Repeatable, ScopeAll)
-		b.settings.Untold = untold
+		b.settings.Untold = noDelayReports
 		for i := range 6 {
 			f := b.newTestFlow()
 			f.server = b.servers[i/5]
 			b.Established(f, int64(10_000+i/5*60_000))
 		}
-		if (b.servers[1].messageDelay > 0) != untold || b.servers[0].messageDelay > 0 {
-			t.Fatal(untold, b.servers[0].messageDelay, b.servers[1].messageDelay)
+		if (b.servers[1].messageDelay > 0) != noDelayReports || b.servers[0].messageDelay > 0 {
+			t.Fatalf("no delay reports %t: delays %d of the fast and %d of the slow server", noDelayReports,
+				b.servers[0].messageDelay, b.servers[1].messageDelay)
 		}
 	}
 }
@@ -800,17 +801,17 @@
 // Guards flows on a server with work piled up: where nothing reports message delays, a probe that takes far longer than
 // the fastest counts as failed.
 func TestLateProbesFailWithoutDelayReports(t *testing.T) {
-	for _, untold := range []bool{false, true} {
+	for _, noDelayReports := range []bool{false, true} {
 		b, _ := newTestBalancer(2, Repeatable, ScopeAll)
-		b.settings.Untold = untold
+		b.settings.Untold = noDelayReports
 		for _, took := range []int64{4_500, 4_300, 6_000, 7_500} {
 			if b.servers[0].skipped {
-				t.Fatal(untold, "skipped for an ordinary delay")
+				t.Fatal(noDelayReports, "skipped for an ordinary delay")
 			}
 			b.Probed(b.servers[0], Completed, took)
 		}
-		if b.servers[0].skipped != untold {
-			t.Fatal(untold)
+		if b.servers[0].skipped != noDelayReports {
+			t.Fatalf("no delay reports %t: skipped %t after a late probe", noDelayReports, b.servers[0].skipped)
 		}
 	}
 }
@@ -862,7 +863,7 @@
 // Every server that holds any of a group does the work that the group shares. With one or two flows a node, most servers
 // did it, and it cost as much as all flows (zone+vast, join+vast). Displaced flows leave a slow server for certain.
 func TestDisplacedFlowsLeaveASlowServerAndOthersByProbability(t *testing.T) {
-	for _, away := range []bool{true, false} {
+	for _, displaced := range []bool{true, false} {
 		moves := 0
 		for i := range 50 {
 			b, decisions := newTestBalancer(9, Repeatable, ScopeAll)
@@ -871,7 +872,7 @@
 			f.Group = &Group{Hash: 5}
 			slices.SortFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
 			s := b.servers[0]
-			if !away {
+			if !displaced {
 				s = b.servers[8]
 			}
 			f.server, f.open = s, true
@@ -879,8 +880,8 @@
 			b.Slow(s, 60_000)
 			moves += decisions.count("move")
 		}
-		if away && moves != 50 || !away && (moves < 1 || moves > 20) {
-			t.Errorf("away %t: %d of 50 moved", away, moves)
+		if displaced && moves != 50 || !displaced && (moves < 1 || moves > 20) {
+			t.Errorf("away %t: %d of 50 moved", displaced, moves)
 		}
 	}
 }
@@ -929,11 +930,11 @@
 			b.addOpenFlows(s, 4, initialFlowLoad)
 			s.messageDelay = 100_000
 		}
-		away := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
-		away.messageDelay, away.flows, away.load = 0, nil, idle
+		other := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
+		other.messageDelay, other.flows, other.load = 0, nil, idle
 		b.chooseServer(f)
-		if decisions.count(want) != 1 || want == "connect" && f.server != away {
-			t.Fatal(idle, decisions.decisions)
+		if decisions.count(want) != 1 || want == "connect" && f.server != other {
+			t.Fatalf("load %g on the other server: %q", idle, decisions.lines)
 		}
 	}
 }
@@ -956,7 +957,7 @@
 		b.moveLoad(s, 1) // far less than one flow
 	}
 	if n := decisions.count("move"); n != 2 {
-		t.Fatal(n, "of", len(s.flows), "left")
+		t.Fatalf("%d of %d displaced flows moved, not 2", n, len(s.flows))
 	}
 }
 
@@ -996,7 +997,7 @@
 			b.review()
 		}
 		if (s.loadLimit >= s.load) != (busy < busyFleetReport) {
-			t.Fatal(busy, s.loadLimit, s.load)
+			t.Fatalf("reported load %g: limit %g with own load %g", busy, s.loadLimit, s.load)
 		}
 	}
 }
@@ -1008,7 +1009,7 @@
 	s := b.servers[0]
 	b.Slow(s, 400_000)
 	if b.Reported(s, 9, true); decisions.count("move") > 0 || s.reportedLoad > maxSaturationThreshold+maxReportRise {
-		t.Fatal(decisions.decisions, s.reportedLoad)
+		t.Fatalf("a momentary stall: decisions %q, reported load %g", decisions.lines, s.reportedLoad)
 	}
 	if b.Slow(s, 400_000); decisions.count("move") == 0 {
 		t.Fatal("two slow reports in a row moved no flow")
@@ -1018,16 +1019,16 @@
 // Groups of five flows were on three servers and more, one for each node (xela-citas, rough-2). A flow is placed whether a
 // placement was reported never, once or twice.
 func TestGroupFollowsPlacementsOfOtherNodes(t *testing.T) {
-	for heard := range 3 {
+	for reports := range 3 {
 		b, _ := newReportingBalancer(0.3)
 		b.meanReportByZone = roomyFleetReport // crossings between zones cost less than the shared work of groups
 		f := &Flow{Type: &b.settings.Types[0], Group: &Group{Hash: 5}}
 		s := slices.MinFunc(b.servers, func(x, y *Server) int { return cmp.Compare(f.affinity(x, false), f.affinity(y, false)) })
-		for range heard {
+		for range reports {
 			b.Held(f.Group, s)
 		}
-		if b.chooseServer(f); (f.server == s) != (heard > 0) || (len(b.unpublishedPlacements) == 0) != (heard > 0) {
-			t.Fatal(heard, f.server.Name, b.unpublishedPlacements)
+		if b.chooseServer(f); (f.server == s) != (reports > 0) || (len(b.unpublishedPlacements) == 0) != (reports > 0) {
+			t.Fatalf("%d reports: placed on %s, %d placements to publish", reports, f.server.Name, len(b.unpublishedPlacements))
 		}
 		b.now += reportLifetime + 1
 		if b.recordPlacement(f, f.server); len(b.unpublishedPlacements) == 0 {
@@ -1044,7 +1045,7 @@
 		b.review()
 		f := &Flow{Type: &b.settings.Types[0], Group: &Group{Hash: 5}} // its first preferred server is in another zone
 		if b.chooseServer(f); (f.server == b.servers[5]) != (busy < roomyFleetReport) {
-			t.Fatal(busy, f.server.Name)
+			t.Fatalf("reported load %g: placed on %s", busy, f.server.Name)
 		}
 	}
 }
@@ -1056,21 +1057,22 @@
 	for _, s := range b.servers {
 		b.Entry(s, Up, 0.5, s.Started)
 	}
-	void := b.rankingStale
+	rankingStale := b.rankingStale
 	b.settings.Untold, b.nextReviewAt = true, 0
-	if b.review(); void || decisions.count("move") > 0 {
-		t.Fatal(void, decisions.decisions)
+	if b.review(); rankingStale || decisions.count("move") > 0 {
+		t.Fatalf("ranking stale %t, decisions %q", rankingStale, decisions.lines)
 	}
 }
 
 // Reports past their lifetime are ignored, and so are placements on servers that have left the list.
 func TestOldReportsAndRemovedPlacementsAreIgnored(t *testing.T) {
 	b, _ := newReportingBalancer(0.95)
-	s, g, was := b.servers[0], &Group{Hash: 5}, b.isSaturated(b.servers[0])
+	s, group, wasSaturated := b.servers[0], &Group{Hash: 5}, b.isSaturated(b.servers[0])
 	b.now += reportLifetime
-	b.Held(g, s)
+	b.Held(group, s)
 	b.Entry(s, Removed, 1, 0)
-	if b.Held(g, b.servers[0]); !was || b.isSaturated(s) || len(g.placements) != 1 {
-		t.Fatal(was, b.isSaturated(s), len(g.placements))
+	if b.Held(group, b.servers[0]); !wasSaturated || b.isSaturated(s) || len(group.placements) != 1 {
+		t.Fatalf("saturated %t before and %t after the lifetime; %d placements", wasSaturated, b.isSaturated(s),
+			len(group.placements))
 	}
 }
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -7,9 +7,9 @@
 )
 
 // recorder is a Writer that records the decisions of a balancer as short texts.
-type recorder struct{ decisions []string }
+type recorder struct{ lines []string }
 
-func (w *recorder) record(p ...string)                        { w.decisions = append(w.decisions, strings.Join(p, " ")) }
+func (w *recorder) record(parts ...string)                    { w.lines = append(w.lines, strings.Join(parts, " ")) }
 func (w *recorder) Connect(f *Flow, s *Server, timeout int64) { w.record("connect", s.Name) }
 func (w *recorder) Reject(f *Flow, wait int64)                { w.record("reject") }
 func (w *recorder) Abort(f *Flow)                             { w.record("abort") }
@@ -20,19 +20,19 @@
 func (w *recorder) Alarm(at int64)                            {}
 func (w *recorder) Trace(line string)                         {}
 
-func (w *recorder) count(word string) int {
+func (w *recorder) count(prefix string) int {
 	n := 0
-	for _, s := range w.decisions {
-		if strings.HasPrefix(s, word) {
+	for _, s := range w.lines {
+		if strings.HasPrefix(s, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *recorder) want(t *testing.T, words ...string) {
+func (w *recorder) want(t *testing.T, lines ...string) {
 	t.Helper()
-	if got, want := strings.Join(w.decisions, ", "), strings.Join(words, ", "); got != want {
+	if got, want := strings.Join(w.lines, ", "), strings.Join(lines, ", "); got != want {
 		t.Fatalf("got %q, want %q", got, want)
 	}
 }
--- a/balance/lists.go
+++ b/balance/lists.go
@@ -74,7 +74,7 @@
 }
 
 // requestWatch requests the list if that is due, and returns when it is due next. An unanswered request is repeated well
-// before this node would count as told of changes that it has not received.
+// before this node would count as informed of changes that it has not received.
 func (b *Balancer) requestWatch() int64 {
 	if !b.settings.OnRequest || b.watching {
 		return never
--- a/balance/sparse_test.go
+++ b/balance/sparse_test.go
@@ -9,7 +9,7 @@
 
 // newSparseFleet returns the balancers of nodes that know the same 60 servers of equal size and hold one flow each of a
 // few groups.
-func newSparseFleet(nodes, flows int) (all []*Balancer) {
+func newSparseFleet(nodes, flows int) (fleet []*Balancer) {
 	for i := range nodes {
 		b, _ := newTestBalancer(60, Repeatable, ScopeAll)
 		b.settings.Nodes, b.settings.Index, b.rankingStale, b.rng = nodes, i, true, rand.New(rand.NewSource(int64(i)))
@@ -19,9 +19,9 @@
 			f.server.add(f)
 		}
 		b.updateRanking()
-		all = append(all, b)
+		fleet = append(fleet, b)
 	}
-	return all
+	return fleet
 }
 
 // Each server that holds any of a group spends three flows' work on it. 300 nodes with one or two flows each spread groups
@@ -56,7 +56,7 @@
 	total        int
 }
 
-func newReturningCrowd(others State) *returningCrowd {
+func newReturningCrowd(otherState State) *returningCrowd {
 	c := &returningCrowd{nodes: newSparseFleet(300, 6), rng: rand.New(rand.NewSource(1)), connectTimes: map[string][]int64{}}
 	c.startedAt = c.nodes[0].now
 	for _, b := range c.nodes {
@@ -65,7 +65,7 @@
 			b.Entry(s, Up, 1, c.startedAt-second)
 		}
 		for _, s := range b.servers[30:] {
-			b.Entry(s, others, 1, 0)
+			b.Entry(s, otherState, 1, 0)
 		}
 		b.review()
 	}
@@ -97,9 +97,9 @@
 func (c *returningCrowd) countColdConnect(t *testing.T, s *Server, at int64) {
 	times := append(c.connectTimes[s.Name], at)
 	past, _ := slices.BinarySearch(times, at-3*second)
-	able := 3 * 3 * 2 * 300 * 6 / 60.0 / 20 * (0.2 + 0.8*max(float64(at-3*second-c.startedAt), 0)/float64(20*second))
-	if c.connectTimes[s.Name], c.total = times, c.total+1; float64(len(times)-past) > able+2*math.Sqrt(able)+2 {
-		t.Fatalf("%s got %d in 3 s, where it can bear %.1f", s.Name, len(times)-past, able)
+	capacity := 3 * 3 * 2 * 300 * 6 / 60.0 / 20 * (0.2 + 0.8*max(float64(at-3*second-c.startedAt), 0)/float64(20*second))
+	if c.connectTimes[s.Name], c.total = times, c.total+1; float64(len(times)-past) > capacity+2*math.Sqrt(capacity)+2 {
+		t.Fatalf("%s got %d in 3 s, more than its capacity of %.1f", s.Name, len(times)-past, capacity)
 	}
 }
 
@@ -112,7 +112,7 @@
 		hash, group uint64
 		tries       int
 	}
-	var waits [40][]client // by the step of 50 ms in which they return: after half a second, up to six times
+	var waits [40][]client // by the step of 50 ms in which they return: after half a second, for three seconds
 	for step := range 200 {
 		at, now := c.startedAt+int64(step)*second/20, waits[step%40]
 		for range 5 { // new clients
@@ -159,12 +159,12 @@
 	sum := 0
 	for no := range uint64(groups) {
 		c := newReturningCrowd(Draining)
-		known, sent := map[*Balancer]*Group{}, map[string][]int64{}
+		nodeGroups, connectTimes := map[*Balancer]*Group{}, map[string][]int64{}
 		for i, b := range c.nodes {
-			known[b] = &Group{Hash: 2000 + no}
+			nodeGroups[b] = &Group{Hash: 2000 + no}
 			for k := range 2 * (i % 2) {
 				f := b.newTestFlow()
-				f.Group, f.open, f.server = known[b], true, b.servers[30+(i+k)%30]
+				f.Group, f.open, f.server = nodeGroups[b], true, b.servers[30+(i+k)%30]
 				f.server.add(f)
 			}
 		}
@@ -175,13 +175,13 @@
 		for at := c.startedAt; at < c.startedAt+6*second; at += second / 4 {
 			clients = slices.DeleteFunc(clients, func(hash uint64) bool {
 				b := c.nodes[c.rng.Intn(len(c.nodes))]
-				f := c.requestAt(b, at+int64(hash%250_000), hash, known[b])
+				f := c.requestAt(b, at+int64(hash%250_000), hash, nodeGroups[b])
 				if f.server == nil || b.warmShare(f.server) == 1 {
 					return f.server != nil
 				}
-				times := append(sent[f.server.Name], b.now)
+				times := append(connectTimes[f.server.Name], b.now)
 				past, _ := slices.BinarySearch(times, b.now-3*second)
-				sent[f.server.Name], most, total = times, max(most, len(times)-past), total+1
+				connectTimes[f.server.Name], most, total = times, max(most, len(times)-past), total+1
 				return true
 			})
 		}
@@ -206,7 +206,7 @@
 		b.servers, b.rankingStale = b.servers[:c.servers], true
 		b.updateRanking()
 		if b.sparseFleet() != c.large {
-			t.Fatal(c.servers, b.sparseFleet())
+			t.Fatalf("%d servers: sparse fleet %t", c.servers, b.sparseFleet())
 		}
 		b.servers = b.servers[:60]
 	}
--- a/balance/types.go
+++ b/balance/types.go
@@ -63,7 +63,7 @@
 	Peers        bool    // nodes may send each other messages
 	Untold       bool    // nothing reports how long messages take at a server
 	OnRequest    bool    // the server list has to be requested
-	AskWithin    int64   // a node that has not requested the list counts as told of a change after this long
+	AskWithin    int64   // a node that has not requested the list counts as informed of a change after this long
 	AskMost      int64   // longest wait between a failed list call and the next; 0 derives it from the number of nodes
 	AskSpread    int64   // time over which the nodes of a starting fleet spread their first list calls; 0 derives it
 	MaxWait      int64   // longest retry delay that clients obey; 0 where they are not told one
@@ -304,7 +304,7 @@
 type Writer interface {
 	// Connect opens a connection for the flow to the server and gives up after the timeout.
 	Connect(f *Flow, s *Server, timeout int64)
-	// Reject refuses the flow; its client may come again after wait, 0 for no word on that. Trying again is harmless.
+	// Reject refuses the flow; its client may come again after wait, 0 leaves that open. Trying again is harmless.
 	Reject(f *Flow, wait int64)
 	// Abort refuses a flow that may have run and must not run again.
 	Abort(f *Flow)
