--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -140,7 +140,7 @@
 	f := b.newTestFlow()
 	f.Group = &Group{Hash: 5}
 	b.servers[0].add(f)
-	if preferred := b.groupAffinity(f).preferred; 20*(1-preferred) > 6 {
+	if preferred := b.groupRangeOf(f).preferred; 20*(1-preferred) > 6 {
 		t.Fatalf("%.0f preferred servers of 20", 20*(1-preferred))
 	}
 	for range 200 {
@@ -148,7 +148,7 @@
 		g.Group = f.Group
 		b.servers[0].add(g)
 	}
-	if preferred := b.groupAffinity(f).preferred; 20*(1-preferred) < 15 {
+	if preferred := b.groupRangeOf(f).preferred; 20*(1-preferred) < 15 {
 		t.Fatalf("%.0f preferred servers of 20 for a group that has all flows", 20*(1-preferred))
 	}
 }
@@ -555,8 +555,8 @@
 // size).
 func TestUnusedServersAreAssumedAsHealthyAsUsedOnes(t *testing.T) {
 	b, decisions := newLargeFleetBalancer()
-	fewHealthy := b.groupAffinity(&Flow{Group: &Group{}}).fewHealthy // false for a node that uses no server yet
-	notPreferred := slices.Clone(b.servers)                          // besides the preferred servers of the group
+	fewHealthy := b.groupRangeOf(&Flow{Group: &Group{}}).fewHealthy // false for a node that uses no server yet
+	notPreferred := slices.Clone(b.servers)                         // besides the preferred servers of the group
 	slices.SortFunc(notPreferred, func(x, y *Server) int {
 		f := &Flow{Group: &Group{Hash: 5}}
 		return cmp.Compare(f.affinity(x, false), f.affinity(y, false))
@@ -947,7 +947,7 @@
 	for i := range 40 {
 		f := b.newTestFlow()
 		f.Group = &Group{Hash: uint64(100 + i)}
-		if preferred := b.groupAffinity(f).preferred; f.Group.hashAffinity(s) < preferred {
+		if preferred := b.groupRangeOf(f).preferred; f.Group.hashAffinity(s) < preferred {
 			f.server, f.open, f.Tries = s, true, 1
 			s.add(f)
 		}
--- a/balance/groups.go
+++ b/balance/groups.go
@@ -41,13 +41,16 @@
 	healthy    float64 // estimated share of healthy servers
 }
 
-// groupAffinity gives the range of a flow's group. Each server that holds any of a group pays for the work that the
-// group shares, so a group is kept to few servers.
-func (b *Balancer) groupAffinity(f *Flow) groupRange {
+// groupRangeOf returns the range of a flow's group. Each server that holds any of a group does the work that the group
+// shares, so a group is kept to few servers.
+func (b *Balancer) groupRangeOf(f *Flow) groupRange {
 	if f.Group == nil {
 		return groupRange{healthy: 1}
 	}
-	n, all, used, healthy, affinities := float64(len(b.servers)), assumedOtherFlows, 0.0, 0.0, []float64{}
+	n := float64(len(b.servers))
+	all := assumedOtherFlows // plus the flows of this node and its past connects for groups
+	used, healthy := 0.0, 0.0
+	affinities := []float64{}
 	for _, s := range b.servers {
 		all += float64(len(s.flows) + s.groupConnects)
 		if s.load > 0 || b.now-s.setupTriedAt < recentSetupTime {
@@ -62,11 +65,16 @@
 			affinities = append(affinities, f.Group.hashAffinity(s))
 		}
 	}
-	groupServers := n * float64(f.Group.flows+f.Group.connects) / all // by the group's part of all flows
-	f.Group.crowdPerServer = max(n*float64(f.Group.flows+f.Group.connects+f.Group.rejected)/(all+float64(b.rejectedGroupFlows)), 1)
-	r := groupRange{fewHealthy: used > 0 && healthy <= used*fewHealthyShare, healthy: (healthy + 2) / (used + 2)}
+	// The servers that the group would fill by its part of all flows.
+	groupServers := n * float64(f.Group.flows+f.Group.connects) / all
+	withRejected := float64(f.Group.flows + f.Group.connects + f.Group.rejected)
+	f.Group.crowdPerServer = max(n*withRejected/(all+float64(b.rejectedGroupFlows)), 1)
+	r := groupRange{
+		fewHealthy: used > 0 && healthy <= used*fewHealthyShare,
+		healthy:    (healthy + 2) / (used + 2), // with a prior of two healthy servers
+	}
 	if len(affinities) > 0 {
-		// The preferred servers are the first that are up. A choice by more than that could not be seen from other nodes.
+		// The preferred servers are the first that are up: other nodes could not tell a choice by anything more.
 		slices.Sort(affinities)
 		count := int(minPreferredServers + sparsePreferredShare*groupServers + b.rng.Float64())
 		r.preferred = affinities[max(len(affinities)-count, 0)]
--- a/balance/load.go
+++ b/balance/load.go
@@ -36,16 +36,17 @@
 
 // Reported takes a server's report of its load over its capacity, which includes load that other nodes put there. own
 // says that the report came to this node, not from another node.
-func (b *Balancer) Reported(s *Server, busy float64, own bool) {
-	busy = min(busy, max(s.reportedLoad, maxSaturationThreshold)+maxReportRise) // guards a server that stalled just then
-	s.reportedLoad, s.reportedAt, s.loadInReport = busy, b.now, s.load
+func (b *Balancer) Reported(s *Server, load float64, own bool) {
+	load = min(load, max(s.reportedLoad, maxSaturationThreshold)+maxReportRise) // guards a server that stalled just then
+	s.reportedLoad, s.reportedAt, s.loadInReport = load, b.now, s.load
 	for _, f := range s.flows {
 		if b.now-f.connectAt < reportLag {
 			s.loadInReport -= f.load // too young to be in the report
 		}
 	}
-	if own && b.settings.Peers && !s.unpublished && (busy > maxSaturationThreshold || s.publishedSaturated) {
-		s.publishedSaturated, s.unpublished = busy > maxSaturationThreshold, true
+	isSaturated := load > maxSaturationThreshold
+	if own && b.settings.Peers && !s.unpublished && (isSaturated || s.publishedSaturated) {
+		s.publishedSaturated, s.unpublished = isSaturated, true
 		b.unpublishedReports = append(b.unpublishedReports, s)
 	}
 }
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -47,7 +47,7 @@
 func (b *Balancer) chooseServer(f *Flow) {
 	b.updateRanking()
 	search := serverSearch{flow: f, mean: b.meanLoad()}
-	search.group = b.groupAffinity(f)
+	search.group = b.groupRangeOf(f)
 	for _, s := range b.ranking {
 		if !s.inSubset && f.Group == nil && !f.Passed && search.leastLoaded != nil {
 			break // the rest of the list is used only if the subset has no server
@@ -127,7 +127,9 @@
 
 // placementAffinity adjusts the affinity of a server by what this node knows, and gives the factor of the server's load
 // cap. A local server has room in the own zone and is not capped.
-func (b *Balancer) placementAffinity(search *serverSearch, s *Server, affinity float64) (adjusted, capFactor float64, local bool) {
+func (b *Balancer) placementAffinity(search *serverSearch, s *Server, affinity float64) (
+	adjusted, capFactor float64, local bool) {
+
 	f, preferred := search.flow, search.group.preferred
 	if f.Group != nil && affinity >= preferred && affinity < 1 && b.subsetStride > 1 && !b.settings.Peers {
 		// A random draw among the preferred servers keeps all nodes from choosing the first by hash.
--- a/balance/rebalance.go
+++ b/balance/rebalance.go
@@ -67,7 +67,7 @@
 	for _, f := range s.flows {
 		f.displaced = f.Group != nil && amount < noLimit && b.now-b.displacedAt > displacedMoveInterval
 		if f.displaced {
-			preferred := b.groupAffinity(f).preferred // also sets the weights that hashAffinity goes by
+			preferred := b.groupRangeOf(f).preferred // also sets the weights that hashAffinity goes by
 			f.displaced = f.Group.hashAffinity(s) < preferred
 		}
 	}
--- a/balance/types.go
+++ b/balance/types.go
@@ -129,7 +129,7 @@
 	flows          int               // own flows
 	connects       int               // connects ever made for this group by this node
 	rejected       int               // flows of this group that this node rejected; counted in a sparse fleet only
-	crowdPerServer float64           // flows that reach each preferred server if all of the group arrive at once, over the flows of one server
+	crowdPerServer float64           // flows at each preferred server if all of the group arrive at once, over a server's usual flows
 	placements     map[*Server]int64 // servers that nodes reported to hold the group, and when they did
 }
 
@@ -289,8 +289,8 @@
 	}
 }
 
-// ListKind says what a report of the server list is. A report begins with List, has one Entry for each server and ends
-// with ListEnd.
+// ListKind says what a report of the server list is. The balancer takes a report as a beginning, one entry for each
+// server that it names, and an end.
 type ListKind uint8
 
 const (
@@ -313,7 +313,7 @@
 	// Probe sends a probe to the server.
 	Probe(s *Server)
 	// Tell publishes to the other nodes the reported loads of servers, and where groups are placed.
-	Tell(servers []*Server, homes []Home)
+	Tell(servers []*Server, placements []Home)
 	// Watch requests the server list and its changes.
 	Watch()
 	// Alarm asks for a round at this time; it replaces an alarm that was set before.
