--- a/cluster/permits/permits.go
+++ b/cluster/permits/permits.go
@@ -27,25 +27,25 @@
 	ms     = int64(1000)
 	second = 1000 * ms
 
-	Hold      = 6 * second    // for which a permit counts at its owner;
-	Use       = Hold * 8 / 10 // at its user, from before it asked
-	quiet     = Hold * 11 / 10
-	renew     = Hold / 3 // after the last answer it is asked for again
-	again     = 60 * ms  // without an answer
-	mostTries = 3        // until what waits is told
-	refused   = 50 * ms  // a key that was refused is refused without asking for so long
-	sweep     = 50 * ms
-	step      = 100 * ms // more between two turns is a jump of the clock, or a standstill: the owner's time does not go on by it
-	mostMine  = 1 << 14  // keys that a process uses, and
-	mostOwn   = 1 << 16  // that an owner has books of
-	perAsk    = 64       // keys in a datagram
-
-	askKind  = 8
-	giveKind = 9
-	headSize = 1 + 4 + 8 + 8 // kind, round, process that asks and that before it
-	askSize  = 8 + 2 + 2     // key, used, wanted
-	giveSize = 8 + 2         // key, allowed
-	mostUse  = 1<<16 - 1
+	OwnerTerm      = 6 * second         // for which a permit counts at its owner;
+	Use            = OwnerTerm * 8 / 10 // at its user, from before it asked
+	newOwnerTerm   = OwnerTerm * 11 / 10
+	renewAfter     = OwnerTerm / 3 // after the last answer it is asked for again
+	retryInterval  = 60 * ms       // without an answer
+	maxAttempts    = 3             // until what waits is told
+	refusalTerm    = 50 * ms       // a key that was refused is refused without asking for so long
+	sweepInterval  = 50 * ms
+	maxTickStep    = 100 * ms // more between two turns is a jump of the clock, or a standstill: the owner's time does not go on by it
+	maxUsedKeys    = 1 << 14  // keys that a process uses, and
+	maxOwnedKeys   = 1 << 16  // that an owner has books of
+	keysPerRequest = 64       // keys in a datagram
+
+	requestKind      = 8
+	replyKind        = 9
+	headerSize       = 1 + 4 + 8 + 8 // kind, round, process that asks and that before it
+	requestEntrySize = 8 + 2 + 2     // key, used, wanted
+	replyEntrySize   = 8 + 2         // key, allowed
+	maxCount         = 1<<16 - 1
 )
 
 // Limit is one limit: so many at once.
@@ -56,53 +56,53 @@
 
 // Check says why a limit can't be kept; nil where it can.
 func (l Limit) Check() error {
-	if l.Most < 1 || l.Most > mostUse {
+	if l.Most < 1 || l.Most > maxCount {
 		return fmt.Errorf("%d at once make no limit", l.Most)
 	}
 	return nil
 }
 
-// MostAt is how many all of so many nodes have at most, while so many of them can't ask or have still what they let pass
+// MaxWith is how many all of so many nodes have at most, while so many of them can't ask or have still what they let pass
 // when they could not.
-func (l Limit) MostAt(nodes, cutOff int) int {
+func (l Limit) MaxWith(nodes, cutOff int) int {
 	if l.Strict {
 		return l.Most
 	}
 	return l.Most*(1+cutOff) + nodes
 }
 
-// mine is what this process has of a key.
-type mine struct {
-	use    int
-	spare  int // wanted beyond
-	may    int
-	until  int64 // on its own clock
-	round  uint32
-	askAt  int64 // of that round
-	from   int   // whom
-	tries  int   // without an answer
-	waits  []any
-	nextAt int64 // when it is asked for again
-	noTill int64 // it is refused without asking until then
-	cutOff bool  // no answer came: the own part counts, where the limit is an available one
-	lasts  int64 // what was taken over from the process before counts until then,
-	tookAt int64 // the last of it
+// usage is what this process has of a key.
+type usage struct {
+	inUse         int
+	reserve       int // wanted beyond
+	allowed       int
+	allowedUntil  int64 // on its own clock
+	round         uint32
+	requestedAt   int64 // of that round
+	askedNode     int   // whom
+	attempts      int   // without an answer
+	waiters       []any
+	nextRequestAt int64 // when it is asked for again
+	refusedUntil  int64 // it is refused without asking until then
+	cutOff        bool  // no answer came: the own part counts, where the limit is an available one
+	takeoverUntil int64 // what was taken over from the process before counts until then,
+	takenOverAt   int64 // the last of it
 }
 
-// entry is what one process may use, as its owner has it booked.
-type entry struct {
-	n     int
-	round uint32
-	until int64 // of ran
+// ledgerEntry is what one process may use, as its owner has it booked.
+type ledgerEntry struct {
+	booked    int
+	round     uint32
+	expiresAt int64 // of ran
 }
 
-type book struct {
-	since int64
-	of    map[uint64]*entry // by process
+type ledger struct {
+	ownedSince int64
+	entries    map[uint64]*ledgerEntry // by process
 }
 
-// Owner says who owns a key's slot, as this process knows it.
-type Owner interface {
+// OwnerLookup says who owns a key's slot, as this process knows it.
+type OwnerLookup interface {
 	Mine(key uint64) (since, until int64, ok bool)
 	Who(key uint64) int // else whom to ask: a belief; under 0 where nobody can be
 }
@@ -121,435 +121,435 @@
 
 // Permits is one process's part.
 type Permits struct {
-	lim     Limit
-	process uint64
-	nodes   int
-	owner   Owner
-	now     int64
-	ran     int64 // the owner's time: what passed in turns
-	round   uint32
-	sweepAt int64
-	mine    map[uint64]*mine
-	own     map[uint64]*book
-	ready   []Answer                               // for the next turn
-	before  uint64                                 // the process of this node that hands over to this one; 0: none
-	yields  bool                                   // this one hands over
-	slots   [lease.Slots]struct{ since, at int64 } // ownerships, and since when of ran
+	limit       Limit
+	process     uint64
+	nodes       int
+	owner       OwnerLookup
+	now         int64
+	ownerTime   int64 // the owner's time: what passed in turns
+	round       uint32
+	nextSweepAt int64
+	usages      map[uint64]*usage
+	ledgers     map[uint64]*ledger
+	decided     []Answer                               // for the next turn
+	predecessor uint64                                 // the process of this node that hands over to this one; 0: none
+	handingOver bool                                   // this one hands over
+	slots       [lease.Slots]struct{ since, at int64 } // ownerships, and since when of ran
 
 	Granted, Refused, Asked, Alone, Stray, Ended int64 // Alone: by the own part. Ended: told to be over
 }
 
 // New makes one process's part of a limit that Check has found right. Process must differ from that of any other process.
-func New(l Limit, process uint64, nodes int, owner Owner) *Permits {
-	return &Permits{lim: l, process: process, nodes: nodes, owner: owner, mine: map[uint64]*mine{}, own: map[uint64]*book{}}
+func New(limit Limit, process uint64, nodes int, owner OwnerLookup) *Permits {
+	return &Permits{limit: limit, process: process, nodes: nodes, owner: owner, usages: map[uint64]*usage{}, ledgers: map[uint64]*ledger{}}
 }
 
 // Keys is how many keys this process uses, and of how many it keeps books.
-func (l *Permits) Keys() (used, owned int) { return len(l.mine), len(l.own) }
+func (p *Permits) Keys() (used, owned int) { return len(p.usages), len(p.ledgers) }
 
 // Used is what this process has of all keys.
-func (l *Permits) Used() (n int) {
-	for _, m := range l.mine {
-		n += m.use
+func (p *Permits) Used() (n int) {
+	for _, u := range p.usages {
+		n += u.inUse
 	}
 	return n
 }
 
 // Set changes the limit. What is over a lower one ends where it is strict, as its permits are asked for anew.
-func (l *Permits) Set(lim Limit) {
-	l.lim = lim
-	for _, m := range l.mine {
-		m.nextAt = min(m.nextAt, l.now)
+func (p *Permits) Set(limit Limit) {
+	p.limit = limit
+	for _, u := range p.usages {
+		u.nextRequestAt = min(u.nextRequestAt, p.now)
 	}
 }
 
 // Due tells whether Turn will look at all keys: what Keep is told just before goes by it.
-func (l *Permits) Due(now int64) bool { return now >= l.sweepAt || now < l.now }
+func (p *Permits) Due(now int64) bool { return now >= p.nextSweepAt || now < p.now }
 
 // Oldest is how long ago the owner of a key in use was last heard, the longest of all, microseconds.
-func (l *Permits) Oldest() (age int64) {
-	for _, m := range l.mine {
-		if !m.idle() {
-			age = max(age, l.now-(m.until-Use))
+func (p *Permits) Oldest() (age int64) {
+	for _, u := range p.usages {
+		if !u.isIdle() {
+			age = max(age, p.now-(u.allowedUntil-Use))
 		}
 	}
 	return age
 }
 
 // May is how much of a key this process may use now.
-func (l *Permits) May(key uint64) int {
-	if m := l.mine[key]; m != nil {
-		return l.may(m)
+func (p *Permits) May(key uint64) int {
+	if u := p.usages[key]; u != nil {
+		return p.allowance(u)
 	}
 	return 0
 }
 
-func (l *Permits) may(m *mine) (may int) {
-	if l.now < m.until {
-		may = m.may
+func (p *Permits) allowance(u *usage) (allowed int) {
+	if p.now < u.allowedUntil {
+		allowed = u.allowed
 	}
-	if l.now < m.lasts {
-		may = max(may, m.use) // it was in use before, and nothing new is let pass by it
+	if p.now < u.takeoverUntil {
+		allowed = max(allowed, u.inUse) // it was in use before, and nothing new is let pass by it
 	}
-	if m.cutOff && !l.lim.Strict {
-		may = max(may, l.lim.Most/l.nodes, 1)
+	if u.cutOff && !p.limit.Strict {
+		allowed = max(allowed, p.limit.Most/p.nodes, 1)
 	}
-	return may
+	return allowed
 }
 
 // Turn begins a turn of the loop: it asks for what is due, gives what became of those that waited too long, and tells what
 // has to end: the caller does that in this turn, and says so by Done.
-func (l *Permits) Turn(now int64, send func(to int, p []byte)) (done []Answer, over []Excess) {
-	if now < l.now { // the clock went back: what was given may have run out
-		for _, m := range l.mine {
-			m.until, m.nextAt, m.askAt, m.noTill = 0, now, now, 0
+func (p *Permits) Turn(now int64, send func(to int, p []byte)) (decided []Answer, excess []Excess) {
+	if now < p.now { // the clock went back: what was given may have run out
+		for _, u := range p.usages {
+			u.allowedUntil, u.nextRequestAt, u.requestedAt, u.refusedUntil = 0, now, now, 0
 		}
-		l.sweepAt = now
+		p.nextSweepAt = now
 	}
-	l.ran += min(max(now-l.now, 0), step)
-	if l.now = now; now < l.sweepAt {
+	p.ownerTime += min(max(now-p.now, 0), maxTickStep)
+	if p.now = now; now < p.nextSweepAt {
 		return nil, nil
 	}
-	l.sweepAt = now + sweep
-	l.tidy()
-	var due, gone []uint64
-	for key, m := range l.mine {
-		if now >= m.nextAt || m.idle() || m.tries >= mostTries && now-m.askAt >= again {
+	p.nextSweepAt = now + sweepInterval
+	p.pruneLedgers()
+	var due, idleOrOver []uint64
+	for key, u := range p.usages {
+		if now >= u.nextRequestAt || u.isIdle() || u.attempts >= maxAttempts && now-u.requestedAt >= retryInterval {
 			due = append(due, key)
 		}
-		if m.idle() || l.lim.Strict && m.use > l.may(m) {
-			gone = append(gone, key)
+		if u.isIdle() || p.limit.Strict && u.inUse > p.allowance(u) {
+			idleOrOver = append(idleOrOver, key)
 		}
 	}
 	slices.Sort(due) // so that it comes out the same every time
-	slices.Sort(gone)
+	slices.Sort(idleOrOver)
 	for _, key := range due {
-		if m := l.mine[key]; m.tries >= mostTries && now-m.askAt >= again {
-			m.cutOff = true
-			l.settle(m)
+		if u := p.usages[key]; u.attempts >= maxAttempts && now-u.requestedAt >= retryInterval {
+			u.cutOff = true
+			p.settleWaiters(u)
 		}
 	}
-	l.ask(slices.DeleteFunc(due, func(key uint64) bool { m := l.mine[key]; return now < m.nextAt && !m.idle() }), send)
-	for _, key := range gone {
-		m := l.mine[key]
-		if n := m.use - l.may(m); n > 0 && l.lim.Strict {
-			over = append(over, Excess{key, n})
-			l.Ended += int64(n)
+	p.request(slices.DeleteFunc(due, func(key uint64) bool { u := p.usages[key]; return now < u.nextRequestAt && !u.isIdle() }), send)
+	for _, key := range idleOrOver {
+		u := p.usages[key]
+		if n := u.inUse - p.allowance(u); n > 0 && p.limit.Strict {
+			excess = append(excess, Excess{key, n})
+			p.Ended += int64(n)
 		}
-		if m.idle() {
-			delete(l.mine, key) // given back
+		if u.isIdle() {
+			delete(p.usages, key) // given back
 		}
 	}
-	done, l.ready = l.ready, nil
-	return done, over
+	decided, p.decided = p.decided, nil
+	return decided, excess
 }
 
-// tidy drops books of keys that are owned no more, and notes ownerships that are new.
-func (l *Permits) tidy() {
-	for s := range l.slots {
-		if since, _, ok := l.owner.Mine(uint64(s)); ok {
-			l.slot(uint64(s), since)
+// pruneLedgers drops books of keys that are owned no more, and notes ownerships that are new.
+func (p *Permits) pruneLedgers() {
+	for slot := range p.slots {
+		if since, _, ok := p.owner.Mine(uint64(slot)); ok {
+			p.slotOwnedFrom(uint64(slot), since)
 		}
 	}
-	for key, b := range l.own {
-		if since, _, ok := l.owner.Mine(key); !ok || since != b.since || l.clean(b) {
-			delete(l.own, key)
+	for key, ledger := range p.ledgers {
+		if since, _, ok := p.owner.Mine(key); !ok || since != ledger.ownedSince || p.dropExpired(ledger) {
+			delete(p.ledgers, key)
 		}
 	}
 }
 
-func (m *mine) idle() bool { return m.use == 0 && m.spare == 0 && len(m.waits) == 0 }
+func (u *usage) isIdle() bool { return u.inUse == 0 && u.reserve == 0 && len(u.waiters) == 0 }
 
-// settle answers those that wait for as far as is allowed now, and the rest where nothing more is to come.
-func (l *Permits) settle(m *mine) {
-	for _, w := range m.waits {
-		yes := m.use < l.may(m)
-		if yes {
-			m.use++
+// settleWaiters answers those that wait for as far as is allowed now, and the rest where nothing more is to come.
+func (p *Permits) settleWaiters(u *usage) {
+	for _, waiter := range u.waiters {
+		granted := u.inUse < p.allowance(u)
+		if granted {
+			u.inUse++
 		} else {
-			m.noTill = l.now + refused
+			u.refusedUntil = p.now + refusalTerm
 		}
-		l.tally(yes, m)
-		l.ready = append(l.ready, Answer{w, yes})
+		p.count(granted, u)
+		p.decided = append(p.decided, Answer{waiter, granted})
 	}
-	m.waits = nil
+	u.waiters = nil
 }
 
-func (l *Permits) tally(yes bool, m *mine) {
+func (p *Permits) count(granted bool, u *usage) {
 	switch {
-	case !yes:
-		l.Refused++
-	case m.cutOff:
-		l.Alone++
+	case !granted:
+		p.Refused++
+	case u.cutOff:
+		p.Alone++
 		fallthrough
 	default:
-		l.Granted++
+		p.Granted++
 	}
 }
 
 // Take asks for one of a key. Yes and no are at once; else the waiter has its answer from a later Turn or Told. What was
 // given is given back by Done.
-func (l *Permits) Take(key uint64, waiter any, send func(to int, p []byte)) (yes, waits bool) {
-	m := l.get(key)
-	if m == nil || l.now < m.noTill || l.yields {
-		l.Refused++
+func (p *Permits) Take(key uint64, waiter any, send func(to int, p []byte)) (granted, waiting bool) {
+	u := p.usageOf(key)
+	if u == nil || p.now < u.refusedUntil || p.handingOver {
+		p.Refused++
 		return false, false
 	}
-	_, _, own := l.owner.Mine(key)
-	if len(m.waits) == 0 && !own && !m.cutOff && m.use >= l.may(m) {
-		m.waits = append(m.waits, waiter)
-		if m.tries == 0 {
-			l.ask([]uint64{key}, send)
+	_, _, owned := p.owner.Mine(key)
+	if len(u.waiters) == 0 && !owned && !u.cutOff && u.inUse >= p.allowance(u) {
+		u.waiters = append(u.waiters, waiter)
+		if u.attempts == 0 {
+			p.request([]uint64{key}, send)
 		}
 		return false, true
 	}
-	if len(m.waits) > 0 && !own {
-		m.waits = append(m.waits, waiter)
+	if len(u.waiters) > 0 && !owned {
+		u.waiters = append(u.waiters, waiter)
 		return false, true
 	}
-	if own {
-		m.spare++ // asked for with what is in use
-		l.ask([]uint64{key}, send)
-		m.spare--
+	if owned {
+		u.reserve++ // asked for with what is in use
+		p.request([]uint64{key}, send)
+		u.reserve--
 	}
-	if yes = m.use < l.may(m); yes {
-		m.use++
+	if granted = u.inUse < p.allowance(u); granted {
+		u.inUse++
 	} else {
-		m.noTill = l.now + refused
+		u.refusedUntil = p.now + refusalTerm
 	}
-	l.tally(yes, m)
-	return yes, false
+	p.count(granted, u)
+	return granted, false
 }
 
 // Yield is that another process of this node takes over: nothing new is let pass here, and what is given back is that
 // one's.
-func (l *Permits) Yield() { l.yields = true }
+func (p *Permits) Yield() { p.handingOver = true }
 
 // Left is for how long what this process has of a key may be used, microseconds.
-func (l *Permits) Left(key uint64) int64 {
-	if m := l.mine[key]; m != nil {
-		return max(m.until-l.now, 0)
+func (p *Permits) Left(key uint64) int64 {
+	if u := p.usages[key]; u != nil {
+		return max(u.allowedUntil-p.now, 0)
 	}
 	return 0
 }
 
 // TakeOver is that the process before this one hands over one of a key, that counts for so many microseconds still.
-func (l *Permits) TakeOver(key, before uint64, left int64) {
-	m := l.get(key)
-	if m == nil {
+func (p *Permits) TakeOver(key, predecessor uint64, remaining int64) {
+	u := p.usageOf(key)
+	if u == nil {
 		return
 	}
-	left = min(left, Use)
-	if m.use == 0 || m.lasts <= l.now {
-		m.lasts = l.now + left
+	remaining = min(remaining, Use)
+	if u.inUse == 0 || u.takeoverUntil <= p.now {
+		u.takeoverUntil = p.now + remaining
 	}
-	l.before, m.lasts, m.tookAt = before, min(m.lasts, l.now+left), l.now
-	m.use++
-	m.nextAt = l.now
+	p.predecessor, u.takeoverUntil, u.takenOverAt = predecessor, min(u.takeoverUntil, p.now+remaining), p.now
+	u.inUse++
+	u.nextRequestAt = p.now
 }
 
 // Done gives one back.
-func (l *Permits) Done(key uint64) {
-	if m := l.mine[key]; m != nil && m.use > 0 {
-		if m.use--; l.yields {
-			m.may = min(m.may, m.use)
+func (p *Permits) Done(key uint64) {
+	if u := p.usages[key]; u != nil && u.inUse > 0 {
+		if u.inUse--; p.handingOver {
+			u.allowed = min(u.allowed, u.inUse)
 		}
-		m.nextAt = min(m.nextAt, max(m.askAt+again, l.now)) // others may want it
+		u.nextRequestAt = min(u.nextRequestAt, max(u.requestedAt+retryInterval, p.now)) // others may want it
 	}
 }
 
 // Keep says how many of a key are in use and how many more are wanted in hand: for what can't wait for an answer.
-func (l *Permits) Keep(key uint64, use, spare int) {
-	if use == 0 && spare == 0 && l.mine[key] == nil {
+func (p *Permits) Keep(key uint64, inUse, reserve int) {
+	if inUse == 0 && reserve == 0 && p.usages[key] == nil {
 		return
 	}
-	m := l.get(key)
-	if m == nil {
+	u := p.usageOf(key)
+	if u == nil {
 		return
 	}
-	if m.spare = spare; use+spare > m.may || use < m.use {
-		m.nextAt = min(m.nextAt, max(m.askAt+again, l.now))
+	if u.reserve = reserve; inUse+reserve > u.allowed || inUse < u.inUse {
+		u.nextRequestAt = min(u.nextRequestAt, max(u.requestedAt+retryInterval, p.now))
 	}
-	m.use = use
+	u.inUse = inUse
 }
 
-func (l *Permits) get(key uint64) *mine {
-	m := l.mine[key]
-	if m == nil && len(l.mine) < mostMine {
-		m = &mine{askAt: l.now, nextAt: l.now}
-		l.mine[key] = m
+func (p *Permits) usageOf(key uint64) *usage {
+	u := p.usages[key]
+	if u == nil && len(p.usages) < maxUsedKeys {
+		u = &usage{requestedAt: p.now, nextRequestAt: p.now}
+		p.usages[key] = u
 	}
-	return m
+	return u
 }
 
-// ask says what is used and wanted of keys, those of one owner in one datagram as far as they fit. From here on no more
+// request says what is used and wanted of keys, those of one owner in one datagram as far as they fit. From here on no more
 // is used than was said, until the answer.
-func (l *Permits) ask(keys []uint64, send func(to int, p []byte)) {
+func (p *Permits) request(keys []uint64, send func(to int, payload []byte)) {
 	byOwner := map[int][]uint64{}
 	var order []int
 	for _, key := range keys {
-		m := l.mine[key]
-		m.may = min(m.may, m.use)
-		m.tries++
-		m.askAt, m.nextAt = l.now, l.now+min(again*int64(m.tries), second)
-		if since, _, ok := l.owner.Mine(key); ok {
-			l.round++
-			m.round = l.round
-			n, _ := l.serve(key, since, l.process, l.before, l.round, m.use, m.wants())
-			l.given(m, n)
-			l.settle(m)
+		u := p.usages[key]
+		u.allowed = min(u.allowed, u.inUse)
+		u.attempts++
+		u.requestedAt, u.nextRequestAt = p.now, p.now+min(retryInterval*int64(u.attempts), second)
+		if since, _, ok := p.owner.Mine(key); ok {
+			p.round++
+			u.round = p.round
+			allowed, _ := p.allocate(key, since, p.process, p.predecessor, p.round, u.inUse, u.wanted())
+			p.applyReply(u, allowed)
+			p.settleWaiters(u)
 			continue
 		}
-		to := l.owner.Who(key)
+		to := p.owner.Who(key)
 		if to < 0 {
-			m.round = 0
+			u.round = 0
 			continue
 		}
-		if m.from = to; byOwner[to] == nil {
+		if u.askedNode = to; byOwner[to] == nil {
 			order = append(order, to)
 		}
 		byOwner[to] = append(byOwner[to], key)
 	}
 	for _, to := range order {
-		for some := range slices.Chunk(byOwner[to], perAsk) {
-			l.round++
-			p := binary.LittleEndian.AppendUint32([]byte{askKind}, l.round)
-			p = binary.LittleEndian.AppendUint64(p, l.process)
-			p = binary.LittleEndian.AppendUint64(p, l.before)
-			for _, key := range some {
-				m := l.mine[key]
-				m.round = l.round
-				p = binary.LittleEndian.AppendUint64(p, key)
-				p = binary.LittleEndian.AppendUint16(p, uint16(min(m.use, mostUse)))
-				p = binary.LittleEndian.AppendUint16(p, uint16(min(m.wants(), mostUse)))
+		for chunk := range slices.Chunk(byOwner[to], keysPerRequest) {
+			p.round++
+			payload := binary.LittleEndian.AppendUint32([]byte{requestKind}, p.round)
+			payload = binary.LittleEndian.AppendUint64(payload, p.process)
+			payload = binary.LittleEndian.AppendUint64(payload, p.predecessor)
+			for _, key := range chunk {
+				u := p.usages[key]
+				u.round = p.round
+				payload = binary.LittleEndian.AppendUint64(payload, key)
+				payload = binary.LittleEndian.AppendUint16(payload, uint16(min(u.inUse, maxCount)))
+				payload = binary.LittleEndian.AppendUint16(payload, uint16(min(u.wanted(), maxCount)))
 			}
-			l.Asked++
-			send(to, p)
+			p.Asked++
+			send(to, payload)
 		}
 	}
 }
 
-func (m *mine) wants() int { return m.use + len(m.waits) + m.spare }
+func (u *usage) wanted() int { return u.inUse + len(u.waiters) + u.reserve }
 
-// given takes in what an owner allows.
-func (l *Permits) given(m *mine, n int) {
-	m.may, m.until, m.tries, m.cutOff = n, m.askAt+Use, 0, false
-	if m.askAt > m.tookAt {
-		m.lasts = 0 // the owner knows of it
+// applyReply takes in what an owner allows.
+func (p *Permits) applyReply(u *usage, allowed int) {
+	u.allowed, u.allowedUntil, u.attempts, u.cutOff = allowed, u.requestedAt+Use, 0, false
+	if u.requestedAt > u.takenOverAt {
+		u.takeoverUntil = 0 // the owner knows of it
 	}
-	m.nextAt = m.askAt + renew
+	u.nextRequestAt = u.requestedAt + renewAfter
 }
 
-// slot is since when, of ran, this process has a slot under its ownership.
-func (l *Permits) slot(key uint64, since int64) int64 {
-	s := &l.slots[key%lease.Slots]
-	if s.since != since || s.at == 0 {
-		s.since, s.at = since, l.ran+1
+// slotOwnedFrom is since when, of ran, this process has a slot under its ownership.
+func (p *Permits) slotOwnedFrom(key uint64, since int64) int64 {
+	slot := &p.slots[key%lease.Slots]
+	if slot.since != since || slot.at == 0 {
+		slot.since, slot.at = since, p.ownerTime+1
 	}
-	return s.at
+	return slot.at
 }
 
-// clean takes out of a book what has run out; true where nothing is left.
-func (l *Permits) clean(b *book) bool {
-	for id, e := range b.of {
-		if l.ran >= e.until {
-			delete(b.of, id)
+// dropExpired takes out of a book what has run out; true where nothing is left.
+func (p *Permits) dropExpired(ledger *ledger) bool {
+	for process, entry := range ledger.entries {
+		if p.ownerTime >= entry.expiresAt {
+			delete(ledger.entries, process)
 		}
 	}
-	return len(b.of) == 0
+	return len(ledger.entries) == 0
 }
 
-// serve books what a process uses and wants of a key that this one owns; false where it has said something newer.
-func (l *Permits) serve(key uint64, since int64, process, before uint64, round uint32, use, wants int) (n int, ok bool) {
-	at := l.slot(key, since)
-	b := l.own[key]
-	if b == nil || b.since != since {
-		if b == nil && len(l.own) >= mostOwn {
+// allocate books what a process uses and wants of a key that this one owns; false where it has said something newer.
+func (p *Permits) allocate(key uint64, since int64, process, predecessor uint64, round uint32, inUse, wanted int) (allowed int, ok bool) {
+	ownedFrom := p.slotOwnedFrom(key, since)
+	keyLedger := p.ledgers[key]
+	if keyLedger == nil || keyLedger.ownedSince != since {
+		if keyLedger == nil && len(p.ledgers) >= maxOwnedKeys {
 			return 0, true
 		}
-		b = &book{since: since, of: map[uint64]*entry{}}
-		l.own[key] = b
+		keyLedger = &ledger{ownedSince: since, entries: map[uint64]*ledgerEntry{}}
+		p.ledgers[key] = keyLedger
 	}
-	l.clean(b)
-	e := b.of[process]
-	if e != nil && int32(round-e.round) <= 0 {
+	p.dropExpired(keyLedger)
+	entry := keyLedger.entries[process]
+	if entry != nil && int32(round-entry.round) <= 0 {
 		return 0, false
 	}
-	had := 0
-	if e != nil {
-		had = e.n
+	before := 0
+	if entry != nil {
+		before = entry.booked
 	}
-	if o := b.of[before]; o != nil && before != process {
-		o.n -= min(o.n, max(use-had, 0)) // handed over
+	if other := keyLedger.entries[predecessor]; other != nil && predecessor != process {
+		other.booked -= min(other.booked, max(inUse-before, 0)) // handed over
 	}
-	left := l.lim.Most
-	for id, o := range b.of {
-		if id != process {
-			left -= o.n
+	free := p.limit.Most
+	for otherProcess, other := range keyLedger.entries {
+		if otherProcess != process {
+			free -= other.booked
 		}
 	}
-	if n = min(max(use, wants), max(left, 0)); l.ran < at+quiet {
-		n = min(n, use) // the owner before may have given the rest
+	if allowed = min(max(inUse, wanted), max(free, 0)); p.ownerTime < ownedFrom+newOwnerTerm {
+		allowed = min(allowed, inUse) // the owner before may have given the rest
 	}
-	booked := n
-	if !l.lim.Strict {
-		booked = max(n, use) // it goes on, and counts
+	booked := allowed
+	if !p.limit.Strict {
+		booked = max(allowed, inUse) // it goes on, and counts
 	}
-	if booked == 0 && e == nil {
+	if booked == 0 && entry == nil {
 		return 0, true
 	}
-	b.of[process] = &entry{booked, round, l.ran + Hold}
-	return n, true
+	keyLedger.entries[process] = &ledgerEntry{booked, round, p.ownerTime + OwnerTerm}
+	return allowed, true
 }
 
 // TakeAsk takes what a process of another node asks; answer goes back to it. False for what is no such.
-func (l *Permits) TakeAsk(process uint64, p []byte, answer func(p []byte)) bool {
-	if len(p) < headSize+askSize || p[0] != askKind || (len(p)-headSize)%askSize != 0 {
+func (p *Permits) TakeAsk(process uint64, payload []byte, answer func(payload []byte)) bool {
+	if len(payload) < headerSize+requestEntrySize || payload[0] != requestKind || (len(payload)-headerSize)%requestEntrySize != 0 {
 		return false
 	}
-	round, before := binary.LittleEndian.Uint32(p[1:]), binary.LittleEndian.Uint64(p[13:])
-	if binary.LittleEndian.Uint64(p[5:]) != process {
-		l.Stray++ // nobody asks for another
+	round, predecessor := binary.LittleEndian.Uint32(payload[1:]), binary.LittleEndian.Uint64(payload[13:])
+	if binary.LittleEndian.Uint64(payload[5:]) != process {
+		p.Stray++ // nobody asks for another
 		return true
 	}
-	g := append([]byte{giveKind}, p[1:headSize]...)
-	for e := p[headSize:]; len(e) > 0; e = e[askSize:] {
-		key := binary.LittleEndian.Uint64(e)
-		since, _, ok := l.owner.Mine(key)
+	reply := append([]byte{replyKind}, payload[1:headerSize]...)
+	for rest := payload[headerSize:]; len(rest) > 0; rest = rest[requestEntrySize:] {
+		key := binary.LittleEndian.Uint64(rest)
+		since, _, ok := p.owner.Mine(key)
 		if !ok {
-			l.Stray++
+			p.Stray++
 			continue
 		}
-		n, ok := l.serve(key, since, process, before, round, int(binary.LittleEndian.Uint16(e[8:])), int(binary.LittleEndian.Uint16(e[10:])))
+		allowed, ok := p.allocate(key, since, process, predecessor, round, int(binary.LittleEndian.Uint16(rest[8:])), int(binary.LittleEndian.Uint16(rest[10:])))
 		if ok {
-			g = binary.LittleEndian.AppendUint64(g, key)
-			g = binary.LittleEndian.AppendUint16(g, uint16(n))
+			reply = binary.LittleEndian.AppendUint64(reply, key)
+			reply = binary.LittleEndian.AppendUint16(reply, uint16(allowed))
 		}
 	}
-	if len(g) > headSize {
-		answer(g)
+	if len(reply) > headerSize {
+		answer(reply)
 	}
 	return true
 }
 
 // Told takes what the so-many-th node allows. What was not asked of it, or was asked anew, is counted and dropped.
-func (l *Permits) Told(from int, p []byte) (done []Answer, ok bool) {
-	if len(p) < headSize+giveSize || p[0] != giveKind || (len(p)-headSize)%giveSize != 0 {
+func (p *Permits) Told(from int, payload []byte) (decided []Answer, ok bool) {
+	if len(payload) < headerSize+replyEntrySize || payload[0] != replyKind || (len(payload)-headerSize)%replyEntrySize != 0 {
 		return nil, false
 	}
-	round, process := binary.LittleEndian.Uint32(p[1:]), binary.LittleEndian.Uint64(p[5:])
-	for e := p[headSize:]; len(e) > 0; e = e[giveSize:] {
-		key, n := binary.LittleEndian.Uint64(e), int(binary.LittleEndian.Uint16(e[8:]))
-		m := l.mine[key]
-		if m == nil || m.round != round || m.tries == 0 || process != l.process || m.from != from || n > l.lim.Most {
-			l.Stray++
+	round, process := binary.LittleEndian.Uint32(payload[1:]), binary.LittleEndian.Uint64(payload[5:])
+	for rest := payload[headerSize:]; len(rest) > 0; rest = rest[replyEntrySize:] {
+		key, allowed := binary.LittleEndian.Uint64(rest), int(binary.LittleEndian.Uint16(rest[8:]))
+		u := p.usages[key]
+		if u == nil || u.round != round || u.attempts == 0 || process != p.process || u.askedNode != from || allowed > p.limit.Most {
+			p.Stray++
 			continue
 		}
-		l.given(m, n)
-		if l.now < m.until {
-			l.settle(m)
+		p.applyReply(u, allowed)
+		if p.now < u.allowedUntil {
+			p.settleWaiters(u)
 		}
 	}
-	done, l.ready = l.ready, nil
-	return done, true
+	decided, p.decided = p.decided, nil
+	return decided, true
 }
