--- a/cluster/drawn/drawn.go
+++ b/cluster/drawn/fleet.go
@@ -1,82 +1,53 @@
-// Package drawn plays a fleet of cluster cores in virtual time, under a plan of faults: kills, stops, restarts, cuts, loss,
-// delay, doubled datagrams, clocks that run apart and jump. It is for tests of cores that stand on leases. The same plan
-// gives the same run.
+// Package drawn simulates a fleet of cluster cores in virtual time under a plan of faults: processes that are killed,
+// paused or restarted, partitions, lost, delayed or duplicated datagrams, and clocks that drift or jump. It is for tests of
+// cores that build on leases. The same plan always gives the same run.
 package drawn
 
 import (
-	"fmt"
 	"math/rand"
 
 	"coursewinch/cluster/lease"
 )
 
+// Units of time, in microseconds.
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
-
-	StepDuration = 10 * ms // of true time: each that runs has a turn
-	normalDelay  = 5 * ms  // within which a datagram is there, where nothing delays it
 )
 
-// Kind is of a fault.
-type Kind uint8
-
 const (
-	Kill      Kind = iota // a process ends
-	Pause                 // it stands still for Size times 4 s
-	Partition             // the fleet falls into as many as three parts, by Size and node
-	Loss                  // of half of the datagrams, times Size
-	Delay                 // of up to Size times 2 s
-	Heal                  // links are well again
-	ClockJump             // a clock goes an hour ahead; back where Size is under a half
-	Restart               // who was killed comes again, with nothing known
-	KindCount
-)
-
-var kindNames = [KindCount]string{"kill", "stop", "cut", "loss", "delay", "whole", "jump", "restart"}
-
-// Fault is one, at a moment of true time, at a node where it is about one; Size is from 0 to 1.
-type Fault struct {
-	At   int64
-	Kind Kind
-	Node int
-	Size float64
-}
+	// StepDuration is the true time that one step takes, in microseconds. Each running member has one tick in it.
+	StepDuration = 10 * ms
 
-func (f Fault) String() string {
-	return fmt.Sprintf("%d ms %s n%d %.2f", f.At/ms, kindNames[f.Kind], f.Node, f.Size)
-}
-
-// Plan is a fleet and what befalls it. Seed decides what the faults leave open: delays, which datagrams are lost, clocks.
-type Plan struct {
-	Nodes  int
-	Seed   int64
-	Key    uint64 // the one thing that all is about: its slot's leases are played
-	Faults []Fault
-}
+	normalDelay = 5 * ms     // bound of the datagram delay without a fault
+	minDelay    = int64(100) // microseconds
+)
 
-// Core is what is played beside each member's leases.
+// Core is the core under test, which each member runs beside its leases.
 type Core interface {
+	// Tick is called once per step while the member runs, with the time of the member's own clock.
 	Tick(now int64, send func(to int, p []byte))
+	// Receive is called with each datagram that is not a message of the leases.
 	Receive(from int, process uint64, p []byte, answer func(p []byte), send func(to int, p []byte))
 }
 
-// Fleet is a fleet.
+// Fleet is a simulated fleet.
 type Fleet struct {
-	Now     int64 // true time
+	Now     int64 // true time in microseconds
 	Members []*Member
 	Key     uint64
 
 	rng       *rand.Rand
-	faults    []Fault
+	faults    []Fault // those still to come, in order of time
 	start     func(*Member) Core
 	inFlight  []datagram
-	partition []int
-	loss      float64
-	maxDelay  int64
-	processes uint64
+	partition []int   // by node: the part that it is in
+	loss      float64 // probability that a datagram is lost
+	maxDelay  int64   // bound of the datagram delay, in microseconds
+	processes uint64  // processes started so far
 }
 
+// datagram is a datagram in flight.
 type datagram struct {
 	arrivesAt int64
 	from, to  int
@@ -84,27 +55,39 @@
 	payload   []byte
 }
 
-// Member is one node's process.
+// Member is one node of the fleet with its current process.
 type Member struct {
-	Number  int
+	Number  int // index of the node
 	Process uint64
 	Core    Core
 	Leases  *lease.Leases
 	Dead    bool
 
 	fleet       *Fleet
-	clockRate   float64 // of its clock
-	clockBase   int64   // its clock showed this ...
+	clockRate   float64 // speed of its clock relative to true time
+	clockBase   int64   // reading of its clock ...
 	clockFrom   int64   // ... at this true time
-	pausedUntil int64   // stopped until
-	lastTick    int64   // what its clock showed in its last turn
+	pausedUntil int64   // true time
+	lastTick    int64   // reading of its clock at its last tick
 }
 
-// NewFleet lays a fleet; start makes the core of a process that begins.
+// NewFleet returns the fleet of a plan. The start function makes the core of each process that starts.
 func NewFleet(plan Plan, start func(*Member) Core) *Fleet {
-	f := &Fleet{rng: rand.New(rand.NewSource(plan.Seed)), Key: plan.Key, faults: plan.Faults, start: start, maxDelay: normalDelay, partition: make([]int, plan.Nodes)}
+	f := &Fleet{
+		rng:       rand.New(rand.NewSource(plan.Seed)),
+		Key:       plan.Key,
+		faults:    plan.Faults,
+		start:     start,
+		maxDelay:  normalDelay,
+		partition: make([]int, plan.Nodes),
+	}
 	for node := range plan.Nodes {
-		f.Members = append(f.Members, &Member{fleet: f, Number: node, clockRate: 0.95 + 0.1*f.rng.Float64(), clockBase: f.rng.Int63n(1000 * second)})
+		f.Members = append(f.Members, &Member{
+			fleet:     f,
+			Number:    node,
+			clockRate: 0.95 + 0.1*f.rng.Float64(),
+			clockBase: f.rng.Int63n(1000 * second),
+		})
 	}
 	for _, m := range f.Members {
 		m.startProcess()
@@ -112,40 +95,47 @@
 	return f
 }
 
+// startProcess starts a new process on the member's node.
 func (m *Member) startProcess() {
 	m.fleet.processes++
-	m.Process, m.Dead, m.pausedUntil = m.fleet.processes, false, 0
+	m.Process = m.fleet.processes
+	m.Dead = false
+	m.pausedUntil = 0
 	m.Leases = lease.New(m.Process, m.Number, len(m.fleet.Members))
 	m.Leases.Begin(m.Clock())
 	m.lastTick = m.Clock()
 	m.Core = m.fleet.start(m)
 }
 
-// Clock is what the member's own clock shows.
+// Clock returns the reading of the member's own clock in microseconds.
 func (m *Member) Clock() int64 {
 	return m.clockBase + int64(float64(m.fleet.Now-m.clockFrom)*m.clockRate)
 }
 
-// Running tells whether the member has a turn now.
+// Running reports whether the member ticks now: it is neither dead nor paused.
 func (m *Member) Running() bool { return !m.Dead && m.fleet.Now >= m.pausedUntil }
 
-// Mine and Who are the owner of keys for a core: whom to ask is whoever is up, beginning with the slot's first node.
+// Mine reports whether the member owns the slot of a key, since when and until when on its own clock.
 func (m *Member) Mine(key uint64) (since, until int64, ok bool) {
 	slot := int(key % lease.Slots)
 	since, ok = m.Leases.Owned(slot)
 	return since, m.Leases.Until(slot), ok
 }
 
+// Who returns the other node to ask for a key: the first that runs in the same part of the fleet, beginning with the slot's
+// first node; -1 if there is none.
 func (m *Member) Who(key uint64) int {
 	for offset := range m.fleet.Members {
 		node := (int(key%lease.Slots) + offset) % len(m.fleet.Members)
-		if other := m.fleet.Members[node]; node != m.Number && other.Running() && m.fleet.partition[node] == m.fleet.partition[m.Number] {
+		other := m.fleet.Members[node]
+		if node != m.Number && other.Running() && m.fleet.partition[node] == m.fleet.partition[m.Number] {
 			return node
 		}
 	}
 	return -1
 }
 
+// shouldOwn reports whether the member is the one to request a slot: no other node in reach comes before it.
 func (m *Member) shouldOwn(slot int) bool {
 	if slot != int(m.fleet.Key%lease.Slots) {
 		return false
@@ -156,8 +146,8 @@
 	return likely < 0 || distance(m.Number) < distance(likely)
 }
 
-// Owners is how many would act as owner of the key now, also of those that stand still: their clocks go on. One whose
-// clock went back has its turn first, and owns nothing.
+// Owners returns how many members would act as owner of the key now. It counts paused members, because their clocks go on.
+// It does not count a member whose clock went back: its next tick comes before it acts, and ends its ownership.
 func (f *Fleet) Owners() (n int) {
 	slot := int(f.Key % lease.Slots)
 	for _, m := range f.Members {
@@ -168,20 +158,22 @@
 	return n
 }
 
+// send puts a datagram in flight, perhaps twice, unless the partition or a random draw drops it.
 func (f *Fleet) send(from *Member, to int, payload []byte) {
 	if f.partition[from.Number] != f.partition[to] || f.rng.Float64() < f.loss {
 		return
 	}
 	for range 1 + f.rng.Intn(2) {
-		f.inFlight = append(f.inFlight, datagram{f.Now + 100 + f.rng.Int63n(f.maxDelay), from.Number, to, from.Process, payload})
+		arrivesAt := f.Now + minDelay + f.rng.Int63n(f.maxDelay)
+		f.inFlight = append(f.inFlight, datagram{arrivesAt, from.Number, to, from.Process, payload})
 		if f.rng.Float64() < 0.8 {
 			return
 		}
 	}
 }
 
-// Step lets a step of true time pass: faults that are due, and a turn of each member that runs; then is called after
-// each member's turn.
+// Step advances the true time by one step: it injects the faults that are due and gives each running member a tick. The
+// afterTick function is called after each of these ticks.
 func (f *Fleet) Step(afterTick func(m *Member, send func(to int, payload []byte))) {
 	f.Now += StepDuration
 	for len(f.faults) > 0 && f.faults[0].At <= f.Now {
@@ -197,9 +189,11 @@
 	}
 }
 
+// tick runs one loop iteration of the member: its leases and its core tick, take the datagrams that arrived, and vote
+// requests are sent.
 func (m *Member) tick() {
 	fleet := m.fleet
-	send := func(to int, p []byte) { fleet.send(m, to, p) }
+	send := func(to int, payload []byte) { fleet.send(m, to, payload) }
 	m.lastTick = m.Clock()
 	m.Leases.Turn(m.lastTick)
 	m.Core.Tick(m.lastTick, send)
@@ -213,20 +207,21 @@
 	}
 	fleet.inFlight = remaining
 	for _, d := range arrived {
-		answer := func(p []byte) { fleet.send(m, d.from, p) }
+		answer := func(payload []byte) { fleet.send(m, d.from, payload) }
 		if !m.Leases.Take(d.from, d.process, d.payload, answer) {
 			m.Core.Receive(d.from, d.process, d.payload, answer, send)
 		}
 	}
-	m.Leases.Ask(m.shouldOwn, func(p []byte) {
+	m.Leases.Ask(m.shouldOwn, func(payload []byte) {
 		for to := range fleet.Members {
 			if to != m.Number {
-				send(to, p)
+				send(to, payload)
 			}
 		}
 	})
 }
 
+// inject puts a fault into effect.
 func (f *Fleet) inject(fault Fault) {
 	m := f.Members[fault.Node%len(f.Members)]
 	switch fault.Kind {
@@ -245,13 +240,15 @@
 		f.maxDelay = normalDelay + int64(fault.Size*float64(2*second))
 	case Heal:
 		clear(f.partition)
-		f.loss, f.maxDelay = 0, normalDelay
+		f.loss = 0
+		f.maxDelay = normalDelay
 	case ClockJump:
 		jump := 3600 * second
 		if fault.Size < 0.5 {
 			jump = -jump
 		}
-		m.clockBase, m.clockFrom = m.Clock()+jump, f.Now
+		m.clockBase = m.Clock() + jump
+		m.clockFrom = f.Now
 	case Restart:
 		if m.Dead {
 			m.startProcess()
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -1,15 +1,15 @@
-// Package lease decides which node of a fleet owns what for a while: for each of 64 slots at most one process at any
-// moment, whatever fails. It has no I/O and no clock.
+// Package lease assigns ownership of 64 slots to the processes of a fleet: each slot has at most one owner at any moment,
+// whatever fails. The package does no I/O and reads no clock; all times are microseconds of the caller's clock.
 //
-// A slot is owned by the votes of a majority of all nodes named in the files, never by a belief in who lives. A voter
-// gives its vote for a stated time and to nobody else until that is over on its own clock; the owner counts its time
-// from before it asked. Two owners at once would need two majorities, and so a voter that voted for both. Nothing is
-// kept on disk: a process that starts has forgotten its votes and gives none until the longest of them is over. This is
-// the diskless lease of "PaxosLease: Diskless Paxos for Leases" (Trencseni, Gazso, Reinhardt, 2012), without its
-// proposals: nothing but the lease itself is agreed on.
+// A slot is owned by the votes of a majority of all configured nodes. Who seems to be alive plays no part in it. A voter
+// grants its vote for a fixed term and votes for no other process until that term has passed on its own clock. The owner
+// counts its term from before it sent the request. Two simultaneous owners would need two majorities, and thus a voter
+// that voted for both. Nothing is stored on disk: a process that starts has lost its votes, so it grants none until the
+// longest of them must have expired. This is the diskless lease of "PaxosLease: Diskless Paxos for Leases" (Trencseni,
+// Gazso, Reinhardt, 2012) without its proposals, because nothing but the lease itself is agreed on.
 //
-// Assumed is that two clocks run apart by a tenth at most. A clock that jumps ahead, or a process that stood still, has
-// its votes last longer and its ownership end sooner; one that jumps back loses all it owned.
+// Two clocks are assumed to drift apart by a tenth at most. When a clock jumps ahead, or a process was paused, the votes
+// it granted last longer and its ownership ends sooner. When a clock jumps back, the process loses all ownership.
 package lease
 
 import (
@@ -17,40 +17,53 @@
 	"math/bits"
 )
 
+// Units of time, in microseconds.
 const (
 	ms     = int64(1000)
 	second = 1000 * ms
+)
+
+// Slots is the number of slots; a key belongs to the slot of its remainder by it.
+const Slots = 64
 
-	Slots         = 64
-	VoteTerm      = 2 * second        // a vote lasts so long on its voter's clock
-	OwnerTerm     = VoteTerm * 8 / 10 // and makes its owner so for so long on the owner's, from before it asked
-	renewBefore   = OwnerTerm / 2     // before its end an owner asks again
-	retryInterval = 150 * ms          // between two askings for the same slots
-	maxTickGap    = 100 * ms          // between two turns: more of it is taken for a jump or a standstill
+// MostNodes is the largest number of voting nodes. Each node is asked and answers in a datagram of its own, so the bound
+// guards against a nonsensical configuration file.
+const MostNodes = 4096
 
+// Terms and intervals, in microseconds.
+const (
+	VoteTerm      = 2 * second        // how long a vote binds its voter, on the voter's clock
+	OwnerTerm     = VoteTerm * 8 / 10 // how long a majority makes an owner, on the owner's clock, from before it asked
+	renewBefore   = OwnerTerm / 2     // an owner renews when less than this remains
+	retryInterval = 150 * ms          // between two requests for the same slots
+	maxTickGap    = 100 * ms          // a longer gap between two ticks counts as a clock jump or a pause
+)
+
+// Datagram kinds and sizes in bytes.
+const (
 	requestKind = 2
 	voteKind    = 3
-	requestSize = 1 + 4 + 8
-	voteSize    = requestSize + 8 // and the process that it is for: a vote for one that is gone counts for none after it
+	requestSize = 1 + 4 + 8       // kind, round, slots
+	voteSize    = requestSize + 8 // and the process voted for: a vote for an ended process must not count for its successor
 )
 
-// vote is what this node gave for a slot.
+// vote is the vote of this node for one slot.
 type vote struct {
 	process   uint64
 	expiresAt int64
 }
 
-// slot is what this process has of one.
+// slot is the state of this process as a candidate for one slot.
 type slot struct {
-	everOwned  bool     // it was owned once
-	ownedUntil int64    // it owns it until then
-	ownedSince int64    // without a break
-	round      uint32   // of the last asking
-	votes      voterSet // of that
-	ownerVotes voterSet // of the asking that the ownership rests on
+	everOwned  bool     // whether this process has owned the slot before
+	ownedUntil int64    // when the ownership expires
+	ownedSince int64    // start of the uninterrupted ownership
+	round      uint32   // of the last request
+	votes      voterSet // votes received in that round
+	ownerVotes voterSet // votes of the round that the ownership rests on
 }
 
-// voterSet is a set of nodes, a bit each, as large as its fleet.
+// voterSet is a set of nodes, one bit each, sized to its fleet.
 type voterSet []uint64
 
 func newVoterSet(nodes int) voterSet { return make(voterSet, (nodes+63)/64) }
@@ -64,31 +77,35 @@
 	return n
 }
 
-// Leases is one process's part.
+// voteRequest is a vote request that was sent.
+type voteRequest struct {
+	round  uint32
+	sentAt int64
+}
+
+// Leases is the state of one process, both as a voter and as a candidate.
 type Leases struct {
 	process       uint64
-	self          int // number of this node among all
+	self          int // index of this node among all
 	nodes         int
-	noVotesBefore int64 // it votes for nobody before
+	noVotesBefore int64 // no vote is granted before this time
 	now           int64
 	votes         [Slots]vote
 	slots         [Slots]slot
 	round         uint32
-	requests      [8]struct { // the last askings
-		round uint32
-		at    int64
-	}
+	requests      [8]voteRequest // the last requests, by round
 	nextRequestAt int64
 }
 
-// New makes the part of a process of node self, one of so many. Process must differ from that of any other process.
+// New returns the state of a process of the node with index self in a fleet of so many nodes. The process identifier must
+// differ from that of any other process, past or present.
 func New(process uint64, self, nodes int) *Leases {
 	l := &Leases{process: process, self: self, nodes: nodes}
 	l.reset()
 	return l
 }
 
-// reset forgets all that this process asked for and was given.
+// reset drops all ownership and forgets all requests.
 func (l *Leases) reset() {
 	for s := range l.slots {
 		l.slots[s] = slot{votes: newVoterSet(l.nodes), ownerVotes: newVoterSet(l.nodes)}
@@ -96,17 +113,21 @@
 	clear(l.requests[:])
 }
 
-// Begin is the first turn.
-func (l *Leases) Begin(now int64) { l.now, l.noVotesBefore = now, now+VoteTerm*11/10 }
+// Begin sets the clock at the start of the process. Votes are withheld until those of an earlier process have expired.
+func (l *Leases) Begin(now int64) {
+	l.now = now
+	l.noVotesBefore = now + VoteTerm*11/10
+}
 
-// Turn begins a turn of the loop: every 50 ms at least.
+// Turn advances the clock. It has to be called in each loop iteration, every 50 ms at least.
 func (l *Leases) Turn(now int64) {
 	gap := now - l.now
 	l.now = now
 	if gap >= 0 && gap <= maxTickGap {
 		return
 	}
-	// Votes given last as if no time had passed; what is owned ends as if all had, or at once.
+	// Votes granted are extended as if no time had passed. Ownership expires as if all of it had; after a jump back it
+	// ends at once.
 	l.noVotesBefore += gap
 	for s := range l.votes {
 		l.votes[s].expiresAt += gap
@@ -117,13 +138,14 @@
 	}
 }
 
-// Owned tells whether this process owns a slot now, and since when without a break.
+// Owned reports whether this process owns a slot now, and since when without interruption.
 func (l *Leases) Owned(s int) (since int64, ok bool) {
 	return l.slots[s].ownedSince, l.slots[s].everOwned && l.now < l.slots[s].ownedUntil
 }
 
-// Voters is how many nodes' votes an ownership rests on, the own one included: while it lasts each of them votes for no
-// other, and knows that it gave this one (Lent).
+// Voters returns the number of nodes whose votes the ownership of a slot rests on, including this node; 0 if this process
+// does not own the slot. While the ownership lasts, each of these nodes votes for no other process and knows that its vote
+// is outstanding.
 func (l *Leases) Voters(s int) int {
 	if _, ok := l.Owned(s); !ok {
 		return 0
@@ -131,14 +153,16 @@
 	return l.slots[s].ownerVotes.count()
 }
 
-// Lent tells whether a vote of this node, by this process or by one before it, may still count for an owner of a slot.
+// Lent reports whether a vote of this node for the slot may still count, whether granted by this process or by an earlier
+// one.
 func (l *Leases) Lent(s int) bool { return l.now < l.noVotesBefore || l.now < l.votes[s].expiresAt }
 
-// Until is when the ownership ends if it isn't renewed.
+// Until returns when the ownership of a slot expires unless it is renewed.
 func (l *Leases) Until(s int) int64 { return l.slots[s].ownedUntil }
 
-// Ask asks all nodes for the slots that this one should own, where they are due; send gives it to each other node. mine
-// tells whether a slot should be: a belief, and only good for that one asks and not all.
+// Ask requests votes for the wanted slots that are not owned or due for renewal. The send function transmits the payload
+// to each other node. The wanted function says whether this process should own a slot; it is only a guess, so that usually
+// one node asks rather than all.
 func (l *Leases) Ask(wanted func(s int) bool, send func(payload []byte)) {
 	if l.now < l.nextRequestAt {
 		return
@@ -155,13 +179,14 @@
 	l.nextRequestAt = l.now + retryInterval
 	l.round++
 	request := &l.requests[l.round%uint32(len(l.requests))]
-	request.round, request.at = l.round, l.now
+	request.round = l.round
+	request.sentAt = l.now
 	payload := binary.LittleEndian.AppendUint32([]byte{requestKind}, l.round)
 	send(binary.LittleEndian.AppendUint64(payload, mask))
 	l.countVotes(l.self, l.round, l.grantVotes(l.process, mask))
 }
 
-// grantVotes votes for a process on such of the slots as it may.
+// grantVotes votes for a process on those slots of the mask that are free, and returns the mask of the votes granted.
 func (l *Leases) grantVotes(process uint64, mask uint64) (granted uint64) {
 	if l.now < l.noVotesBefore {
 		return 0
@@ -176,7 +201,7 @@
 	return granted
 }
 
-// countVotes takes in votes.
+// countVotes counts the votes of a node in a round and takes ownership of the slots that reach a majority.
 func (l *Leases) countVotes(voter int, round uint32, granted uint64) {
 	request := l.requests[round%uint32(len(l.requests))]
 	if request.round != round || round == 0 || voter < 0 || voter >= l.nodes {
@@ -186,34 +211,40 @@
 		if granted&(1<<s) == 0 {
 			continue
 		}
-		owned := &l.slots[s]
-		if owned.round != round {
-			if int32(round-owned.round) < 0 {
-				continue // a later asking is under way
+		o := &l.slots[s]
+		if o.round != round {
+			if int32(round-o.round) < 0 {
+				continue // a later request is under way
 			}
-			owned.round = round
-			clear(owned.votes)
+			o.round = round
+			clear(o.votes)
 		}
-		owned.votes.add(voter)
-		if until := request.at + OwnerTerm; 2*owned.votes.count() > l.nodes && (until > owned.ownedUntil || !owned.everOwned) && l.now < until {
-			if l.now >= owned.ownedUntil || !owned.everOwned {
-				owned.ownedSince = l.now
+		o.votes.add(voter)
+		until := request.sentAt + OwnerTerm
+		if 2*o.votes.count() > l.nodes && (until > o.ownedUntil || !o.everOwned) && l.now < until {
+			if l.now >= o.ownedUntil || !o.everOwned {
+				o.ownedSince = l.now
 			}
-			owned.everOwned, owned.ownedUntil = true, until
+			o.everOwned = true
+			o.ownedUntil = until
 		}
-		if owned.everOwned && request.at+OwnerTerm == owned.ownedUntil {
-			copy(owned.ownerVotes, owned.votes)
+		if o.everOwned && until == o.ownedUntil {
+			copy(o.ownerVotes, o.votes)
 		}
 	}
 }
 
-// Take takes a message of a process of another node; answer goes back to it. False for what is none of these, or wrong.
+// Take handles a message of a process of another node. A vote that is granted is sent back by the answer function. It
+// returns false if the payload is neither a request nor a vote, or is malformed.
 func (l *Leases) Take(from int, process uint64, payload []byte, answer func(payload []byte)) bool {
-	if !(len(payload) == requestSize && payload[0] == requestKind || len(payload) == voteSize && payload[0] == voteKind) {
+	isRequest := len(payload) == requestSize && payload[0] == requestKind
+	isVote := len(payload) == voteSize && payload[0] == voteKind
+	if !isRequest && !isVote {
 		return false
 	}
-	round, mask := binary.LittleEndian.Uint32(payload[1:]), binary.LittleEndian.Uint64(payload[5:])
-	if payload[0] == voteKind {
+	round := binary.LittleEndian.Uint32(payload[1:])
+	mask := binary.LittleEndian.Uint64(payload[5:])
+	if isVote {
 		if binary.LittleEndian.Uint64(payload[requestSize:]) == l.process {
 			l.countVotes(from, round, mask)
 		}
@@ -226,6 +257,3 @@
 	}
 	return true
 }
-
-// MostNodes can vote. Each is asked and answers in a datagram of its own; guards against a file without sense.
-const MostNodes = 4096
--- a/cluster/limits/limits_test.go
+++ b/cluster/limits/limits_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// fleetMember is a member's limits core, and what it let pass.
+// fleetMember is the limits core of one member of a test fleet.
 type fleetMember struct {
 	*Limits
 	fleet *testFleet
 }
 
-// testFleet is a fleet of limits cores under a plan.
+// testFleet is a fleet of limits cores under a fault plan.
 type testFleet struct {
 	*drawn.Fleet
 	t          drawn.Failer
 	limit      Limit
-	grantedAt  []int64 // when one was let pass, in true time
+	grantedAt  []int64 // true time of each token granted
 	lastWaiter int
 }
 
@@ -34,11 +34,12 @@
 	}
 	decided, ok := m.Told(from, payload, send)
 	if !ok {
-		m.fleet.t.Fatalf("not read: %x", payload)
+		m.fleet.t.Fatalf("payload is neither a request nor a reply: %x", payload)
 	}
 	m.fleet.record(decided)
 }
 
+// record notes the time of each granted decision.
 func (f *testFleet) record(decided []Answer) {
 	for _, a := range decided {
 		if a.Yes {
@@ -47,7 +48,7 @@
 	}
 }
 
-// step asks at each member that runs for one more now and then.
+// step advances the fleet by one step, in which each running member takes a token with the given probability.
 func (f *testFleet) step(rng *rand.Rand, probability float64) {
 	f.Step(func(m *drawn.Member, send func(to int, p []byte)) {
 		if rng.Float64() < probability {
@@ -58,18 +59,21 @@
 		}
 	})
 	if f.Owners() > 1 {
-		f.t.Fatalf("%d owners at %d ms", f.Owners(), f.Now/ms)
+		f.t.Fatalf("the key has %d owners at %d ms", f.Owners(), f.Now/ms)
 	}
 }
 
+// newTestFleet returns a fleet whose members share one limit.
 func newTestFleet(t drawn.Failer, plan drawn.Plan, limit Limit) *testFleet {
 	fleet := &testFleet{t: t, limit: limit}
-	fleet.Fleet = drawn.NewFleet(plan, func(m *drawn.Member) drawn.Core { return fleetMember{New(limit, m.Process, plan.Nodes, m), fleet} })
+	fleet.Fleet = drawn.NewFleet(plan, func(m *drawn.Member) drawn.Core {
+		return fleetMember{New(limit, m.Process, plan.Nodes, m), fleet}
+	})
 	return fleet
 }
 
-// worstExcess is the most let pass beyond the bound in any stretch, over all stretches that begin and end with one, and how
-// near one came to a strict bound.
+// worstExcess returns the largest excess over the bound in any window that begins and ends with a grant, and the largest
+// share of a strict bound that a window used.
 func (f *testFleet) worstExcess() (over, nearest float64) {
 	for i := range f.grantedAt {
 		for j := i; j < len(f.grantedAt); j++ {
@@ -83,7 +87,8 @@
 	return over, nearest
 }
 
-// TestNeverOver draws faults on fleets of three to seven. No strict limit is passed, no available one beyond its formula.
+// TestNeverOver guards the bounds under drawn faults on fleets of three to seven nodes: a strict limit is never exceeded,
+// an available one never beyond its formula. No key has two owners at any step.
 func TestNeverOver(t *testing.T) {
 	drawn.Same()
 	granted, runs, nearest := 0, 0, 0.0
@@ -96,24 +101,26 @@
 		}
 		over, share := fleet.worstExcess()
 		if over > 0 {
-			t.Fatalf("%.1f over", over)
+			t.Fatalf("a window exceeds its bound by %.1f", over)
 		}
 		runs, granted, nearest = runs+1, granted+len(fleet.grantedAt), max(nearest, share)
 	})
 	if nearest < 0.7 {
-		t.Errorf("the worst strict stretch had %.2f of its bound: the test does not come near", nearest)
+		t.Errorf("the worst strict window used %.2f of its bound: the test does not come near it", nearest)
 	}
-	t.Logf("%d runs, %d let pass; the worst strict stretch had %.2f of its bound", runs, granted, nearest)
+	t.Logf("%d runs, %d granted; the worst strict window used %.2f of its bound", runs, granted, nearest)
 }
 
-// TestOneNodesFigure: what all nodes let pass of a loop at all of them is what one would, by a tenth.
+// TestFleetAdmitsAsOneNode guards against a fleet whose admissions differ by more than a fifth from those of one node under
+// the same steady demand, which is spread over all of its nodes.
 func TestFleetAdmitsAsOneNode(t *testing.T) {
 	for _, strict := range []bool{true, false} {
 		var granted []int
 		for _, nodes := range []int{1, 4, 12} {
-			fleet, rng := newTestFleet(t, drawn.Plan{Nodes: nodes, Seed: 1}, Limit{Rate: 20, Burst: 20, Strict: strict}), rand.New(rand.NewSource(2))
+			fleet := newTestFleet(t, drawn.Plan{Nodes: nodes, Seed: 1}, Limit{Rate: 20, Burst: 20, Strict: strict})
+			rng := rand.New(rand.NewSource(2))
 			for range 300 {
-				fleet.step(rng, 0) // until leases stand
+				fleet.step(rng, 0) // until the leases are granted
 			}
 			fleet.grantedAt = nil
 			for range 1500 {
@@ -121,19 +128,21 @@
 			}
 			granted = append(granted, len(fleet.grantedAt))
 		}
-		for _, nodes := range granted[1:] {
-			if float64(nodes) > 1.2*float64(granted[0]) || float64(nodes) < 0.8*float64(granted[0]) {
-				t.Errorf("strict %t: let pass by 1, 4 and 12 nodes: %v", strict, granted)
+		for _, n := range granted[1:] {
+			if float64(n) > 1.2*float64(granted[0]) || float64(n) < 0.8*float64(granted[0]) {
+				t.Errorf("strict %t: granted by 1, 4 and 12 nodes: %v", strict, granted)
 			}
 		}
-		t.Logf("strict %t: let pass by 1, 4 and 12 nodes: %v", strict, granted)
+		t.Logf("strict %t: granted by 1, 4 and 12 nodes: %v", strict, granted)
 	}
 }
 
+// TestCheckRejectsUnenforceableLimits guards against limits without a rate or burst, and strict limits whose burst is too
+// small for a token lifetime.
 func TestCheckRejectsUnenforceableLimits(t *testing.T) {
 	for _, l := range []Limit{{}, {Rate: -1, Burst: 1}, {Rate: 1}, {Rate: 1, Burst: 0.5}, {Rate: 100, Burst: 5, Strict: true}} {
 		if l.Check(3) == nil {
-			t.Errorf("%+v is taken", l)
+			t.Errorf("%+v passes the check", l)
 		}
 	}
 	if err := (Limit{Rate: 20, Burst: 10, Strict: true}).Check(3); err != nil {
@@ -141,15 +150,17 @@
 	}
 }
 
-// ownsAll is an owner of every key.
+// ownsAll makes the process the owner of every key.
 type ownsAll struct{}
 
 func (ownsAll) Mine(uint64) (since, until int64, ok bool) { return second, 1 << 60, true }
 func (ownsAll) Who(uint64) int                            { return -1 }
 
-// TestMillionColdKeys: an owner holds no more than it may, and a hot key has its limit all the same.
+// TestMillionUnusedKeys guards against an owner that keeps a record of every key ever seen. A key in steady use keeps its
+// limit among a million keys that are used once.
 func TestMillionUnusedKeys(t *testing.T) {
-	l, now, hot := New(Limit{Rate: 20, Burst: 20, Strict: true}, 1, 3, ownsAll{}), second, 0
+	l := New(Limit{Rate: 20, Burst: 20, Strict: true}, 1, 3, ownsAll{})
+	now, hot := second, 0
 	for key := range uint64(1_000_000) {
 		if now += 10; key%100 == 0 {
 			l.Turn(now, nil)
@@ -159,17 +170,18 @@
 		}
 		l.Take(key, nil, nil)
 		if l.Keys() > 2*maxKeys {
-			t.Fatalf("%d keys held", l.Keys())
+			t.Fatalf("%d table entries, want at most %d", l.Keys(), 2*maxKeys)
 		}
 	}
 	if bound := l.limit.Most(3, now); float64(hot) > bound || float64(hot) < 0.7*bound {
-		t.Errorf("%d let pass of a hot key, at most %.0f", hot, bound)
+		t.Errorf("%d granted of the key in steady use, bound %.0f", hot, bound)
 	}
 }
 
-// TestSweepOfOneTable: what is forgotten of own parts leaves the buckets of owned keys as they are.
+// TestDropFullKeepsOwnedBuckets guards against a sweep of the local shares that removes the buckets of owned keys: the
+// key's tokens would be granted a second time.
 func TestDropFullKeepsOwnedBuckets(t *testing.T) {
-	l, first := New(Limit{Rate: 1, Burst: 4}, 1, 3, ownsAll{}), 0
+	l := New(Limit{Rate: 1, Burst: 4}, 1, 3, ownsAll{})
 	l.Turn(100*second, nil)
 	take := func() (n int) {
 		for range 10 {
@@ -179,14 +191,15 @@
 		}
 		return n
 	}
-	first = take()
+	first := take()
 	l.shares[7] = &bucket{tokens: 4}
 	l.dropFull(l.shares, 1, 4)
 	if more := take(); first == 0 || more > 0 {
-		t.Errorf("%d let pass, and %d more at once after a sweep", first, more)
+		t.Errorf("%d granted, and %d more right after a sweep", first, more)
 	}
 }
 
+// BenchmarkTake measures a grant at the owner of the key.
 func BenchmarkTake(b *testing.B) {
 	l := New(Limit{Rate: 1e5, Burst: 1e5}, 1, 3, ownsAll{})
 	for i := range b.N {
