--- a/cluster/permits/history_test.go
+++ b/cluster/permits/history_test.go
@@ -11,17 +11,18 @@
 	"pgregory.net/rapid"
 )
 
-// recordingMember is a member's permits core and the flows that have a permit.
+// recordingMember is the permits core of one member of a test fleet. It records its operations in the history.
 type recordingMember struct {
 	*Permits
 	history      *history
 	member       *drawn.Member
-	held         int
-	acquireCalls map[int]int64 // call of a Take that waits
-	pausedSince  int64         // since when it has had no turn; 0: it has
+	held         int           // permits held
+	acquireCalls map[int]int64 // by waiter: when it asked for a permit
+	pausedSince  int64         // since when it is paused; 0: it runs
 }
 
-// history is what all holders did, as operations on one semaphore: to take one of the limit, and to give one back.
+// history records what all members do as operations on one semaphore: acquire and release. Its times are nanoseconds of
+// true time.
 type history struct {
 	t          drawn.Failer
 	fleet      *drawn.Fleet
@@ -29,18 +30,25 @@
 	sequence   int64
 }
 
-func (h *history) now() int64 { h.sequence++; return h.fleet.Now*1000 + h.sequence%1000 }
+// now returns a time that differs from call to call within a step.
+func (h *history) now() int64 {
+	h.sequence++
+	return h.fleet.Now*1000 + h.sequence%1000
+}
 
+// record adds an operation that returns now.
 func (h *history) record(client int, acquire bool, call int64) {
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: acquire, Call: call, Return: h.now()})
 }
 
+// settle records the decisions for waiters.
 func (m *recordingMember) settle(decided []Answer) {
 	for _, a := range decided {
 		m.acquired(a.Waiter.(int), a.Yes)
 	}
 }
 
+// acquired records the decision for a waiter; only a grant is an operation.
 func (m *recordingMember) acquired(waiter int, granted bool) {
 	if granted {
 		m.held++
@@ -49,12 +57,14 @@
 	delete(m.acquireCalls, waiter)
 }
 
+// released records the release of a permit.
 func (m *recordingMember) released(call int64) {
 	m.held--
 	m.history.record(0, false, call)
 }
 
-// killed is that its process was killed: all it had is given back, where it stood still at some time since.
+// killed records the release of all permits of a killed process. If it was paused, each was released at some time since
+// the pause began.
 func (m *recordingMember) killed() {
 	for m.held > 0 {
 		call := m.pausedSince
@@ -70,7 +80,7 @@
 	for _, e := range excess {
 		for range e.N {
 			m.Done(e.Key)
-			m.released(max(m.pausedSince, m.history.fleet.Now*1000)) // what stood still did nothing with it since
+			m.released(max(m.pausedSince, m.history.fleet.Now*1000)) // a paused process has not used it since
 		}
 	}
 	m.pausedSince = 0
@@ -85,7 +95,7 @@
 	m.settle(decided)
 }
 
-// semaphore is a number of which so many may be out.
+// semaphore is the model of a semaphore with the given limit.
 func semaphore(limit int) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return 0 },
@@ -100,9 +110,9 @@
 	}
 }
 
-// TestHistory: what all members take and give back of a strict number under drawn faults is a history of one semaphore, in
-// some order in which each operation lies between its call and its return. What a killed process had is given back as it
-// dies, what one that stands still had at some time until it wakes.
+// TestHistoryIsLinearizable guards a strict limit under drawn faults: what all members acquire and release is a linearizable
+// history of one semaphore, in which each operation takes effect between its call and its return. The permits of a killed
+// process are released when it ends, those of a paused process at some time before it resumes.
 func TestHistoryIsLinearizable(t *testing.T) {
 	drawn.Same()
 	runs, operations := 0, 0
@@ -114,11 +124,17 @@
 			if previous, ok := m.Core.(*recordingMember); ok {
 				previous.killed()
 			}
-			return &recordingMember{Permits: New(limit, m.Process, plan.Nodes, m), history: h, member: m, acquireCalls: map[int]int64{}}
+			return &recordingMember{
+				Permits:      New(limit, m.Process, plan.Nodes, m),
+				history:      h,
+				member:       m,
+				acquireCalls: map[int]int64{},
+			}
 		})
-		rng, lastWaiter := rand.New(rand.NewSource(plan.Seed+1)), 0
+		rng := rand.New(rand.NewSource(plan.Seed + 1))
+		lastWaiter := 0
 		for range 2000 {
-			h.fleet.Step(func(m *drawn.Member, send func(to int, plan []byte)) {
+			h.fleet.Step(func(m *drawn.Member, send func(to int, payload []byte)) {
 				member := m.Core.(*recordingMember)
 				switch x := rng.Float64(); {
 				case x < 0.03:
@@ -143,18 +159,19 @@
 				}
 			}
 		}
-		for _, m := range h.fleet.Members { // what still stands at the end may be given back at any time from now on
+		for _, m := range h.fleet.Members { // permits still held at the end may be released at any time from now on
 			for member := m.Core.(*recordingMember); member.held > 0; {
 				member.released(max(member.pausedSince, h.fleet.Now*1000))
 			}
 		}
 		if got := porcupine.CheckOperationsTimeout(semaphore(limit.Most), h.operations, 10*time.Second); got != porcupine.Ok {
-			t.Fatalf("%d operations on %d: %v", len(h.operations), limit.Most, got)
+			t.Fatalf("%d operations on a semaphore of %d are not linearizable: %v", len(h.operations), limit.Most, got)
 		}
-		runs, operations = runs+1, operations+len(h.operations)
+		runs++
+		operations += len(h.operations)
 	})
 	if operations < 10*runs {
-		t.Errorf("%d operations in %d runs: nothing is tested", operations, runs)
+		t.Errorf("%d operations in %d runs are too few to test anything", operations, runs)
 	}
 	t.Logf("%d runs, %d operations", runs, operations)
 }
--- a/cluster/permits/permits_test.go
+++ b/cluster/permits/permits_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleetMember is a member's permits core; what waits is counted by the core.
+// fleetMember is the permits core of one member of a test fleet. The core itself counts the permits of waiters.
 type fleetMember struct {
 	*Permits
 	key uint64
@@ -30,13 +30,13 @@
 		return
 	}
 	if _, ok := m.Told(from, payload); !ok {
-		m.t.Fatalf("not read: %x", payload)
+		m.t.Fatalf("payload is neither a request nor a reply: %x", payload)
 	}
 }
 
-// TestNeverOver draws faults on fleets of three to seven, whose members take and give back. What all have in use of a
-// strict limit is never over it, by what each may do now: one that stands still past its permits does nothing before it
-// has ended what it had. Of an available one it is never over the formula.
+// TestNeverOver guards the bounds under drawn faults on fleets of three to seven nodes, whose members take and release
+// permits. The permits in use of a strict limit never exceed it; those of a member that is paused beyond their term don't
+// count, because it ends the flows before it does anything else. An available limit is never exceeded beyond its formula.
 func TestNeverOver(t *testing.T) {
 	drawn.Same()
 	runs, worstExcess, stepsAtLimit := 0, -1000, 0
@@ -49,7 +49,7 @@
 		rng := rand.New(rand.NewSource(plan.Seed + 1))
 		lastWaiter := 0
 		for range 2600 {
-			fleet.Step(func(m *drawn.Member, send func(to int, plan []byte)) {
+			fleet.Step(func(m *drawn.Member, send func(to int, payload []byte)) {
 				member := m.Core.(fleetMember)
 				switch x := rng.Float64(); {
 				case x < 0.05:
@@ -65,15 +65,16 @@
 				if used := member.Used(); !m.Dead && used > 0 {
 					valid := m.Clock() < member.usages[plan.Key].allowedUntil && m.Clock() >= member.now
 					if limit.Strict && !valid && !m.Running() {
-						continue // it ends that when it wakes, before it does more
+						continue // when it resumes it ends these flows first
 					}
-					if inUse += used; !valid || used > member.usages[plan.Key].allowed {
-						cutOff++ // it can't ask, or could not when it let pass what still stands
+					inUse += used
+					if !valid || used > member.usages[plan.Key].allowed {
+						cutOff++ // it can't reach the owner, or could not when it admitted what it still has
 					}
 				}
 			}
 			if inUse > limit.MaxWith(len(fleet.Members), cutOff) {
-				t.Fatalf("%d in use at %d ms, %d can't ask", inUse, fleet.Now/ms, cutOff)
+				t.Fatalf("%d permits in use at %d ms, while %d members are cut off", inUse, fleet.Now/ms, cutOff)
 			}
 			if inUse == limit.Most {
 				stepsAtLimit++
@@ -83,20 +84,21 @@
 		runs++
 	})
 	if stepsAtLimit < 100*runs {
-		t.Errorf("a limit was in full use in %d of %d steps only", stepsAtLimit, 2600*runs)
+		t.Errorf("a limit was fully used in only %d of %d steps", stepsAtLimit, 2600*runs)
 	}
-	t.Logf("%d runs; in full use in %d steps, the most was %d over", runs, stepsAtLimit, worstExcess)
+	t.Logf("%d runs; limits were fully used in %d steps; the largest excess over a bound was %d", runs, stepsAtLimit, worstExcess)
 }
 
-// fixedOwner is an owner of every key, or of none.
+// fixedOwner makes the process the owner of every key, or of none; node 0 is the likely owner otherwise.
 type fixedOwner struct{ owns bool }
 
 func (o fixedOwner) Mine(uint64) (since, until int64, ok bool) { return second, 1 << 60, o.owns }
 func (o fixedOwner) Who(uint64) int                            { return 0 }
 
-// handoverPair is an owner and two processes of another node, of which the second takes over from the first.
+// handoverPair is an owner and two processes of another node, the second of which takes over from the first.
 type handoverPair struct{ owner, first, second *Permits }
 
+// tick advances all three processes and returns the excess of the two users.
 func (p handoverPair) tick(now int64) (excess []Excess) {
 	p.owner.Turn(now, nil)
 	for _, user := range []*Permits{p.first, p.second} {
@@ -106,10 +108,12 @@
 	return excess
 }
 
+// deliver hands a request to the owner and its reply to the user.
 func (p handoverPair) deliver(user *Permits, payload []byte) {
 	p.owner.TakeAsk(user.process, payload, func(reply []byte) { user.Told(0, reply) })
 }
 
+// newHandoverPair returns a pair whose owner has owned its slots long enough to grant new permits.
 func newHandoverPair(limit Limit) (p handoverPair, now int64) {
 	p = handoverPair{New(limit, 1, 3, fixedOwner{true}), New(limit, 2, 3, fixedOwner{}), New(limit, 3, 3, fixedOwner{})}
 	for now = second; now < 9*second; now += sweepInterval {
@@ -118,15 +122,15 @@
 	return p, now
 }
 
-// TestTakeOver: what one process of a node hands over to the next counts once, ends at neither, and is free again when the
-// next one has given it back.
+// TestTakeOverCountsOnce guards against permits that count twice, are revoked or are lost when one process of a node hands
+// its flows over to the next.
 func TestTakeOverCountsOnce(t *testing.T) {
 	p, now := newHandoverPair(Limit{Most: 5, Strict: true})
 	for i := range 7 {
 		p.first.Take(9, i, func(_ int, payload []byte) { p.deliver(p.first, payload) })
 	}
 	if p.first.Used() != 5 {
-		t.Fatalf("%d of 5 in use", p.first.Used())
+		t.Fatalf("%d permits in use, want 5", p.first.Used())
 	}
 	p.first.Yield()
 	for range 4 {
@@ -135,10 +139,10 @@
 	}
 	for end := now + 20*second; now < end; now += sweepInterval {
 		if excess := p.tick(now); excess != nil {
-			t.Fatalf("%v is to end", excess)
+			t.Fatalf("permits were revoked: %v", excess)
 		}
 		if granted, _ := p.second.Take(9, "more", func(_ int, payload []byte) { p.deliver(p.second, payload) }); granted || p.second.Used() > 4 {
-			t.Fatalf("%d in use beside 1 of the first", p.second.Used())
+			t.Fatalf("%d permits in use beside one of the predecessor, want at most 4", p.second.Used())
 		}
 	}
 	p.first.Done(9)
@@ -147,17 +151,18 @@
 	}
 	p.second.Take(9, "last", func(_ int, payload []byte) { p.deliver(p.second, payload) })
 	if p.second.Used() != 5 {
-		t.Errorf("%d in use after all was given back", p.second.Used())
+		t.Errorf("%d permits in use after the predecessor released its last, want 5", p.second.Used())
 	}
 }
 
-// TestTakeOverBeforeAnswer: an answer to what was asked before a flow was handed over ends nothing of it.
+// TestLateReplyAfterTakeOver guards against a flow that is ended after its handover, because a reply arrives to a request
+// that was sent before the handover and did not report the flow.
 func TestLateReplyAfterTakeOver(t *testing.T) {
 	p, now := newHandoverPair(Limit{Most: 5, Strict: true})
 	var late [][]byte
 	p.first.Take(9, "one", func(_ int, payload []byte) { p.deliver(p.first, payload) })
 	p.second.Take(9, "two", func(_ int, payload []byte) { p.deliver(p.second, payload) })
-	for ; len(late) == 0; now += sweepInterval { // until it renews what it has
+	for ; len(late) == 0; now += sweepInterval { // until the second process renews its permit
 		p.first.Turn(now, func(_ int, payload []byte) { p.deliver(p.first, payload) })
 		p.owner.Turn(now, nil)
 		p.second.Turn(now, func(_ int, payload []byte) {
@@ -169,16 +174,16 @@
 	p.second.Told(0, late[0])
 	for end := now + 10*second; now < end; now += sweepInterval {
 		if excess := p.tick(now); excess != nil {
-			t.Fatalf("%v is to end, %d in use of 5", excess, p.second.Used())
+			t.Fatalf("permits were revoked: %v; %d in use", excess, p.second.Used())
 		}
 	}
 	if p.second.Used() != 2 {
-		t.Errorf("%d in use", p.second.Used())
+		t.Errorf("%d permits in use, want 2", p.second.Used())
 	}
 }
 
-// TestAnswersLost: of all answers only the first comes. Its user ends what it has when that has run out, and before that
-// nobody else has any of it.
+// TestRepliesLost guards against permits that are granted again while a user that receives no replies still uses them. The
+// user gives up its permits when they expire, and no other process has any of them before that.
 func TestRepliesLost(t *testing.T) {
 	p, now := newHandoverPair(Limit{Most: 5, Strict: true})
 	for i := range 5 {
@@ -200,16 +205,16 @@
 			freeAt = now
 		}
 		if n := p.first.Used() + p.second.Used(); n > 5 {
-			t.Fatalf("%d in use of 5", n)
+			t.Fatalf("%d permits in use, want at most 5", n)
 		}
 	}
 	if revokedAt == 0 || freeAt < revokedAt || revokedAt > startedAt+Use+2*sweepInterval {
-		t.Errorf("ended after %d ms, with another after %d ms", (revokedAt-startedAt)/ms, (freeAt-startedAt)/ms)
+		t.Errorf("permits were revoked after %d ms, and granted to another process after %d ms", (revokedAt-startedAt)/ms, (freeAt-startedAt)/ms)
 	}
 }
 
-// TestLowered: what is held over a lower limit ends where that is strict, and where it is not nothing new is let pass
-// until as much has ended by itself.
+// TestLoweredLimit guards the lowering of a limit in service: flows beyond a strict limit are ended; under an available
+// limit they go on, and nothing new is admitted.
 func TestLoweredLimit(t *testing.T) {
 	for _, strict := range []bool{true, false} {
 		p, now := newHandoverPair(Limit{Most: 8, Strict: strict})
@@ -230,15 +235,16 @@
 			}
 		}
 		if strict && (revoked != 5 || p.first.Used() != 3) || !strict && (revoked != 0 || p.first.Used() != 8) {
-			t.Errorf("strict %t: %d ended, %d in use", strict, revoked, p.first.Used())
+			t.Errorf("strict %t: %d permits revoked, %d in use", strict, revoked, p.first.Used())
 		}
 		if p.first.Take(9, "more", send); p.first.Used() > 8 {
-			t.Errorf("strict %t: %d in use of 3", strict, p.first.Used())
+			t.Errorf("strict %t: %d permits in use after one more was requested, want at most 8", strict, p.first.Used())
 		}
 	}
 }
 
-// TestWrongWords: what can't be is counted, dropped, and changes nothing.
+// TestInvalidMessages guards against messages that are cut short, come from the wrong node or process, allow more than the
+// limit, or arrive twice: they are counted, dropped and change nothing.
 func TestInvalidMessages(t *testing.T) {
 	p, _ := newHandoverPair(Limit{Most: 5, Strict: true})
 	var request, reply []byte
@@ -246,27 +252,27 @@
 	p.owner.TakeAsk(2, request, func(payload []byte) { reply = payload })
 	for length := range len(reply) {
 		if _, ok := p.first.Told(0, reply[:length]); ok {
-			t.Errorf("%d bytes of %d are taken", length, len(reply))
+			t.Errorf("a reply cut to %d of %d bytes is accepted", length, len(reply))
 		}
 	}
 	excessive := append([]byte(nil), reply...)
 	excessive[len(excessive)-1] = 200
 	for _, test := range []struct {
-		from int
-		p    []byte
+		from    int
+		payload []byte
 	}{{1, reply}, {0, excessive}} {
-		if p.first.Told(test.from, test.p); p.first.Used() != 0 {
-			t.Errorf("%d in use by a word that can't be", p.first.Used())
+		if p.first.Told(test.from, test.payload); p.first.Used() != 0 {
+			t.Errorf("%d permits in use after an invalid reply", p.first.Used())
 		}
 	}
 	if p.first.Stray != 2 {
-		t.Errorf("%d counted", p.first.Stray)
+		t.Errorf("%d replies counted as dropped, want 2", p.first.Stray)
 	}
-	if p.owner.TakeAsk(7, request, func([]byte) { t.Error("asked for another, and answered") }); p.owner.Stray != 1 {
-		t.Errorf("%d counted", p.owner.Stray)
+	if p.owner.TakeAsk(7, request, func([]byte) { t.Error("a request in the name of another process is answered") }); p.owner.Stray != 1 {
+		t.Errorf("%d requests counted as dropped, want 1", p.owner.Stray)
 	}
 	p.first.Told(0, reply)
 	if p.first.Told(0, reply); p.first.Used() != 1 || p.first.Stray != 3 {
-		t.Errorf("%d in use, %d counted, by one answer told twice", p.first.Used(), p.first.Stray)
+		t.Errorf("%d permits in use, %d replies dropped, after one reply arrived twice; want 1 and 3", p.first.Used(), p.first.Stray)
 	}
 }
