--- a/cluster/permits/permits.go
+++ b/cluster/permits/permits.go
@@ -13,8 +13,8 @@
 //	           one), so that all together have at most L·(1+c) + n, where c counts the nodes that can't reach the owner, or
 //	           could not when they admitted what they still have: each of them may hold permits for all of L.
 //
-// A new owner knows nothing. Until everything that its predecessor may have granted has expired, it confirms what is in use
-// and grants nothing new. The permits of a lost process are free again when they expire: after OwnerTerm on the owner's
+// A new owner knows nothing. Until everything that the previous owner may have granted has expired, it confirms what is in
+// use and grants nothing new. The permits of a lost process are free again when they expire: after OwnerTerm on the owner's
 // clock.
 package permits
 
