--- a/cluster/permits/permits_test.go
+++ b/cluster/permits/permits_test.go
@@ -9,262 +9,270 @@
 	"pgregory.net/rapid"
 )
 
-// side is a member's permits core; what waits is counted by the core.
-type side struct {
+// fleetMember is the permits core of one member of a test fleet. The core itself counts the permits of waiters.
+type fleetMember struct {
 	*Permits
 	key uint64
 	t   drawn.Failer
 }
 
-func (s side) Turn(now int64, send func(to int, p []byte)) {
-	_, over := s.Permits.Turn(now, send)
-	for _, o := range over {
-		for range o.N {
-			s.Done(o.Key)
+func (m fleetMember) Tick(now int64, send func(to int, p []byte)) {
+	_, excess := m.Permits.Turn(now, send)
+	for _, e := range excess {
+		for range e.N {
+			m.Done(e.Key)
 		}
 	}
 }
 
-func (s side) Take(from int, process uint64, p []byte, answer func(p []byte), _ func(to int, p []byte)) {
-	if s.TakeAsk(process, p, answer) {
+func (m fleetMember) Receive(from int, process uint64, payload []byte, answer func(payload []byte), _ func(to int, payload []byte)) {
+	if m.TakeAsk(process, payload, answer) {
 		return
 	}
-	if _, ok := s.Told(from, p); !ok {
-		s.t.Fatalf("not read: %x", p)
+	if _, ok := m.Told(from, payload); !ok {
+		m.t.Fatalf("payload is neither a request nor a reply: %x", payload)
 	}
 }
 
-// TestNeverOver draws faults on fleets of three to seven, whose members take and give back. What all have in use of a
-// strict limit is never over it, by what each may do now: one that stands still past its permits does nothing before it
-// has ended what it had. Of an available one it is never over the formula.
+// TestNeverOver guards the bounds under drawn faults on fleets of three to seven nodes, whose members take and release
+// permits. The permits in use of a strict limit never exceed it; those of a member that is paused beyond their term don't
+// count, because it ends the flows before it does anything else. An available limit is never exceeded beyond its formula.
 func TestNeverOver(t *testing.T) {
 	drawn.Same()
-	runs, most, full := 0, -1000, 0
+	runs, worstExcess, stepsAtLimit := 0, -1000, 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := drawn.Draw(t, 16*second)
-		lim := Limit{Most: rapid.IntRange(1, 12).Draw(t, "most"), Strict: rapid.Bool().Draw(t, "strict")}
-		w := drawn.New(p, func(m *drawn.Member) drawn.Core { return side{New(lim, m.Process, p.Nodes, m), p.Key, t} })
-		rng := rand.New(rand.NewSource(p.Seed + 1))
-		asked := 0
+		plan := drawn.Draw(t, 16*second)
+		limit := Limit{Most: rapid.IntRange(1, 12).Draw(t, "most"), Strict: rapid.Bool().Draw(t, "strict")}
+		fleet := drawn.NewFleet(plan, func(m *drawn.Member) drawn.Core {
+			return fleetMember{New(limit, m.Process, plan.Nodes, m), plan.Key, t}
+		})
+		rng := rand.New(rand.NewSource(plan.Seed + 1))
+		lastWaiter := 0
 		for range 2600 {
-			w.Step(func(m *drawn.Member, send func(to int, p []byte)) {
-				s := m.Core.(side)
+			fleet.Step(func(m *drawn.Member, send func(to int, payload []byte)) {
+				member := m.Core.(fleetMember)
 				switch x := rng.Float64(); {
 				case x < 0.05:
-					asked++
-					s.Permits.Take(p.Key, asked, send)
+					lastWaiter++
+					member.Permits.Take(plan.Key, lastWaiter, send)
 				case x < 0.055:
-					s.Done(p.Key)
+					member.Done(plan.Key)
 				}
 			})
-			sum, cut := 0, 0
-			for _, m := range w.Members {
-				s := m.Core.(side)
-				if use := s.Used(); !m.Dead && use > 0 {
-					valid := m.Clock() < s.mine[p.Key].until && m.Clock() >= s.now
-					if lim.Strict && !valid && !m.Runs() {
-						continue // it ends that when it wakes, before it does more
+			inUse, cutOff := 0, 0
+			for _, m := range fleet.Members {
+				member := m.Core.(fleetMember)
+				if used := member.Used(); !m.Dead && used > 0 {
+					valid := m.Clock() < member.usages[plan.Key].allowedUntil && m.Clock() >= member.now
+					if limit.Strict && !valid && !m.Running() {
+						continue // when it resumes it ends these flows first
 					}
-					if sum += use; !valid || use > s.mine[p.Key].may {
-						cut++ // it can't ask, or could not when it let pass what still stands
+					inUse += used
+					if !valid || used > member.usages[plan.Key].allowed {
+						cutOff++ // it can't reach the owner, or could not when it admitted what it still has
 					}
 				}
 			}
-			if sum > lim.MostAt(len(w.Members), cut) {
-				t.Fatalf("%d in use at %d ms, %d can't ask", sum, w.Now/ms, cut)
+			if inUse > limit.MaxWith(len(fleet.Members), cutOff) {
+				t.Fatalf("%d permits in use at %d ms, while %d members are cut off", inUse, fleet.Now/ms, cutOff)
 			}
-			if sum == lim.Most {
-				full++
+			if inUse == limit.Most {
+				stepsAtLimit++
 			}
-			most = max(most, sum-lim.MostAt(len(w.Members), cut))
+			worstExcess = max(worstExcess, inUse-limit.MaxWith(len(fleet.Members), cutOff))
 		}
 		runs++
 	})
-	if full < 100*runs {
-		t.Errorf("a limit was in full use in %d of %d steps only", full, 2600*runs)
+	if stepsAtLimit < 100*runs {
+		t.Errorf("a limit was fully used in only %d of %d steps", stepsAtLimit, 2600*runs)
 	}
-	t.Logf("%d runs; in full use in %d steps, the most was %d over", runs, full, most)
+	t.Logf("%d runs; limits were fully used in %d steps; the largest excess over a bound was %d", runs, stepsAtLimit, worstExcess)
 }
 
-// every is an owner of every key, or of none.
-type every struct{ owns bool }
+// fixedOwner makes the process the owner of every key, or of none; node 0 is the likely owner otherwise.
+type fixedOwner struct{ owns bool }
 
-func (o every) Mine(uint64) (since, until int64, ok bool) { return second, 1 << 60, o.owns }
-func (o every) Who(uint64) int                            { return 0 }
+func (o fixedOwner) Mine(uint64) (since, until int64, ok bool) { return second, 1 << 60, o.owns }
+func (o fixedOwner) Who(uint64) int                            { return 0 }
 
-// pair is an owner and two processes of another node, of which the second takes over from the first.
-type pair struct{ owner, first, second *Permits }
+// handoverPair is an owner and two processes of another node, the second of which takes over from the first.
+type handoverPair struct{ owner, first, second *Permits }
 
-func (p pair) turn(now int64) (over []Excess) {
+// tick advances all three processes and returns the excess of the two users.
+func (p handoverPair) tick(now int64) (excess []Excess) {
 	p.owner.Turn(now, nil)
-	for _, l := range []*Permits{p.first, p.second} {
-		_, o := l.Turn(now, func(_ int, ask []byte) { p.ask(l, ask) })
-		over = append(over, o...)
+	for _, user := range []*Permits{p.first, p.second} {
+		_, revoked := user.Turn(now, func(_ int, payload []byte) { p.deliver(user, payload) })
+		excess = append(excess, revoked...)
 	}
-	return over
+	return excess
 }
 
-func (p pair) ask(l *Permits, ask []byte) {
-	p.owner.TakeAsk(l.process, ask, func(give []byte) { l.Told(0, give) })
+// deliver hands a request to the owner and its reply to the user.
+func (p handoverPair) deliver(user *Permits, payload []byte) {
+	p.owner.TakeAsk(user.process, payload, func(reply []byte) { user.Told(0, reply) })
 }
 
-func newPair(lim Limit) (p pair, now int64) {
-	p = pair{New(lim, 1, 3, every{true}), New(lim, 2, 3, every{}), New(lim, 3, 3, every{})}
-	for now = second; now < 9*second; now += sweep {
-		p.turn(now)
+// newHandoverPair returns a pair whose owner has owned its slots long enough to grant new permits.
+func newHandoverPair(limit Limit) (p handoverPair, now int64) {
+	p = handoverPair{New(limit, 1, 3, fixedOwner{true}), New(limit, 2, 3, fixedOwner{}), New(limit, 3, 3, fixedOwner{})}
+	for now = second; now < 9*second; now += sweepInterval {
+		p.tick(now)
 	}
 	return p, now
 }
 
-// TestTakeOver: what one process of a node hands over to the next counts once, ends at neither, and is free again when the
-// next one has given it back.
-func TestTakeOver(t *testing.T) {
-	p, now := newPair(Limit{Most: 5, Strict: true})
+// TestTakeOverCountsOnce guards against permits that count twice, are revoked or are lost when one process of a node hands
+// its flows over to the next.
+func TestTakeOverCountsOnce(t *testing.T) {
+	p, now := newHandoverPair(Limit{Most: 5, Strict: true})
 	for i := range 7 {
-		p.first.Take(9, i, func(_ int, ask []byte) { p.ask(p.first, ask) })
+		p.first.Take(9, i, func(_ int, payload []byte) { p.deliver(p.first, payload) })
 	}
 	if p.first.Used() != 5 {
-		t.Fatalf("%d of 5 in use", p.first.Used())
+		t.Fatalf("%d permits in use, want 5", p.first.Used())
 	}
 	p.first.Yield()
 	for range 4 {
 		p.second.TakeOver(9, 2, p.first.Left(9))
 		p.first.Done(9)
 	}
-	for end := now + 20*second; now < end; now += sweep {
-		if over := p.turn(now); over != nil {
-			t.Fatalf("%v is to end", over)
+	for end := now + 20*second; now < end; now += sweepInterval {
+		if excess := p.tick(now); excess != nil {
+			t.Fatalf("permits were revoked: %v", excess)
 		}
-		if yes, _ := p.second.Take(9, "more", func(_ int, ask []byte) { p.ask(p.second, ask) }); yes || p.second.Used() > 4 {
-			t.Fatalf("%d in use beside 1 of the first", p.second.Used())
+		if granted, _ := p.second.Take(9, "more", func(_ int, payload []byte) { p.deliver(p.second, payload) }); granted || p.second.Used() > 4 {
+			t.Fatalf("%d permits in use beside one of the predecessor, want at most 4", p.second.Used())
 		}
 	}
 	p.first.Done(9)
-	for end := now + second; now < end; now += sweep {
-		p.turn(now)
+	for end := now + second; now < end; now += sweepInterval {
+		p.tick(now)
 	}
-	p.second.Take(9, "last", func(_ int, ask []byte) { p.ask(p.second, ask) })
+	p.second.Take(9, "last", func(_ int, payload []byte) { p.deliver(p.second, payload) })
 	if p.second.Used() != 5 {
-		t.Errorf("%d in use after all was given back", p.second.Used())
+		t.Errorf("%d permits in use after the predecessor released its last, want 5", p.second.Used())
 	}
 }
 
-// TestTakeOverBeforeAnswer: an answer to what was asked before a flow was handed over ends nothing of it.
-func TestTakeOverBeforeAnswer(t *testing.T) {
-	p, now := newPair(Limit{Most: 5, Strict: true})
+// TestLateReplyAfterTakeOver guards against a flow that is ended after its handover, because a reply arrives to a request
+// that was sent before the handover and did not report the flow.
+func TestLateReplyAfterTakeOver(t *testing.T) {
+	p, now := newHandoverPair(Limit{Most: 5, Strict: true})
 	var late [][]byte
-	p.first.Take(9, "one", func(_ int, ask []byte) { p.ask(p.first, ask) })
-	p.second.Take(9, "two", func(_ int, ask []byte) { p.ask(p.second, ask) })
-	for ; len(late) == 0; now += sweep { // until it renews what it has
-		p.first.Turn(now, func(_ int, ask []byte) { p.ask(p.first, ask) })
+	p.first.Take(9, "one", func(_ int, payload []byte) { p.deliver(p.first, payload) })
+	p.second.Take(9, "two", func(_ int, payload []byte) { p.deliver(p.second, payload) })
+	for ; len(late) == 0; now += sweepInterval { // until the second process renews its permit
+		p.first.Turn(now, func(_ int, payload []byte) { p.deliver(p.first, payload) })
 		p.owner.Turn(now, nil)
-		p.second.Turn(now, func(_ int, ask []byte) {
-			p.owner.TakeAsk(3, ask, func(give []byte) { late = append(late, give) })
+		p.second.Turn(now, func(_ int, payload []byte) {
+			p.owner.TakeAsk(3, payload, func(reply []byte) { late = append(late, reply) })
 		})
 	}
 	p.second.TakeOver(9, 2, p.first.Left(9))
 	p.first.Done(9)
 	p.second.Told(0, late[0])
-	for end := now + 10*second; now < end; now += sweep {
-		if over := p.turn(now); over != nil {
-			t.Fatalf("%v is to end, %d in use of 5", over, p.second.Used())
+	for end := now + 10*second; now < end; now += sweepInterval {
+		if excess := p.tick(now); excess != nil {
+			t.Fatalf("permits were revoked: %v; %d in use", excess, p.second.Used())
 		}
 	}
 	if p.second.Used() != 2 {
-		t.Errorf("%d in use", p.second.Used())
+		t.Errorf("%d permits in use, want 2", p.second.Used())
 	}
 }
 
-// TestAnswersLost: of all answers only the first comes. Its user ends what it has when that has run out, and before that
-// nobody else has any of it.
-func TestAnswersLost(t *testing.T) {
-	p, now := newPair(Limit{Most: 5, Strict: true})
+// TestRepliesLost guards against permits that are granted again while a user that receives no replies still uses them. The
+// user gives up its permits when they expire, and no other process has any of them before that.
+func TestRepliesLost(t *testing.T) {
+	p, now := newHandoverPair(Limit{Most: 5, Strict: true})
 	for i := range 5 {
-		p.first.Take(9, i, func(_ int, ask []byte) { p.ask(p.first, ask) })
+		p.first.Take(9, i, func(_ int, payload []byte) { p.deliver(p.first, payload) })
 	}
-	begun, endedAt, freeAt := now, int64(0), int64(0)
-	for ; now < begun+9*second; now += sweep {
+	startedAt, revokedAt, freeAt := now, int64(0), int64(0)
+	for ; now < startedAt+9*second; now += sweepInterval {
 		p.owner.Turn(now, nil)
-		_, over := p.first.Turn(now, func(_ int, ask []byte) { p.owner.TakeAsk(2, ask, func([]byte) {}) })
-		for _, o := range over {
-			for range o.N {
+		_, excess := p.first.Turn(now, func(_ int, payload []byte) { p.owner.TakeAsk(2, payload, func([]byte) {}) })
+		for _, e := range excess {
+			for range e.N {
 				p.first.Done(9)
 			}
-			endedAt = now
+			revokedAt = now
 		}
-		p.second.Turn(now, func(_ int, ask []byte) { p.ask(p.second, ask) })
-		p.second.Take(9, "other", func(_ int, ask []byte) { p.ask(p.second, ask) })
+		p.second.Turn(now, func(_ int, payload []byte) { p.deliver(p.second, payload) })
+		p.second.Take(9, "other", func(_ int, payload []byte) { p.deliver(p.second, payload) })
 		if p.second.Used() > 0 && freeAt == 0 {
 			freeAt = now
 		}
 		if n := p.first.Used() + p.second.Used(); n > 5 {
-			t.Fatalf("%d in use of 5", n)
+			t.Fatalf("%d permits in use, want at most 5", n)
 		}
 	}
-	if endedAt == 0 || freeAt < endedAt || endedAt > begun+Use+2*sweep {
-		t.Errorf("ended after %d ms, with another after %d ms", (endedAt-begun)/ms, (freeAt-begun)/ms)
+	if revokedAt == 0 || freeAt < revokedAt || revokedAt > startedAt+Use+2*sweepInterval {
+		t.Errorf("permits were revoked after %d ms, and granted to another process after %d ms", (revokedAt-startedAt)/ms, (freeAt-startedAt)/ms)
 	}
 }
 
-// TestLowered: what is held over a lower limit ends where that is strict, and where it is not nothing new is let pass
-// until as much has ended by itself.
-func TestLowered(t *testing.T) {
+// TestLoweredLimit guards the lowering of a limit in service: flows beyond a strict limit are ended; under an available
+// limit they go on, and nothing new is admitted.
+func TestLoweredLimit(t *testing.T) {
 	for _, strict := range []bool{true, false} {
-		p, now := newPair(Limit{Most: 8, Strict: strict})
-		send := func(_ int, ask []byte) { p.ask(p.first, ask) }
+		p, now := newHandoverPair(Limit{Most: 8, Strict: strict})
+		send := func(_ int, payload []byte) { p.deliver(p.first, payload) }
 		for i := range 8 {
 			p.first.Take(9, i, send)
 		}
 		for _, l := range []*Permits{p.owner, p.first, p.second} {
 			l.Set(Limit{Most: 3, Strict: strict})
 		}
-		ended := 0
-		for end := now + 3*second; now < end; now += sweep {
-			for _, o := range p.turn(now) {
-				for range o.N {
-					ended++
+		revoked := 0
+		for end := now + 3*second; now < end; now += sweepInterval {
+			for _, e := range p.tick(now) {
+				for range e.N {
+					revoked++
 					p.first.Done(9)
 				}
 			}
 		}
-		if strict && (ended != 5 || p.first.Used() != 3) || !strict && (ended != 0 || p.first.Used() != 8) {
-			t.Errorf("strict %t: %d ended, %d in use", strict, ended, p.first.Used())
+		if strict && (revoked != 5 || p.first.Used() != 3) || !strict && (revoked != 0 || p.first.Used() != 8) {
+			t.Errorf("strict %t: %d permits revoked, %d in use", strict, revoked, p.first.Used())
 		}
 		if p.first.Take(9, "more", send); p.first.Used() > 8 {
-			t.Errorf("strict %t: %d in use of 3", strict, p.first.Used())
+			t.Errorf("strict %t: %d permits in use after one more was requested, want at most 8", strict, p.first.Used())
 		}
 	}
 }
 
-// TestWrongWords: what can't be is counted, dropped, and changes nothing.
-func TestWrongWords(t *testing.T) {
-	p, _ := newPair(Limit{Most: 5, Strict: true})
-	var ask, give []byte
-	p.first.Take(9, "one", func(_ int, q []byte) { ask = q })
-	p.owner.TakeAsk(2, ask, func(q []byte) { give = q })
-	for cut := range len(give) {
-		if _, ok := p.first.Told(0, give[:cut]); ok {
-			t.Errorf("%d bytes of %d are taken", cut, len(give))
+// TestInvalidMessages guards against messages that are cut short, come from the wrong node or process, allow more than the
+// limit, or arrive twice: they are counted, dropped and change nothing.
+func TestInvalidMessages(t *testing.T) {
+	p, _ := newHandoverPair(Limit{Most: 5, Strict: true})
+	var request, reply []byte
+	p.first.Take(9, "one", func(_ int, payload []byte) { request = payload })
+	p.owner.TakeAsk(2, request, func(payload []byte) { reply = payload })
+	for length := range len(reply) {
+		if _, ok := p.first.Told(0, reply[:length]); ok {
+			t.Errorf("a reply cut to %d of %d bytes is accepted", length, len(reply))
 		}
 	}
-	much := append([]byte(nil), give...)
-	much[len(much)-1] = 200
-	for _, c := range []struct {
-		from int
-		p    []byte
-	}{{1, give}, {0, much}} {
-		if p.first.Told(c.from, c.p); p.first.Used() != 0 {
-			t.Errorf("%d in use by a word that can't be", p.first.Used())
+	excessive := append([]byte(nil), reply...)
+	excessive[len(excessive)-1] = 200
+	for _, test := range []struct {
+		from    int
+		payload []byte
+	}{{1, reply}, {0, excessive}} {
+		if p.first.Told(test.from, test.payload); p.first.Used() != 0 {
+			t.Errorf("%d permits in use after an invalid reply", p.first.Used())
 		}
 	}
 	if p.first.Stray != 2 {
-		t.Errorf("%d counted", p.first.Stray)
+		t.Errorf("%d replies counted as dropped, want 2", p.first.Stray)
 	}
-	if p.owner.TakeAsk(7, ask, func([]byte) { t.Error("asked for another, and answered") }); p.owner.Stray != 1 {
-		t.Errorf("%d counted", p.owner.Stray)
+	if p.owner.TakeAsk(7, request, func([]byte) { t.Error("a request in the name of another process is answered") }); p.owner.Stray != 1 {
+		t.Errorf("%d requests counted as dropped, want 1", p.owner.Stray)
 	}
-	p.first.Told(0, give)
-	if p.first.Told(0, give); p.first.Used() != 1 || p.first.Stray != 3 {
-		t.Errorf("%d in use, %d counted, by one answer told twice", p.first.Used(), p.first.Stray)
+	p.first.Told(0, reply)
+	if p.first.Told(0, reply); p.first.Used() != 1 || p.first.Stray != 3 {
+		t.Errorf("%d permits in use, %d replies dropped, after one reply arrived twice; want 1 and 3", p.first.Used(), p.first.Stray)
 	}
 }
