--- a/cluster/frame/frame.go
+++ b/cluster/frame/frame.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	magic   = 0xC7
-	version = 1
-	head    = 33 // before the payload
-	tail    = 4  // checksum
+	magic        = 0xC7
+	version      = 1
+	headerSize   = 33 // before the payload
+	checksumSize = 4  // checksum
 
-	Most        = 1200               // bytes of a datagram: fits any path without being taken apart
-	MostPayload = Most - head - tail // bytes
+	Most        = 1200                             // bytes of a datagram: fits any path without being taken apart
+	MostPayload = Most - headerSize - checksumSize // bytes
 )
 
 // Head is what each datagram says of its sender. No time of any clock is in it.
@@ -44,28 +44,28 @@
 	Faults          // how many there are
 )
 
-var names = [...]string{"none", "short", "oversized", "foreign", "version", "bent", "replayed", "stranger", "nonsense"}
+var faultNames = [...]string{"none", "short", "oversized", "foreign", "version", "bent", "replayed", "stranger", "nonsense"}
 
-func (f Fault) String() string { return names[f] }
+func (f Fault) String() string { return faultNames[f] }
 
 const (
-	isLate = 1 << iota
-	isLeaving
-	known = isLate | isLeaving
+	flagLate = 1 << iota
+	flagLeaving
+	knownFlags = flagLate | flagLeaving
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Write makes a datagram. The payload is MostPayload bytes at most; what is longer is cut off.
 func Write(h Head, payload []byte) []byte {
 	payload = payload[:min(len(payload), MostPayload)]
-	p := make([]byte, 0, head+len(payload)+tail)
+	p := make([]byte, 0, headerSize+len(payload)+checksumSize)
 	flags := byte(0)
 	if h.Late {
-		flags |= isLate
+		flags |= flagLate
 	}
 	if h.Leaving {
-		flags |= isLeaving
+		flags |= flagLeaving
 	}
 	p = append(p, magic, version, flags)
 	p = binary.LittleEndian.AppendUint32(p, h.Name)
@@ -75,7 +75,7 @@
 	p = binary.LittleEndian.AppendUint32(p, h.EchoSeq)
 	p = binary.LittleEndian.AppendUint16(p, uint16(len(payload)))
 	p = append(p, payload...)
-	return binary.LittleEndian.AppendUint32(p, crc32.Checksum(p, table))
+	return binary.LittleEndian.AppendUint32(p, crc32.Checksum(p, castagnoli))
 }
 
 // Read takes a datagram apart. The payload lies within p.
@@ -91,19 +91,19 @@
 		return h, nil, Short
 	case p[1] != version:
 		return h, nil, Version
-	case len(p) < head+tail:
+	case len(p) < headerSize+checksumSize:
 		return h, nil, Short
 	}
-	body, sum := p[:len(p)-tail], binary.LittleEndian.Uint32(p[len(p)-tail:])
-	length := int(binary.LittleEndian.Uint16(p[head-2:]))
-	if len(body) < head+length {
+	body, sum := p[:len(p)-checksumSize], binary.LittleEndian.Uint32(p[len(p)-checksumSize:])
+	length := int(binary.LittleEndian.Uint16(p[headerSize-2:]))
+	if len(body) < headerSize+length {
 		return h, nil, Short
 	}
-	if len(body) > head+length || crc32.Checksum(body, table) != sum || p[2]&^known != 0 {
+	if len(body) > headerSize+length || crc32.Checksum(body, castagnoli) != sum || p[2]&^knownFlags != 0 {
 		return h, nil, Bent
 	}
 	h = Head{Name: binary.LittleEndian.Uint32(p[3:]), Process: binary.LittleEndian.Uint64(p[7:]),
 		Seq: binary.LittleEndian.Uint32(p[15:]), Echo: binary.LittleEndian.Uint64(p[19:]),
-		EchoSeq: binary.LittleEndian.Uint32(p[27:]), Late: p[2]&isLate != 0, Leaving: p[2]&isLeaving != 0}
-	return h, body[head:], None
+		EchoSeq: binary.LittleEndian.Uint32(p[27:]), Late: p[2]&flagLate != 0, Leaving: p[2]&flagLeaving != 0}
+	return h, body[headerSize:], None
 }
--- a/cluster/frame/frame_test.go
+++ b/cluster/frame/frame_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestFaultsHaveNames(t *testing.T) {
+func TestReadNamesEachFault(t *testing.T) {
 	h := Head{Name: 7, Process: 1 << 60, Seq: 9, Echo: 3, EchoSeq: 4, Late: true}
 	good := Write(h, []byte("what it tells"))
 	got, payload, fault := Read(good)
--- a/cluster/members/members.go
+++ b/cluster/members/members.go
@@ -18,19 +18,19 @@
 	ms     = int64(1000)
 	second = 1000 * ms
 
-	leastEvery = 200 * ms // between two datagrams to one node
-	perNode    = 4 * ms   // or this for each node of the fleet: 250 datagrams a second at most, whatever its size
-	kept       = 64       // datagrams to a node whose times are remembered
-	youngFor   = 4        // times that pace: an older word counts no more
-	youngPlus  = 600 * ms // and so much besides
-	mostTwins  = 3        // processes of one name at one address that are told apart
+	minSendInterval        = 200 * ms // between two datagrams to one node
+	sendIntervalPerNode    = 4 * ms   // or this for each node of the fleet: 250 datagrams a second at most, whatever its size
+	sentTimesKept          = 64       // datagrams to a node whose times are remembered
+	maxAgeIntervals        = 4        // times that pace: an older word counts no more
+	maxAgeMargin           = 600 * ms // and so much besides
+	maxProcessesPerAddress = 3        // processes of one name at one address that are told apart
 )
 
 // Every is how often a node of a fleet of so many tells each other, in microseconds.
-func Every(nodes int) int64 { return max(leastEvery, perNode*int64(nodes)) }
+func Every(nodes int) int64 { return max(minSendInterval, sendIntervalPerNode*int64(nodes)) }
 
 // Young is for how long a word counts in a fleet of so many nodes, in microseconds.
-func Young(nodes int) int64 { return youngFor*Every(nodes) + youngPlus }
+func Young(nodes int) int64 { return maxAgeIntervals*Every(nodes) + maxAgeMargin }
 
 // Standing is what is believed of a node.
 type Standing uint8
@@ -54,44 +54,44 @@
 
 // peer is one address of the list.
 type peer struct {
-	seq      uint32
-	sentAt   [kept]int64 // by seq
-	dueAt    int64
-	words    []*heard // of processes heard there, the latest first
-	standing Standing
+	seq        uint32
+	sentAt     [sentTimesKept]int64 // by seq
+	nextSendAt int64
+	processes  []*remoteProcess // of processes heard there, the latest first
+	state      Standing
 }
 
-// heard is one process at an address.
-type heard struct {
+// remoteProcess is one process at an address.
+type remoteProcess struct {
 	Word
-	seq  uint32
-	name uint32
-	came int64 // when anything of it came, young or not
-	left bool
+	seq        uint32
+	nameHash   uint32
+	receivedAt int64 // when anything of it came, young or not
+	left       bool
 }
 
 // Members is one node's view.
 type Members struct {
-	name    uint32
-	process uint64
-	peers   []*peer
-	rng     *rand.Rand
-	every   int64
-	young   int64
-	lastDue int64
-	late    bool
-	leaving bool
-
-	Sent, Heard, SentBytes, HeardBytes int64
-	Faults                             [frame.Faults]int64
-	Stale                              int64 // whole and new, but too old to count
-	Changes                            int64 // of any node's standing
+	nameHash     uint32
+	process      uint64
+	peers        []*peer
+	rng          *rand.Rand
+	sendInterval int64
+	maxReportAge int64
+	lastSendDue  int64
+	late         bool
+	leaving      bool
+
+	Sent, Heard, SentBytes, ReceivedBytes int64
+	Faults                                [frame.Faults]int64
+	Stale                                 int64 // whole and new, but too old to count
+	StateChanges                          int64 // of any node's standing
 }
 
 // New makes the view of a process of a node among so many others. Process is over 0 and differs from that of any other
 // process.
 func New(name uint32, process uint64, others int, seed int64) *Members {
-	m := &Members{name: name, process: process, rng: rand.New(rand.NewSource(seed)), every: Every(others + 1), young: Young(others + 1)}
+	m := &Members{nameHash: name, process: process, rng: rand.New(rand.NewSource(seed)), sendInterval: Every(others + 1), maxReportAge: Young(others + 1)}
 	for range others {
 		m.peers = append(m.peers, &peer{})
 	}
@@ -100,9 +100,9 @@
 
 // Begin sets when each is told first.
 func (m *Members) Begin(now int64) {
-	m.lastDue = now
+	m.lastSendDue = now
 	for _, p := range m.peers {
-		p.dueAt = now + m.rng.Int63n(m.every/4+1)
+		p.nextSendAt = now + m.rng.Int63n(m.sendInterval/4+1)
 	}
 }
 
@@ -116,10 +116,10 @@
 func (m *Members) Send(now int64, to int, payload []byte, send func(to int, p []byte)) {
 	p := m.peers[to]
 	p.seq++
-	p.sentAt[p.seq%kept] = now
-	h := frame.Head{Name: m.name, Process: m.process, Seq: p.seq, Late: m.late, Leaving: m.leaving}
-	if len(p.words) > 0 {
-		h.Echo, h.EchoSeq = p.words[0].Process, p.words[0].seq
+	p.sentAt[p.seq%sentTimesKept] = now
+	h := frame.Head{Name: m.nameHash, Process: m.process, Seq: p.seq, Late: m.late, Leaving: m.leaving}
+	if len(p.processes) > 0 {
+		h.Echo, h.EchoSeq = p.processes[0].Process, p.processes[0].seq
 	}
 	d := frame.Write(h, payload)
 	m.Sent++
@@ -129,8 +129,8 @@
 
 // Name is the short hash of a node's name, as its latest process says; ok is false while nothing of it was heard.
 func (m *Members) Name(no int) (name uint32, ok bool) {
-	if w := m.peers[no].words; len(w) > 0 {
-		return w[0].name, true
+	if w := m.peers[no].processes; len(w) > 0 {
+		return w[0].nameHash, true
 	}
 	return 0, false
 }
@@ -139,7 +139,7 @@
 func (m *Members) Leave(now int64) {
 	m.leaving = true
 	for _, p := range m.peers {
-		p.dueAt = now
+		p.nextSendAt = now
 	}
 }
 
@@ -147,7 +147,7 @@
 func (m *Members) Next() int64 {
 	next := int64(1) << 62
 	for _, p := range m.peers {
-		next = min(next, p.dueAt)
+		next = min(next, p.nextSendAt)
 	}
 	return next
 }
@@ -155,52 +155,52 @@
 // Due sends what is due and goes through who is still heard. The payload is asked for once, if anything is sent.
 func (m *Members) Due(now int64, payload func() []byte, send func(to int, p []byte)) {
 	// A process that did not run, or whose clock jumped, has heard nothing meanwhile and can blame nobody for that.
-	if gap := now - m.lastDue; gap > 2*m.every || gap < 0 {
+	if gap := now - m.lastSendDue; gap > 2*m.sendInterval || gap < 0 {
 		for _, p := range m.peers {
-			for _, h := range p.words {
+			for _, h := range p.processes {
 				h.At = min(h.At+gap, now)
 			}
-			p.sentAt = [kept]int64{} // what comes now may be as old as the gap
+			p.sentAt = [sentTimesKept]int64{} // what comes now may be as old as the gap
 		}
 	}
-	m.lastDue = now
+	m.lastSendDue = now
 	var body []byte
 	for to, p := range m.peers {
-		m.judge(now, p)
-		if now < p.dueAt {
+		m.updateState(now, p)
+		if now < p.nextSendAt {
 			continue
 		}
 		if body == nil {
 			body = payload()
 		}
 		m.Send(now, to, body, send)
-		p.dueAt = now + m.every*9/10 + m.rng.Int63n(m.every/5+1)
+		p.nextSendAt = now + m.sendInterval*9/10 + m.rng.Int63n(m.sendInterval/5+1)
 	}
 }
 
-// judge says what is believed of a node by now.
-func (m *Members) judge(now int64, p *peer) {
-	was := p.standing
-	for i := len(p.words) - 1; i >= 0; i-- {
-		if h := p.words[i]; now-h.came > 4*m.young { // guards the memory against processes that are gone
-			p.words = append(p.words[:i], p.words[i+1:]...)
+// updateState says what is believed of a node by now.
+func (m *Members) updateState(now int64, p *peer) {
+	was := p.state
+	for i := len(p.processes) - 1; i >= 0; i-- {
+		if h := p.processes[i]; now-h.receivedAt > 4*m.maxReportAge { // guards the memory against processes that are gone
+			p.processes = append(p.processes[:i], p.processes[i+1:]...)
 		}
 	}
 	linked, left := false, false
-	for _, h := range p.words {
-		linked = linked || !h.left && h.At > 0 && now-h.At <= m.young
+	for _, h := range p.processes {
+		linked = linked || !h.left && h.At > 0 && now-h.At <= m.maxReportAge
 		left = left || h.left
 	}
 	switch {
 	case linked:
-		p.standing = Linked
+		p.state = Linked
 	case left:
-		p.standing = Left
+		p.state = Left
 	case was == Linked && !m.late:
-		p.standing = Lost
+		p.state = Lost
 	}
-	if p.standing != was {
-		m.Changes++
+	if p.state != was {
+		m.StateChanges++
 	}
 }
 
@@ -208,7 +208,7 @@
 func (m *Members) Take(now int64, from int, d []byte) (w Word, ok bool) {
 	h, payload, fault := frame.Read(d)
 	m.Heard++
-	m.HeardBytes += int64(len(d))
+	m.ReceivedBytes += int64(len(d))
 	if fault == frame.None && (from < 0 || from >= len(m.peers)) {
 		fault = frame.Stranger
 	}
@@ -220,38 +220,38 @@
 		return w, false
 	}
 	p := m.peers[from]
-	e := p.find(h.Process)
+	e := p.findProcess(h.Process)
 	if e == nil {
-		e = &heard{Word: Word{Process: h.Process}}
-		if len(p.words) >= mostTwins {
-			p.words = p.words[:mostTwins-1]
+		e = &remoteProcess{Word: Word{Process: h.Process}}
+		if len(p.processes) >= maxProcessesPerAddress {
+			p.processes = p.processes[:maxProcessesPerAddress-1]
 		}
-		p.words = append([]*heard{e}, p.words...)
+		p.processes = append([]*remoteProcess{e}, p.processes...)
 	} else if int32(h.Seq-e.seq) <= 0 {
 		m.Faults[frame.Replayed]++
 		return w, false
 	}
-	e.seq, e.name, e.came, e.left = h.Seq, h.Name, now, h.Leaving
-	p.first(e)
+	e.seq, e.nameHash, e.receivedAt, e.left = h.Seq, h.Name, now, h.Leaving
+	p.moveToFront(e)
 	at := int64(0)
-	if h.Echo == m.process && h.EchoSeq != 0 && p.seq-h.EchoSeq < kept {
-		at = p.sentAt[h.EchoSeq%kept]
+	if h.Echo == m.process && h.EchoSeq != 0 && p.seq-h.EchoSeq < sentTimesKept {
+		at = p.sentAt[h.EchoSeq%sentTimesKept]
 	}
-	if at == 0 || now-at > m.young {
+	if at == 0 || now-at > m.maxReportAge {
 		m.Stale++
 		return w, false
 	}
 	e.At, e.Late = max(e.At, at), h.Late
 	e.Payload = append(e.Payload[:0], payload...)
-	m.judge(now, p)
+	m.updateState(now, p)
 	return e.Word, true
 }
 
 // Bad counts a datagram whose figures can't be.
 func (m *Members) Bad(f frame.Fault) { m.Faults[f]++ }
 
-func (p *peer) find(process uint64) *heard {
-	for _, h := range p.words {
+func (p *peer) findProcess(process uint64) *remoteProcess {
+	for _, h := range p.processes {
 		if h.Process == process {
 			return h
 		}
@@ -259,24 +259,24 @@
 	return nil
 }
 
-// first puts a process before the others of its address.
-func (p *peer) first(e *heard) {
-	for i, h := range p.words {
+// moveToFront puts a process before the others of its address.
+func (p *peer) moveToFront(e *remoteProcess) {
+	for i, h := range p.processes {
 		if h == e {
-			copy(p.words[1:i+1], p.words[:i])
-			p.words[0] = e
+			copy(p.processes[1:i+1], p.processes[:i])
+			p.processes[0] = e
 			return
 		}
 	}
 }
 
 // Standing is what is believed of a node.
-func (m *Members) Standing(no int) Standing { return m.peers[no].standing }
+func (m *Members) Standing(no int) Standing { return m.peers[no].state }
 
 // Linked counts the nodes that are.
 func (m *Members) Linked() (n int) {
 	for _, p := range m.peers {
-		if p.standing == Linked {
+		if p.state == Linked {
 			n++
 		}
 	}
@@ -289,8 +289,8 @@
 // Oldest is the age of the oldest word that still counts, in microseconds; 0 where none does.
 func (m *Members) Oldest(now int64) (age int64) {
 	for _, p := range m.peers {
-		for _, h := range p.words {
-			if p.standing == Linked && !h.left && h.At > 0 && now-h.At <= m.young {
+		for _, h := range p.processes {
+			if p.state == Linked && !h.left && h.At > 0 && now-h.At <= m.maxReportAge {
 				age = max(age, now-h.At)
 			}
 		}
@@ -299,4 +299,4 @@
 }
 
 // YoungFor is for how long a word counts.
-func (m *Members) YoungFor() int64 { return m.young }
+func (m *Members) YoungFor() int64 { return m.maxReportAge }
--- a/cluster/members/members_test.go
+++ b/cluster/members/members_test.go
@@ -8,21 +8,21 @@
 	"coursewinch/cluster/frame"
 )
 
-// wire is some nodes and what is on its way between them.
-type wire struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   int64
-	nodes []*Members
-	skew  []int64 // of each clock
-	way   []packet
-	loss  float64
-	most  int64 // delay
-	old   []packet
-	again float64
-	cut   func(from, to int) bool
-	aged  int64 // the oldest word that counted
-	runs  []uint64
+// testNetwork is some nodes and what is on its way between them.
+type testNetwork struct {
+	t           *testing.T
+	rng         *rand.Rand
+	now         int64
+	nodes       []*Members
+	skew        []int64 // of each clock
+	inFlight    []packet
+	loss        float64
+	maxDelay    int64 // delay
+	sent        []packet
+	repeatShare float64
+	isCut       func(from, to int) bool
+	oldest      int64 // the oldest word that counted
+	starts      []uint64
 }
 
 type packet struct {
@@ -31,23 +31,23 @@
 	p        []byte
 }
 
-func fleet(t *testing.T, n int, seed int64) *wire {
-	w := &wire{t: t, rng: rand.New(rand.NewSource(seed)), most: 5 * ms, skew: make([]int64, n), cut: func(int, int) bool { return false }}
+func newTestNetwork(t *testing.T, n int, seed int64) *testNetwork {
+	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, n), isCut: func(int, int) bool { return false }}
 	for i := range n {
 		w.nodes = append(w.nodes, nil)
-		w.runs = append(w.runs, 0)
+		w.starts = append(w.starts, 0)
 		w.start(i)
 	}
 	return w
 }
 
-func (w *wire) start(i int) {
-	w.runs[i]++
-	w.nodes[i] = New(uint32(i), uint64(i+1)<<32|w.runs[i]<<1, len(w.skew)-1, w.rng.Int63())
+func (w *testNetwork) start(i int) {
+	w.starts[i]++
+	w.nodes[i] = New(uint32(i), uint64(i+1)<<32|w.starts[i]<<1, len(w.skew)-1, w.rng.Int63())
 	w.nodes[i].Begin(w.now + w.skew[i])
 }
 
-func place(from, to int) int { // what one is to another
+func peerIndex(from, to int) int { // what one is to another
 	if from > to {
 		return from - 1
 	}
@@ -55,27 +55,27 @@
 }
 
 // step is a hundredth of a second: all that has come is taken, then what is due is sent. still are stopped.
-func (w *wire) step(still ...int) {
+func (w *testNetwork) step(still ...int) {
 	w.now += 10 * ms
 	stopped := map[int]bool{}
 	for _, i := range still {
 		stopped[i] = true
 	}
 	var left []packet
-	for _, p := range w.way {
+	for _, p := range w.inFlight {
 		if p.at > w.now || stopped[p.to] {
 			left = append(left, p)
 			continue
 		}
-		word, ok := w.nodes[p.to].Take(w.now+w.skew[p.to], place(p.from, p.to), p.p)
+		word, ok := w.nodes[p.to].Take(w.now+w.skew[p.to], peerIndex(p.from, p.to), p.p)
 		if ok { // the payload says when it was made, on the true clock
 			age := w.now - int64(binary.LittleEndian.Uint64(word.Payload))
-			if w.aged = max(w.aged, age); age > Young(len(w.nodes)) {
+			if w.oldest = max(w.oldest, age); age > Young(len(w.nodes)) {
 				w.t.Errorf("a word of %d ms counts", age/ms)
 			}
 		}
 	}
-	w.way = left
+	w.inFlight = left
 	for i, m := range w.nodes {
 		if stopped[i] {
 			continue
@@ -85,40 +85,40 @@
 			if nth >= i {
 				to++
 			}
-			d := packet{w.now + w.rng.Int63n(w.most), i, to, p}
-			w.old = append(w.old, d)
-			if w.rng.Float64() >= w.loss && !w.cut(i, to) {
-				w.way = append(w.way, d)
+			d := packet{w.now + w.rng.Int63n(w.maxDelay), i, to, p}
+			w.sent = append(w.sent, d)
+			if w.rng.Float64() >= w.loss && !w.isCut(i, to) {
+				w.inFlight = append(w.inFlight, d)
 			}
-			if len(w.old) > 0 && w.rng.Float64() < w.again {
-				d := w.old[w.rng.Intn(len(w.old))]
+			if len(w.sent) > 0 && w.rng.Float64() < w.repeatShare {
+				d := w.sent[w.rng.Intn(len(w.sent))]
 				d.at = w.now
-				w.way = append(w.way, d)
+				w.inFlight = append(w.inFlight, d)
 			}
 		})
 	}
 }
 
-func (w *wire) run(seconds float64, still ...int) {
+func (w *testNetwork) run(seconds float64, still ...int) {
 	for range int(seconds * 100) {
 		w.step(still...)
 	}
 }
 
-func (w *wire) want(of, about int, want Standing) {
+func (w *testNetwork) wantState(of, about int, want Standing) {
 	w.t.Helper()
-	if got := w.nodes[of].Standing(place(about, of)); got != want {
+	if got := w.nodes[of].Standing(peerIndex(about, of)); got != want {
 		w.t.Errorf("node %d takes %d for %v, not %v", of, about, got, want)
 	}
 }
 
 // TestNoOldWordCounts: under loss, delay, datagrams sent again, clocks that differ by hours, stops and restarts, no word
 // that counts is older than the bound.
-func TestNoOldWordCounts(t *testing.T) {
+func TestNoOldReportCounts(t *testing.T) {
 	worst := int64(0)
 	for seed := range int64(40) {
-		w := fleet(t, 5, seed)
-		w.loss, w.most, w.again = 0.4, 2*second, 0.5
+		w := newTestNetwork(t, 5, seed)
+		w.loss, w.maxDelay, w.repeatShare = 0.4, 2*second, 0.5
 		for i := range w.skew {
 			w.skew[i] = w.rng.Int63n(24*3600) * second
 			w.start(i)
@@ -128,7 +128,7 @@
 			w.run(3, w.rng.Intn(5), w.rng.Intn(5))
 			w.start(w.rng.Intn(5))
 		}
-		worst = max(worst, w.aged)
+		worst = max(worst, w.oldest)
 	}
 	if worst < Young(5)/2 {
 		t.Errorf("the worst was %d ms of %d: the test does not come near", worst/ms, Young(5)/ms)
@@ -136,46 +136,46 @@
 	t.Logf("no older than %d ms; worst %d ms", Young(5)/ms, worst/ms)
 }
 
-func TestStandings(t *testing.T) {
-	w := fleet(t, 3, 1)
+func TestStates(t *testing.T) {
+	w := newTestNetwork(t, 3, 1)
 	w.run(1)
-	w.want(0, 1, Linked)
-	w.cut = func(from, _ int) bool { return from == 0 } // it hears all and is heard by none
+	w.wantState(0, 1, Linked)
+	w.isCut = func(from, _ int) bool { return from == 0 } // it hears all and is heard by none
 	w.run(3)
-	w.want(1, 0, Lost)
-	w.want(0, 1, Lost) // they name nothing young that it sent: it knows that it is not heard
-	w.want(1, 2, Linked)
-	w.cut = func(int, int) bool { return false }
+	w.wantState(1, 0, Lost)
+	w.wantState(0, 1, Lost) // they name nothing young that it sent: it knows that it is not heard
+	w.wantState(1, 2, Linked)
+	w.isCut = func(int, int) bool { return false }
 	w.run(1)
-	w.want(0, 1, Linked)
+	w.wantState(0, 1, Linked)
 	w.nodes[2].Leave(w.now)
 	w.run(0.2)
-	w.want(0, 2, Left)
+	w.wantState(0, 2, Left)
 }
 
 // TestWhoStoodStillBlamesNobody: one that did not run, or is late, takes nobody for lost for that.
-func TestWhoStoodStillBlamesNobody(t *testing.T) {
-	w := fleet(t, 3, 1)
+func TestPausedOrLateNodeMarksNobodyLost(t *testing.T) {
+	w := newTestNetwork(t, 3, 1)
 	w.run(1)
 	w.run(5, 0)
-	w.way = nil // nor did anything reach it
-	lost := w.nodes[0].Changes
+	w.inFlight = nil // nor did anything reach it
+	lost := w.nodes[0].StateChanges
 	w.step()
-	if w.nodes[0].Changes != lost {
+	if w.nodes[0].StateChanges != lost {
 		t.Error("awake, it takes the others for lost before it can have heard them")
 	}
 	w.run(1)
-	w.want(0, 1, Linked)
-	w.want(1, 0, Linked)
+	w.wantState(0, 1, Linked)
+	w.wantState(1, 0, Linked)
 	w.nodes[0].Late(true)
-	w.cut = func(int, int) bool { return true }
+	w.isCut = func(int, int) bool { return true }
 	w.run(5)
-	w.want(0, 1, Linked)
-	w.want(1, 2, Lost)
+	w.wantState(0, 1, Linked)
+	w.wantState(1, 2, Lost)
 }
 
-func TestWhatIsNoneOfTheirs(t *testing.T) {
-	w := fleet(t, 2, 1)
+func TestForeignDatagramsAreCounted(t *testing.T) {
+	w := newTestNetwork(t, 2, 1)
 	w.run(1)
 	m, other := w.nodes[0], w.nodes[1]
 	var p []byte
@@ -198,7 +198,7 @@
 }
 
 // TestTwins: two processes at one address are told apart, and neither's datagrams are taken for replays of the other's.
-func TestTwins(t *testing.T) {
+func TestTwoProcessesAtOneAddress(t *testing.T) {
 	m := New(0, 2, 1, 1)
 	twins := []*Members{New(1, 10, 1, 1), New(1, 20, 1, 2)}
 	now, counted := int64(0), map[uint64]int{}
@@ -223,7 +223,7 @@
 }
 
 // TestBytesDoNotGrow: a node sends at most (n-1)/Every(n) datagrams a second, 250 from some size on; 10 % are for jitter.
-func TestBytesDoNotGrow(t *testing.T) {
+func TestSendRateIsBounded(t *testing.T) {
 	for _, n := range []int{2, 12, 80, 300} {
 		m, now := New(0, 1, n-1, 1), int64(0)
 		m.Begin(now)
--- a/cluster/peers/peers_test.go
+++ b/cluster/peers/peers_test.go
@@ -7,7 +7,7 @@
 	"coursewinch/balance"
 )
 
-func TestWhatIsToldIsRead(t *testing.T) {
+func TestReadReturnsWhatWasWritten(t *testing.T) {
 	s := &balance.Server{Hash: 5 | 7<<40}
 	h := balance.Home{Group: &balance.Group{Hash: 9}, Server: s}
 	loads, held, p := 0, 0, []byte(nil)
--- a/cluster/verdicts/verdicts.go
+++ b/cluster/verdicts/verdicts.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	Witnesses = 2      // that take a host from others
-	MostShare = 1. / 3 // of the hosts, that hearsay holds back
-	MostBad   = 0.5    // of the hosts that a witness speaks of: one that finds more bad finds its own way bad
+	MinWitnesses      = 2      // that take a host from others
+	MaxSuspendedShare = 1. / 3 // of the hosts, that hearsay holds back
+	MaxBadShare       = 0.5    // of the hosts that a witness speaks of: one that finds more bad finds its own way bad
 )
 
 // Kind is of a verdict, a bit each.
 type Kind uint8
 
 const (
-	Down    Kind = 1 << iota // connects to it don't come up
-	Sick                     // they do, and set-ups fail
-	Cold                     // it has started of late
-	Leaving                  // a list says that it drains or is gone
+	Down       Kind = 1 << iota // connects to it don't come up
+	SetupFails                  // they do, and set-ups fail
+	Cold                        // it has started of late
+	Draining                    // a list says that it drains or is gone
 
-	bad = Down | Sick // what a witness saw by its own way
+	pathReasons = Down | SetupFails // what a witness saw by its own way
 )
 
-var names = []string{"down", "sick", "cold", "leaving"}
+var reasonNames = []string{"down", "sick", "cold", "leaving"}
 
 func (k Kind) String() (text string) {
-	for i, name := range names {
+	for i, name := range reasonNames {
 		if k&(1<<i) != 0 {
 			text += "+" + name
 		}
@@ -43,29 +43,29 @@
 	return strings.TrimPrefix(text, "+")
 }
 
-// Evidence is what one witness tells of one host that it used of late.
-type Evidence struct {
-	Host int
-	Of   Kind
+// HostReport is what one witness tells of one host that it used of late.
+type HostReport struct {
+	Host    int
+	Reasons Kind
 }
 
 // Witness is one process and what it tells; Late where it says that it is late itself. Zone is any number that tells its
 // zone from others.
 type Witness struct {
-	Late bool
-	Zone uint32
-	Of   []Evidence
+	Late  bool
+	Zone  uint32
+	Hosts []HostReport
 }
 
-// Counts tells whether a witness counts for others.
-func (w Witness) Counts() bool {
+// IsCredible tells whether a witness counts for others.
+func (w Witness) IsCredible() bool {
 	n := 0
-	for _, e := range w.Of {
-		if e.Of&(bad|Leaving) != 0 {
+	for _, e := range w.Hosts {
+		if e.Reasons&(pathReasons|Draining) != 0 {
 			n++
 		}
 	}
-	return !w.Late && float64(n) <= MostBad*float64(len(w.Of)) && len(w.Of) > 1
+	return !w.Late && float64(n) <= MaxBadShare*float64(len(w.Hosts)) && len(w.Hosts) > 1
 }
 
 // Verdict is why a host is held back, and by how many witnesses.
@@ -74,32 +74,32 @@
 	Witnesses int
 }
 
-// told is who tells one thing of one host.
-type told struct {
-	all, own int // witnesses, and those in the own zone
-	zones    []uint32
+// tally is who tells one thing of one host.
+type tally struct {
+	witnesses, sameZone int // witnesses, and those in the own zone
+	zones               []uint32
 }
 
-func (t *told) add(zone, own uint32) {
-	t.all++
+func (t *tally) add(zone, own uint32) {
+	t.witnesses++
 	if zone == own {
-		t.own++
+		t.sameZone++
 	}
 	if !slices.Contains(t.zones, zone) {
 		t.zones = append(t.zones, zone)
 	}
 }
 
-// counts tells whether these are enough: what is seen by a way wants two of the own zone, or of two zones. At a host of the
+// isQuorum tells whether these are enough: what is seen by a way wants two of the own zone, or of two zones. At a host of the
 // own zone one of them has to be of it: nodes of all others may have lost their way there.
-func (t *told) counts(by Kind, near bool) bool {
+func (t *tally) isQuorum(by Kind, near bool) bool {
 	switch by {
-	case Leaving:
-		return t.all > 0 // a list said so, and not the witness's own eyes
+	case Draining:
+		return t.witnesses > 0 // a list said so, and not the witness's own eyes
 	case Cold:
-		return t.all >= Witnesses
+		return t.witnesses >= MinWitnesses
 	}
-	return t.own >= Witnesses || len(t.zones) > 1 && (t.own > 0 || !near)
+	return t.sameZone >= MinWitnesses || len(t.zones) > 1 && (t.sameZone > 0 || !near)
 }
 
 // View is where a node stands that hears witnesses: of so many hosts, linked to so many of the others, in a zone. Near
@@ -107,27 +107,27 @@
 type View struct {
 	Hosts, Linked, Others int
 	Zone                  uint32
-	Near                  func(host int) bool
-	Well                  func(host int, of Kind) bool
+	SameZone              func(host int) bool
+	Contradicts           func(host int, of Kind) bool
 }
 
-// HeldBack is the hosts that this node sends nothing new, by what the others tell.
-func (v View) HeldBack(all []Witness) map[int]Verdict {
+// Suspended is the hosts that this node sends nothing new, by what the others tell.
+func (v View) Suspended(all []Witness) map[int]Verdict {
 	if 2*(v.Linked+1) <= v.Others+1 {
 		return nil // the smaller part, or one of two halves
 	}
 	hosts := v.Hosts
-	tells := map[Kind][]told{}
-	for _, k := range []Kind{Down, Sick, Cold, Leaving} {
-		tells[k] = make([]told, hosts)
+	tells := map[Kind][]tally{}
+	for _, k := range []Kind{Down, SetupFails, Cold, Draining} {
+		tells[k] = make([]tally, hosts)
 	}
 	for _, w := range all {
-		if !w.Counts() {
+		if !w.IsCredible() {
 			continue
 		}
-		for _, e := range w.Of {
+		for _, e := range w.Hosts {
 			for k, t := range tells {
-				if e.Host >= 0 && e.Host < hosts && e.Of&k != 0 {
+				if e.Host >= 0 && e.Host < hosts && e.Reasons&k != 0 {
 					t[e.Host].add(w.Zone, v.Zone)
 				}
 			}
@@ -137,9 +137,9 @@
 	var out []int
 	for h := range hosts {
 		var is Verdict
-		for _, k := range []Kind{Down, Sick, Cold, Leaving} {
-			if t := &tells[k][h]; t.counts(k, v.Near(h)) && !v.Well(h, k) {
-				is.Of, is.Witnesses = is.Of|k, is.Witnesses+t.all
+		for _, k := range []Kind{Down, SetupFails, Cold, Draining} {
+			if t := &tells[k][h]; t.isQuorum(k, v.SameZone(h)) && !v.Contradicts(h, k) {
+				is.Of, is.Witnesses = is.Of|k, is.Witnesses+t.witnesses
 			}
 		}
 		if is.Of != 0 {
@@ -148,7 +148,7 @@
 		}
 	}
 	slices.SortStableFunc(out, func(x, y int) int { return cmp.Compare(found[y].Witnesses, found[x].Witnesses) })
-	for _, h := range out[min(len(out), int(MostShare*float64(hosts))):] {
+	for _, h := range out[min(len(out), int(MaxSuspendedShare*float64(hosts))):] {
 		delete(found, h)
 	}
 	return found
