--- /dev/null
+++ b/cluster/overload/constants.go
@@ -0,0 +1,95 @@
+package overload
+
+const (
+	ms     = int64(1000) // microseconds
+	second = 1000 * ms
+)
+
+// Fill of hosts.
+const (
+	targetFill      = 0.60        // of the capacity; nearer the knee messages wait although cores are not yet idle, see docs/design/overload.md
+	lateHostFill    = 0.7         // of the usual fill limit while a host is late: the remaining capacity works off its backlog
+	maxRelativeFill = 1.1         // times the mean fill; fuller hosts get no new flows during overload
+	maxRelativeLoad = 1.25        // times the mean known load per unit of size; the decision module uses the same limit for own load
+	lateHostHold    = 6 * second  // a late host gets no new flows for this long, while fewer than half of the hosts are late
+	rejectionHold   = second      // a host that rejected a flow for want of room gets no further connect for this long
+	fillHorizon     = second      // the free room is given out over this time
+	inUseWindow     = 10 * second // a host counts as in use for this long after an observation of this node
+)
+
+// Late observations of hosts.
+const (
+	lateProbeShare             = 0.25   // a probe is late if it exceeds the fastest one by this share of it
+	lateProbeMargin            = 1 * ms // and this margin on top
+	lateSetupFactor            = 2.5    // a set-up is late if it exceeds the host's baseline by this factor
+	lateSetupFactorUnknownHost = 5.0    // the same for the baseline over all hosts, while that of the host is unknown
+	lateSetupMargin            = 2 * ms // and this margin on top
+	hostBaselineSamples        = 5      // set-ups on one host, whose lower quartile is a candidate for its baseline
+	fleetBaselineSamples       = 9      // the same over all hosts
+	recentObservations         = 8      // over all hosts; if half of them are late, one late observation cuts a host's capacity
+)
+
+// Estimates of hosts' capacity.
+const (
+	tickInterval      = 100 * ms  // between two updates of all estimates
+	minCutInterval    = 1500 * ms // between two cuts at one host, so that the effect of earlier placements shows first
+	cutEvidence       = 2.0       // late observations without a good one between them that cut the capacity
+	minCutShare       = 0.4       // of the proven load; lateness alone does not cut the capacity below it
+	provenLoadDecay   = 0.01      // of the proven load, a second
+	capacityGrowth    = 0.005     // of the capacity, a second, while the fleet is overloaded and the host is well
+	capacityRecovery  = 0.05      // the same below the proven load
+	minCapacityGrowth = 0.02      // of a usual flow's load, a second
+	minCapacity       = 0.25      // of a usual flow's load
+	settleSeconds     = 1.5       // time constant with which the settled load follows an increase of the known load
+	usualLoadGain     = 0.02      // weight of the latest mean in the usual load of a flow, each tick
+)
+
+// Scale of the fill while few of the other nodes are heard.
+const (
+	fewFlowsPerHost     = 4.0        // own flows per host at which the scale counts half
+	minScaleCutInterval = second / 5 // between two cuts of the scale
+	scaleCutFactor      = 0.75       // by which a late observation cuts the scale
+	scaleGrowthFactor   = 1.007      // by which a good observation raises it; it stays level at one late observation in forty
+	minScale            = 0.02
+)
+
+// Demand and random admission.
+const (
+	demandSeconds     = 2.0      // time constant over which demand is counted
+	benefitBuckets    = 32       // buckets of benefit per load, half an octave each
+	middleBucket      = 16       // the bucket of benefit 1 for unitLoad
+	unitLoad          = 1e5      // microseconds of work a second
+	admissionExponent = 3        // how steeply the probability of admission falls with benefit per load
+	minClientWait     = 250 * ms // told to clients of rejected flows
+)
+
+// Budget of further connects during overload.
+const (
+	retryShare     = 0.1 // of first connects
+	maxRetryBudget = 5.0 // connects
+)
+
+// Flows to cold hosts.
+const (
+	coldRateShare    = 0.35   // of the rate at which the rule lets all nodes send flows to a cold host
+	coldSlotLifetime = second // for which a cold-start slot may be used
+)
+
+// Load that leaves overloaded hosts.
+const (
+	excessSlack    = 1.1        // times the fill limit, up to which established flows may stay
+	excessWindow   = 5 * second // after the last sign that the host is saturated
+	excessMoveRate = 0.2        // of the excess, each tenth of a second
+)
+
+// Reports of other nodes.
+const (
+	reportHold        = 8 * second  // a node that is not heard is taken to hold what it last reported, and to go on placing flows
+	reportExpiry      = 30 * second // after reportHold a lost node's last report counts less and less, until this age
+	maxReportedFactor = 4.0         // times a host's capacity; no single node is believed to hold more load there
+	minWitnesses      = 2           // other nodes that have to report a host saturated
+	failureWindow     = 2 * second  // for which a late observation or a failure is reported
+	maxProcesses      = 1024        // processes whose reports are kept
+	maxServiceTypes   = 32          // service types whose loads are reported
+	maxMeanSamples    = 200         // loads over which the mean load of a service type goes
+)
--- a/cluster/overload/overload_test.go
+++ b/cluster/overload/overload_test.go
@@ -10,155 +10,165 @@
 	"coursewinch/balance"
 )
 
-// testNode is a core with the module that it bounds, and what the module decided.
+// testNode is a node's overload control with the decision module that it bounds, and what the module decided.
 type testNode struct {
-	control           *Core
-	balancer          *balance.Balancer
-	settings          *balance.Settings
-	servers           []*balance.Server
-	now               int64
-	placed            map[*balance.Server]int
-	rejects, connects int
-	waits             []int64
-	lastServer        *balance.Server // of the last connect
+	control            *Core
+	balancer           *balance.Balancer
+	settings           *balance.Settings
+	servers            []*balance.Server
+	now                int64
+	placed             map[*balance.Server]int
+	rejected, connects int
+	waits              []int64
+	lastServer         *balance.Server // the target of the last connect
 }
 
-func (d *testNode) Connect(f *balance.Flow, s *balance.Server, _ int64) {
-	d.placed[s]++
-	d.connects++
-	d.lastServer = s
-	d.control.Placed(s)
+func (n *testNode) Connect(f *balance.Flow, s *balance.Server, _ int64) {
+	n.placed[s]++
+	n.connects++
+	n.lastServer = s
+	n.control.Placed(s)
 }
-func (d *testNode) Reject(_ *balance.Flow, wait int64) {
-	d.rejects++
-	d.waits = append(d.waits, wait)
+func (n *testNode) Reject(_ *balance.Flow, wait int64) {
+	n.rejected++
+	n.waits = append(n.waits, wait)
 }
-func (d *testNode) Abort(*balance.Flow)                    {}
-func (d *testNode) Move(*balance.Flow)                     {}
-func (d *testNode) Probe(*balance.Server)                  {}
-func (d *testNode) Tell([]*balance.Server, []balance.Home) {}
-func (d *testNode) Watch()                                 {}
-func (d *testNode) Alarm(int64)                            {}
-func (d *testNode) Trace(string)                           {}
-func (d *testNode) advance(us int64, in func()) {
-	d.now += us
-	d.control.Turn(d.now)
-	d.balancer.Round(d.now, func(*balance.Balancer) { in() }, d)
+func (n *testNode) Abort(*balance.Flow)                    {}
+func (n *testNode) Move(*balance.Flow)                     {}
+func (n *testNode) Probe(*balance.Server)                  {}
+func (n *testNode) Tell([]*balance.Server, []balance.Home) {}
+func (n *testNode) Watch()                                 {}
+func (n *testNode) Alarm(int64)                            {}
+func (n *testNode) Trace(string)                           {}
+
+// advance moves the clock on and runs one loop iteration of both.
+func (n *testNode) advance(us int64, in func()) {
+	n.now += us
+	n.control.Turn(n.now)
+	n.balancer.Round(n.now, func(*balance.Balancer) { in() }, n)
 }
-func (d *testNode) demand(worth, load float64) (f *balance.Flow) {
-	f = &balance.Flow{Type: &d.settings.Types[0], Worth: worth, Hint: load, Deadline: d.now + 10*second}
-	d.advance(ms, func() { d.balancer.Demand(f) })
+
+// demand places a new flow of a benefit and a load.
+func (n *testNode) demand(worth, load float64) (f *balance.Flow) {
+	f = &balance.Flow{Type: &n.settings.Types[0], Worth: worth, Hint: load, Deadline: n.now + 10*second}
+	n.advance(ms, func() { n.balancer.Demand(f) })
 	return f
 }
 
-// complete ends a flow that was placed.
-func (d *testNode) complete(f *balance.Flow) {
-	if s := d.lastServer; s != nil {
-		d.lastServer = nil
-		d.advance(ms, func() { d.balancer.Ended(f, s, balance.Completed, ms, true) })
+// complete ends a flow, if the module has placed it.
+func (n *testNode) complete(f *balance.Flow) {
+	if s := n.lastServer; s != nil {
+		n.lastServer = nil
+		n.advance(ms, func() { n.balancer.Ended(f, s, balance.Completed, ms, true) })
 	}
 }
 
+// newTestNode makes one of so many nodes, with so many servers of equal size.
 func newTestNode(nodes, servers int) *testNode {
-	d := &testNode{now: 1000 * second, placed: map[*balance.Server]int{}, settings: &balance.Settings{Types: []balance.ServiceType{{SetupTarget: second, MessageTarget: second}},
+	n := &testNode{now: 1000 * second, placed: map[*balance.Server]int{}, settings: &balance.Settings{Types: []balance.ServiceType{{SetupTarget: second, MessageTarget: second}},
 		Nodes: 1, MaxConnects: 20, MaxWait: 4 * second, ColdFrom: 0.12, ColdTime: 22 * second, FallMultiple: 3}}
-	d.control = New(d.settings, nodes, 2*second, 1)
-	d.settings.Bounds = d.control
-	d.balancer = balance.New(d.settings, 1)
+	n.control = New(n.settings, nodes, 2*second, 1)
+	n.settings.Bounds = n.control
+	n.balancer = balance.New(n.settings, 1)
 	for i := range servers {
-		d.servers = append(d.servers, &balance.Server{Name: fmt.Sprint(i), Hash: uint64(i+1) << 33})
+		n.servers = append(n.servers, &balance.Server{Name: fmt.Sprint(i), Hash: uint64(i+1) << 33})
 	}
-	d.advance(0, func() {
-		d.balancer.List(balance.Whole)
-		for _, s := range d.servers {
-			d.balancer.Entry(s, balance.Up, 1, 0)
+	n.advance(0, func() {
+		n.balancer.List(balance.Whole)
+		for _, s := range n.servers {
+			n.balancer.Entry(s, balance.Up, 1, 0)
 		}
-		d.balancer.ListEnd(balance.Whole)
+		n.balancer.ListEnd(balance.Whole)
 	})
-	d.control.List(d.servers)
-	return d
+	n.control.List(n.servers)
+	return n
 }
 
-// saturate lets every server show that it is full at a load, by what one other node tells.
-func (d *testNode) saturate(load float64) {
+// saturate makes every server's probes late at a load that another node reports, so that it is learned as the capacity.
+func (n *testNode) saturate(load float64) {
 	for i := range 80 {
-		d.report(1, load, 0, 0)
-		d.advance(tickInterval, func() {})
-		for _, s := range d.servers {
+		n.reportFrom(1, load, 0, 0)
+		n.advance(tickInterval, func() {})
+		for _, s := range n.servers {
 			if i < 70 {
-				d.control.Probe(s, ms)
+				n.control.Probe(s, ms)
 				continue
 			}
-			d.control.Probe(s, 50*ms)
+			n.control.Probe(s, 50*ms)
 		}
 	}
 }
 
-func (d *testNode) report(process uint64, load, full float64, flags uint8) {
-	o := New(d.settings, 2, 2*second, 1)
-	o.List(d.servers)
-	o.now = d.now
-	p := o.Word(1000)
-	for _, s := range d.servers {
-		p = append(p, encodeEntry(shortHash(s.Hash), load, full, flags)...)
-	}
-	n := len(d.servers)
-	p[len(p)-n*hostEntrySize-2], p[len(p)-n*hostEntrySize-1] = byte(n), byte(n>>8)
-	if !d.control.Told(int(process), process, d.now, false, p) {
-		panic("its own word is nonsense")
+// reportFrom delivers a report of another process with the same figures for every server.
+func (n *testNode) reportFrom(process uint64, load, capacity float64, flags uint8) {
+	sender := New(n.settings, 2, 2*second, 1)
+	sender.List(n.servers)
+	sender.now = n.now
+	p := sender.Word(1000)
+	for _, s := range n.servers {
+		p = append(p, encodeEntry(shortHash(s.Hash), load, capacity, flags)...)
+	}
+	serverCount := len(n.servers)
+	p[len(p)-serverCount*hostEntrySize-2], p[len(p)-serverCount*hostEntrySize-1] = byte(serverCount), byte(serverCount>>8)
+	if !n.control.Told(int(process), process, n.now, false, p) {
+		panic("a valid report was dropped")
 	}
 }
 
-func encodeEntry(hash uint32, load, full float64, flags uint8) []byte {
-	l, f := encodeLog(load), encodeLog(full)
+// encodeEntry encodes what a report says of one host.
+func encodeEntry(hash uint32, load, capacity float64, flags uint8) []byte {
+	l, f := encodeLog(load), encodeLog(capacity)
 	return []byte{byte(hash), byte(hash >> 8), byte(hash >> 16), byte(hash >> 24), byte(l), byte(l >> 8), byte(f), byte(f >> 8), flags}
 }
 
+// TestHigherBenefitIsAdmittedFirst guards against overload control that rejects flows regardless of their benefit. Far more
+// is demanded than there is room for, half of it at eight times the benefit of the other half.
 func TestHigherBenefitIsAdmittedFirst(t *testing.T) {
-	d := newTestNode(2, 4)
-	for _, s := range d.servers {
-		d.control.Probe(s, ms)
+	n := newTestNode(2, 4)
+	for _, s := range n.servers {
+		n.control.Probe(s, ms)
 	}
-	d.saturate(1e6)
-	for _, s := range d.servers {
-		d.control.Probe(s, ms) // what had piled up is gone
+	n.saturate(1e6)
+	for _, s := range n.servers {
+		n.control.Probe(s, ms) // the backlog is worked off
 	}
-	d.report(1, 0.55e6, 1e6, 0)
-	for range 300 { // far more is asked for than there is room
-		d.complete(d.demand(1, 3e4))
-		d.complete(d.demand(8, 3e4))
+	n.reportFrom(1, 0.55e6, 1e6, 0)
+	for range 300 { // far more than there is room for
+		n.complete(n.demand(1, 3e4))
+		n.complete(n.demand(8, 3e4))
 	}
-	if d.control.threshold == 0 || !d.control.Short() {
-		t.Fatalf("no bar, %+v", d.control.Figures)
+	if n.control.threshold == 0 || !n.control.Short() {
+		t.Fatalf("no threshold was set: %+v", n.control.Figures)
 	}
-	dear, cheap := 0, 0
+	highBenefit, lowBenefit := 0, 0
 	for range 2000 {
-		was := d.connects
-		d.complete(d.demand(8, 3e4))
-		dear += d.connects - was
-		was = d.connects
-		d.complete(d.demand(1, 3e4))
-		cheap += d.connects - was
-	}
-	if dear < 10*max(cheap, 1) {
-		t.Errorf("%d of much benefit for their load and %d of little are placed", dear, cheap)
-	}
-	for _, w := range d.waits {
-		if w < 0 || w > d.settings.MaxWait {
-			t.Fatalf("a wait of %d us", w)
+		before := n.connects
+		n.complete(n.demand(8, 3e4))
+		highBenefit += n.connects - before
+		before = n.connects
+		n.complete(n.demand(1, 3e4))
+		lowBenefit += n.connects - before
+	}
+	if highBenefit < 10*max(lowBenefit, 1) {
+		t.Errorf("%d flows of high benefit and %d of low benefit were placed", highBenefit, lowBenefit)
+	}
+	for _, w := range n.waits {
+		if w < 0 || w > n.settings.MaxWait {
+			t.Fatalf("a client was told to wait %d us", w)
 		}
 	}
 }
 
-// TestLikeChances: two nodes that tell each other the same set the same bar, whatever each holds itself.
+// TestNodesSetEqualThresholds guards against clients having better chances at one node than at another. Two nodes exchange
+// reports, and one of them has three times the demand of the other.
 func TestNodesSetEqualThresholds(t *testing.T) {
 	x, y := newTestNode(2, 4), newTestNode(2, 4)
-	for _, d := range []*testNode{x, y} {
-		for _, s := range d.servers {
-			d.control.Probe(s, ms)
+	for _, n := range []*testNode{x, y} {
+		for _, s := range n.servers {
+			n.control.Probe(s, ms)
 		}
-		d.saturate(1e6)
-		d.control.RemoveProcess(1)
+		n.saturate(1e6)
+		n.control.RemoveProcess(1)
 	}
 	for range 400 {
 		x.demand(1, 5e4)
@@ -167,160 +177,166 @@
 		y.demand(1, 5e4)
 		y.now = x.now
 		if p := x.control.Word(1000); !y.control.Told(0, 77, x.now, false, p) {
-			t.Fatal("nonsense")
+			t.Fatal("a valid report was dropped")
 		}
 		if p := y.control.Word(1000); !x.control.Told(0, 78, y.now, false, p) {
-			t.Fatal("nonsense")
+			t.Fatal("a valid report was dropped")
 		}
 	}
 	if a, b := x.control.threshold, y.control.threshold; a == 0 || math.Abs(a-b) > 0.1*a {
-		t.Errorf("bars of %.3f and %.3f", a, b)
+		t.Errorf("the thresholds are %.3f and %.3f", a, b)
 	}
 }
 
+// TestLateNodeLearnsAndTellsNothing guards against a node whose own loop is late taking its lateness for that of hosts, or
+// reporting it to other nodes.
 func TestLateNodeLearnsAndTellsNothing(t *testing.T) {
-	d := newTestNode(2, 2)
-	d.control.Late(true)
+	n := newTestNode(2, 2)
+	n.control.Late(true)
 	for range 50 {
-		for _, s := range d.servers {
-			d.control.Probe(s, ms)
-			d.control.Probe(s, second)
-			d.control.Setup(s, second)
-			d.control.Down(s)
-			d.control.Sick(s)
+		for _, s := range n.servers {
+			n.control.Probe(s, ms)
+			n.control.Probe(s, second)
+			n.control.Setup(s, second)
+			n.control.Down(s)
+			n.control.Sick(s)
 		}
-		d.advance(tickInterval, func() {})
+		n.advance(tickInterval, func() {})
 	}
-	if d.control.Figures.Cuts > 0 || d.control.Short() {
-		t.Errorf("%+v", d.control.Figures)
+	if n.control.Figures.Cuts > 0 || n.control.Short() {
+		t.Errorf("a late node learned from its observations: %+v", n.control.Figures)
 	}
-	if o := (&report{}); !decodeReport(d.control.Word(1000), o) || len(o.hosts) > 0 {
-		t.Errorf("it speaks of hosts: %+v", o.hosts)
+	if r := (&report{}); !decodeReport(n.control.Word(1000), r) || len(r.hosts) > 0 {
+		t.Errorf("a late node reports hosts: %+v", r.hosts)
 	}
 }
 
-// TestLieIsBounded: one node that tells a million flows on every host takes no more than a host's room from the others,
-// for no longer than it is believed, and what makes no sense changes nothing.
+// TestFalseReportIsBounded guards against a node that reports absurd loads. It reports a million flows on every host; the
+// others believe no more than a fixed multiple of a host's capacity, and only until the report expires. Damaged reports
+// are decoded to possible figures or not at all.
 func TestFalseReportIsBounded(t *testing.T) {
-	d := newTestNode(3, 2)
-	for _, s := range d.servers {
-		d.control.Probe(s, ms)
-	}
-	d.saturate(1e6)
-	d.control.RemoveProcess(1)
-	d.report(2, 1e9, 0, 0)
-	d.advance(tickInterval, func() {})
-	for _, h := range d.control.hostsByName {
+	n := newTestNode(3, 2)
+	for _, s := range n.servers {
+		n.control.Probe(s, ms)
+	}
+	n.saturate(1e6)
+	n.control.RemoveProcess(1)
+	n.reportFrom(2, 1e9, 0, 0)
+	n.advance(tickInterval, func() {})
+	for _, h := range n.control.hostsByName {
 		if h.reportedLoad > maxReportedFactor*h.capacity*1.001 {
-			t.Errorf("%.0f told on a host that %.0f fills", h.reportedLoad, h.capacity)
+			t.Errorf("a reported load of %.0f counts on a host of capacity %.0f", h.reportedLoad, h.capacity)
 		}
 	}
-	d.now += reportExpiry + second
-	d.advance(tickInterval, func() {})
-	if d.control.hostsByName[0].reportedLoad != 0 {
-		t.Error("it is believed for ever")
+	n.now += reportExpiry + second
+	n.advance(tickInterval, func() {})
+	if n.control.hostsByName[0].reportedLoad != 0 {
+		t.Error("an expired report still counts")
 	}
 	rng := rand.New(rand.NewSource(1))
-	good := d.control.Word(1000)
+	good := n.control.Word(1000)
 	for range 20000 {
 		p := bytes.Clone(good)
 		p = append(p, make([]byte, rng.Intn(20))...)
 		for range 1 + rng.Intn(4) {
 			p[rng.Intn(len(p))] = byte(rng.Intn(256))
 		}
-		o := &report{}
-		if decodeReport(p[:rng.Intn(len(p)+1)], o) {
-			for _, e := range o.hosts {
+		r := &report{}
+		if decodeReport(p[:rng.Intn(len(p)+1)], r) {
+			for _, e := range r.hosts {
 				if !(e.load >= 0 && e.load < 1e10 && e.capacity >= 0) {
-					t.Fatalf("believed: %+v", e)
+					t.Fatalf("impossible figures were accepted: %+v", e)
 				}
 			}
 		}
 	}
 }
 
-// TestRetriesAreATenth: while the fleet is short, further connects stay within a tenth of the first ones and a few.
+// TestRetriesStayWithinBudget guards against retries that add to an overload: further connects stay within a tenth of the
+// first ones and a few.
 func TestRetriesStayWithinBudget(t *testing.T) {
-	d := newTestNode(1, 2)
-	d.control.overloadedAt = d.now
+	n := newTestNode(1, 2)
+	n.control.overloadedAt = n.now
 	first, further := 0, 0
 	for range 3000 {
-		d.now += ms
-		d.control.Turn(d.now)
-		d.control.overloadedAt = d.now
+		n.now += ms
+		n.control.Turn(n.now)
+		n.control.overloadedAt = n.now
 		first++
-		d.control.Odds(&balance.Flow{Type: &d.settings.Types[0]})
+		n.control.Odds(&balance.Flow{Type: &n.settings.Types[0]})
 		for range 5 {
-			if d.control.Retry(nil, nil) {
+			if n.control.Retry(nil, nil) {
 				further++
 			}
 		}
 	}
 	if bound := retryShare*float64(first) + maxRetryBudget; float64(further) > bound || float64(further) < bound/2 {
-		t.Errorf("%d further connects to %d first ones, bound %.0f", further, first, bound)
+		t.Errorf("%d further connects for %d first ones, want at most %.0f and at least half of that", further, first, bound)
 	}
 }
 
-// TestCutsEnd: hosts that are slow for another reason than load are not cut to nothing.
+// TestCapacityCutsAreBounded guards against endless cuts of the capacity of a host that is slow for another reason than
+// load: it stays late although the load on it falls to a hundredth.
 func TestCapacityCutsAreBounded(t *testing.T) {
-	d := newTestNode(2, 1)
-	s := d.servers[0]
+	n := newTestNode(2, 1)
+	s := n.servers[0]
 	for range 50 {
-		d.report(1, 1e6, 0, 0)
-		d.advance(tickInterval, func() {})
-		d.control.Probe(s, ms)
+		n.reportFrom(1, 1e6, 0, 0)
+		n.advance(tickInterval, func() {})
+		n.control.Probe(s, ms)
 	}
 	for range 600 {
-		d.report(1, 1e4, 0, 0)
-		d.advance(tickInterval, func() {})
-		d.control.Probe(s, 100*ms)
+		n.reportFrom(1, 1e4, 0, 0)
+		n.advance(tickInterval, func() {})
+		n.control.Probe(s, 100*ms)
 	}
-	h := d.control.hostsByName[0]
-	if low := 1e6 * minCutShare * math.Exp(-provenLoadDecay*60) * 0.8; h.capacity < low {
-		t.Errorf("cut to %.0f, at least %.0f", h.capacity, low)
+	h := n.control.hostsByName[0]
+	if lowest := 1e6 * minCutShare * math.Exp(-provenLoadDecay*60) * 0.8; h.capacity < lowest {
+		t.Errorf("the capacity was cut to %.0f, want at least %.0f", h.capacity, lowest)
 	}
 }
 
-// TestDrainByOneWord: a node whose list is late sends a host nothing new from the first turn after another's word that it
-// drains, and does again once that word is old and nobody says so any more. Known sick hosts and cold ones want two.
+// TestSuspensionByReports guards against a node with a late list that goes on using a draining host. One report that a host
+// drains suspends it from the next loop iteration on, until that is no longer reported. A host whose set-ups fail needs two
+// reports, as a cold one does, and its suspension ends when they are old.
 func TestSuspensionByReports(t *testing.T) {
 	x, y, z := newTestNode(3, 4), newTestNode(3, 4), newTestNode(3, 4)
 	f := &balance.Flow{Type: &x.settings.Types[0], Hint: 1}
-	hear := func(from ...*testNode) {
-		for i, o := range from {
-			if o.control.now = x.now; !x.control.Told(i, uint64(i+7), x.now, false, o.control.Word(1000)) {
-				t.Fatal("nonsense")
+	exchange := func(from ...*testNode) {
+		for i, n := range from {
+			if n.control.now = x.now; !x.control.Told(i, uint64(i+7), x.now, false, n.control.Word(1000)) {
+				t.Fatal("a valid report was dropped")
 			}
 		}
 		x.advance(tickInterval, func() {})
 	}
-	for _, o := range []*testNode{y, z} {
-		for _, s := range o.servers {
-			o.control.Setup(s, ms) // they speak of all
+	for _, n := range []*testNode{y, z} {
+		for _, s := range n.servers {
+			n.control.Setup(s, ms) // an observation of each, so that all are reported
 		}
 	}
 	y.servers[0].State = balance.Draining
-	hear(y, z)
+	exchange(y, z)
 	if x.control.Room(x.servers[0], f) != 0 || x.control.Room(x.servers[1], f) == 0 {
-		t.Error("one word that a host drains holds nothing back, or too much")
+		t.Error("after one report that a host drains, it is not suspended or another host is")
 	}
 	y.servers[0].State = balance.Up
 	y.control.now = x.now
 	y.control.Sick(y.servers[1])
-	hear(y, z)
+	exchange(y, z)
 	if x.control.Room(x.servers[0], f) == 0 || x.control.Room(x.servers[1], f) == 0 {
-		t.Error("what nobody says any more is held back from, or what one alone saw")
+		t.Error("a host is suspended for a drain that is no longer reported, or for set-up failures of one witness")
 	}
 	z.control.now = x.now
 	z.control.Sick(z.servers[1])
-	hear(y, z)
+	exchange(y, z)
 	if x.control.Room(x.servers[1], f) != 0 {
-		t.Error("what two saw fail is not held back from")
+		t.Error("a host whose set-ups failed for two witnesses is not suspended")
 	}
 	for range 60 {
 		x.advance(tickInterval, func() {})
 	}
 	if x.control.Room(x.servers[1], f) == 0 {
-		t.Error("a verdict outlives its words")
+		t.Error("a host stays suspended after the reports expired")
 	}
 }
--- /dev/null
+++ b/cluster/overload/suspension.go
@@ -0,0 +1,91 @@
+package overload
+
+import (
+	"coursewinch/balance"
+	"coursewinch/cluster/verdicts"
+)
+
+// Tell sets the zone that reports name and the function that is called when a host becomes suspended because of other
+// nodes' reports. It may be nil.
+func (c *Core) Tell(zone uint32, onSuspend func(*balance.Server, verdicts.Verdict)) {
+	c.zone, c.onSuspend = zone, onSuspend
+}
+
+// Held calls each for every server that is suspended because of other nodes' reports, in the order of their names.
+func (c *Core) Held(each func(*balance.Server, verdicts.Verdict)) {
+	for _, h := range c.hostsByName {
+		if h.suspension.Of != 0 {
+			each(h.server, h.suspension)
+		}
+	}
+}
+
+// updateSuspensions decides from the recent reports of other nodes which hosts are suspended.
+func (c *Core) updateSuspensions() {
+	view := verdicts.View{
+		Hosts:       len(c.hostsByName),
+		Linked:      c.Figures.ReportingProcesses,
+		Others:      c.nodes - 1,
+		Zone:        c.zone,
+		SameZone:    func(index int) bool { return c.hostsByName[index].server.Zone == c.settings.Zone },
+		Contradicts: c.contradicts,
+	}
+	suspended := view.Suspended(c.witnesses())
+	c.Figures.Held = len(suspended)
+	for _, h := range c.hostsByName {
+		previous := h.suspension
+		if h.suspension = suspended[h.index]; previous.Of == 0 && h.suspension.Of != 0 && c.onSuspend != nil {
+			c.onSuspend(h.server, h.suspension)
+		}
+	}
+}
+
+// witnesses returns what the processes with a recent report say of the hosts.
+func (c *Core) witnesses() (all []verdicts.Witness) {
+	for _, process := range c.processes {
+		r := c.reports[process]
+		if c.now-r.sentAfter > c.maxReportAge {
+			continue
+		}
+		witness := verdicts.Witness{Late: r.late, Zone: r.zone}
+		for _, e := range r.hosts {
+			if h := c.byHash[e.hash]; h != nil {
+				witness.Hosts = append(witness.Hosts, verdicts.HostReport{Host: h.index, Reasons: e.reasons()})
+			}
+		}
+		all = append(all, witness)
+	}
+	return all
+}
+
+// contradicts reports whether this node has recent evidence of its own against a reason to suspend a host.
+func (c *Core) contradicts(index int, reason verdicts.Kind) bool {
+	h := c.hostsByName[index]
+	switch reason {
+	case verdicts.Down:
+		return h.goodAt > h.downAt && c.now-h.goodAt < failureWindow
+	case verdicts.SetupFails:
+		return h.setupGoodAt > h.setupFailedAt && c.now-h.setupGoodAt < failureWindow
+	case verdicts.Cold:
+		return c.warmShare(h) < 1 // this node knows that the host is cold and limits its flows by the cold-start budget
+	}
+	return false
+}
+
+// reasons are those to suspend a host that an entry of a report gives.
+func (e hostEntry) reasons() (reasons verdicts.Kind) {
+	for _, mapping := range [...]struct {
+		flag   uint8
+		reason verdicts.Kind
+	}{
+		{flagDown, verdicts.Down},
+		{flagSetupFails, verdicts.SetupFails},
+		{flagCold, verdicts.Cold},
+		{flagDraining, verdicts.Draining},
+	} {
+		if e.flags&mapping.flag != 0 {
+			reasons |= mapping.reason
+		}
+	}
+	return reasons
+}
