--- a/cluster/frame/frame.go
+++ b/cluster/frame/frame.go
@@ -1,5 +1,6 @@
-// Package frame puts what one node sends another into a datagram and takes it out again. A datagram may be cut short, bent
-// on its way or anyone's: each fault has a name, so that it can be counted, and nothing of a faulty one is used.
+// Package frame encodes and decodes the datagrams between nodes: a header, a payload and a checksum. A datagram may be
+// truncated, corrupted on its way or sent by anyone. Each fault has a name, so that it can be counted, and nothing of a
+// faulty datagram is used.
 package frame
 
 import (
@@ -8,46 +9,49 @@
 )
 
 const (
-	magic        = 0xC7
-	version      = 1
-	headerSize   = 33 // before the payload
-	checksumSize = 4  // checksum
+	magic        = 0xC7 // first byte of every datagram
+	version      = 1    // second byte
+	headerSize   = 33   // bytes before the payload
+	checksumSize = 4    // bytes after it
 
-	Most        = 1200                             // bytes of a datagram: fits any path without being taken apart
-	MostPayload = Most - headerSize - checksumSize // bytes
+	Most        = 1200                             // maximum size of a datagram in bytes; it fits any path without fragmentation
+	MostPayload = Most - headerSize - checksumSize // maximum size of a payload in bytes
 )
 
-// Head is what each datagram says of its sender. No time of any clock is in it.
+// Head is the header of a datagram. It carries no time of any clock.
 type Head struct {
 	Name    uint32 // short hash of the sender's name
-	Process uint64 // drawn at random by each process when it starts: two of one name differ
-	Seq     uint32 // counted by the process, one a datagram to this receiver
-	Echo    uint64 // the receiver's process as the sender heard it last; 0 for none
-	EchoSeq uint32 // and the last Seq that it had of it
-	Late    bool   // the sender's loop is late: it judges nobody
-	Leaving bool   // the sender ends
+	Process uint64 // random identifier that each process draws when it starts, so that two of one name differ
+	Seq     uint32 // number of the datagram, counted by the process for each receiver
+	Echo    uint64 // the receiver's process that the sender heard last; 0 for none
+	EchoSeq uint32 // the last Seq of that process
+	Late    bool   // the sender's loop is late, so it takes no node for lost
+	Leaving bool   // the sender is about to end
 }
 
-// Fault is why a datagram can't be used.
+// Fault is why a datagram cannot be used.
 type Fault uint8
 
+// Faults of datagrams.
 const (
 	None      Fault = iota
-	Short           // cut short, or empty
-	Oversized       // longer than any of ours
-	Foreign         // does not begin as ours do
+	Short           // truncated or empty
+	Oversized       // larger than the maximum
+	Foreign         // does not begin with the magic byte
 	Version         // of another version
-	Bent            // its checksum or its length is wrong
-	Replayed        // an older one of this process, or seen before
-	Stranger        // from no address of the list
-	Nonsense        // whole, but its figures can't be
-	Faults          // how many there are
+	Bent            // wrong checksum, length or flags
+	Replayed        // not newer than the last one of its process
+	Stranger        // from an address that is not on the list of nodes
+	Nonsense        // valid frame, but the payload has impossible figures
+	Faults          // the number of faults
 )
 
 var faultNames = [...]string{"none", "short", "oversized", "foreign", "version", "bent", "replayed", "stranger", "nonsense"}
 
+// String returns the name of a fault.
 func (f Fault) String() string { return faultNames[f] }
 
+// Flags in the third byte.
 const (
 	flagLate = 1 << iota
 	flagLeaving
@@ -56,54 +60,60 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Write makes a datagram. The payload is MostPayload bytes at most; what is longer is cut off.
-func Write(h Head, payload []byte) []byte {
+// Write encodes a datagram. A payload that exceeds the maximum size is cut off.
+func Write(header Head, payload []byte) []byte {
 	payload = payload[:min(len(payload), MostPayload)]
 	p := make([]byte, 0, headerSize+len(payload)+checksumSize)
 	flags := byte(0)
-	if h.Late {
+	if header.Late {
 		flags |= flagLate
 	}
-	if h.Leaving {
+	if header.Leaving {
 		flags |= flagLeaving
 	}
 	p = append(p, magic, version, flags)
-	p = binary.LittleEndian.AppendUint32(p, h.Name)
-	p = binary.LittleEndian.AppendUint64(p, h.Process)
-	p = binary.LittleEndian.AppendUint32(p, h.Seq)
-	p = binary.LittleEndian.AppendUint64(p, h.Echo)
-	p = binary.LittleEndian.AppendUint32(p, h.EchoSeq)
+	p = binary.LittleEndian.AppendUint32(p, header.Name)
+	p = binary.LittleEndian.AppendUint64(p, header.Process)
+	p = binary.LittleEndian.AppendUint32(p, header.Seq)
+	p = binary.LittleEndian.AppendUint64(p, header.Echo)
+	p = binary.LittleEndian.AppendUint32(p, header.EchoSeq)
 	p = binary.LittleEndian.AppendUint16(p, uint16(len(payload)))
 	p = append(p, payload...)
 	return binary.LittleEndian.AppendUint32(p, crc32.Checksum(p, castagnoli))
 }
 
-// Read takes a datagram apart. The payload lies within p.
-func Read(p []byte) (h Head, payload []byte, fault Fault) {
+// Read decodes a datagram. The payload is a part of p.
+func Read(p []byte) (header Head, payload []byte, fault Fault) {
 	switch {
 	case len(p) > Most:
-		return h, nil, Oversized
+		return header, nil, Oversized
 	case len(p) == 0:
-		return h, nil, Short
+		return header, nil, Short
 	case p[0] != magic:
-		return h, nil, Foreign
+		return header, nil, Foreign
 	case len(p) < 2:
-		return h, nil, Short
+		return header, nil, Short
 	case p[1] != version:
-		return h, nil, Version
+		return header, nil, Version
 	case len(p) < headerSize+checksumSize:
-		return h, nil, Short
+		return header, nil, Short
 	}
-	body, sum := p[:len(p)-checksumSize], binary.LittleEndian.Uint32(p[len(p)-checksumSize:])
+	body, checksum := p[:len(p)-checksumSize], binary.LittleEndian.Uint32(p[len(p)-checksumSize:])
 	length := int(binary.LittleEndian.Uint16(p[headerSize-2:]))
 	if len(body) < headerSize+length {
-		return h, nil, Short
+		return header, nil, Short
 	}
-	if len(body) > headerSize+length || crc32.Checksum(body, castagnoli) != sum || p[2]&^knownFlags != 0 {
-		return h, nil, Bent
+	if len(body) > headerSize+length || crc32.Checksum(body, castagnoli) != checksum || p[2]&^knownFlags != 0 {
+		return header, nil, Bent
 	}
-	h = Head{Name: binary.LittleEndian.Uint32(p[3:]), Process: binary.LittleEndian.Uint64(p[7:]),
-		Seq: binary.LittleEndian.Uint32(p[15:]), Echo: binary.LittleEndian.Uint64(p[19:]),
-		EchoSeq: binary.LittleEndian.Uint32(p[27:]), Late: p[2]&flagLate != 0, Leaving: p[2]&flagLeaving != 0}
-	return h, body[headerSize:], None
+	header = Head{
+		Name:    binary.LittleEndian.Uint32(p[3:]),
+		Process: binary.LittleEndian.Uint64(p[7:]),
+		Seq:     binary.LittleEndian.Uint32(p[15:]),
+		Echo:    binary.LittleEndian.Uint64(p[19:]),
+		EchoSeq: binary.LittleEndian.Uint32(p[27:]),
+		Late:    p[2]&flagLate != 0,
+		Leaving: p[2]&flagLeaving != 0,
+	}
+	return header, body[headerSize:], None
 }
--- a/cluster/members/members.go
+++ b/cluster/members/members.go
@@ -1,11 +1,13 @@
-// Package members keeps who of the other nodes of a fleet lives and how old its word is, from what comes of each. It has
-// no I/O and no clock, and its chance comes from a seed. What it says is a belief: nothing that must never happen may
-// rest on it.
+// Package members keeps track of which other nodes of a fleet are alive and how old their last message is, from the
+// datagrams that arrive from each. It has no I/O and no clock, and its randomness comes from a seed. What it reports is an
+// estimate: nothing that must never happen may depend on it.
 //
-// Each node tells each other directly, at a pace that falls with the size of the fleet. A word counts for as long as it
-// can be shown to be young, on the receiver's own clock and without a look at the sender's: it has to name a datagram
-// that the receiver itself sent, and is then no older than that. What was kept on its way, sent again by anyone, or
-// meant for a process that is gone names none that is young enough.
+// Each node sends heartbeats to each other directly, at an interval that grows with the size of the fleet. A message counts
+// for as long as it can be shown to be recent, on the receiver's own clock and without a look at the sender's: it has to
+// name a datagram that the receiver itself sent, and is then no older than that datagram. A message that was delayed on its
+// way, replayed by anyone or meant for a process that has ended names none that is recent enough.
+//
+// All times and durations are in microseconds.
 package members
 
 import (
@@ -15,127 +17,135 @@
 )
 
 const (
-	ms     = int64(1000)
+	ms     = int64(1000) // microseconds
 	second = 1000 * ms
 
-	minSendInterval        = 200 * ms // between two datagrams to one node
-	sendIntervalPerNode    = 4 * ms   // or this for each node of the fleet: 250 datagrams a second at most, whatever its size
-	sentTimesKept          = 64       // datagrams to a node whose times are remembered
-	maxAgeIntervals        = 4        // times that pace: an older word counts no more
-	maxAgeMargin           = 600 * ms // and so much besides
+	minSendInterval        = 200 * ms // between two heartbeats to one node
+	sendIntervalPerNode    = 4 * ms   // times the nodes of the fleet, if that is longer: at most 250 datagrams a second at any size
+	maxAgeIntervals        = 4        // send intervals for which a message counts
+	maxAgeMargin           = 600 * ms // on top of these
+	sentTimesKept          = 64       // datagrams to a node whose times of sending are remembered
 	maxProcessesPerAddress = 3        // processes of one name at one address that are told apart
 )
 
-// Every is how often a node of a fleet of so many tells each other, in microseconds.
+// Every returns the interval between heartbeats to each other node, in microseconds, in a fleet of so many nodes.
 func Every(nodes int) int64 { return max(minSendInterval, sendIntervalPerNode*int64(nodes)) }
 
-// Young is for how long a word counts in a fleet of so many nodes, in microseconds.
+// Young returns the age up to which a message counts, in microseconds, in a fleet of so many nodes.
 func Young(nodes int) int64 { return maxAgeIntervals*Every(nodes) + maxAgeMargin }
 
-// Standing is what is believed of a node.
+// Standing is the membership state of another node, as far as this node knows.
 type Standing uint8
 
 const (
-	Unknown Standing = iota // nothing young came of it since this process started
+	Unknown Standing = iota // no recent message since this process started
 	Linked                  // it is heard, and it hears this node
-	Lost                    // it was, and is not any more
-	Left                    // it said that it ends
+	Lost                    // it was linked and is no longer
+	Left                    // it announced that it ends
 )
 
+// String returns the name of a state.
 func (s Standing) String() string { return [...]string{"unknown", "linked", "lost", "left"}[s] }
 
-// Word is the last young one of a process of a node.
+// Word is the last recent message of a process of another node.
 type Word struct {
-	Process uint64
-	At      int64 // no older than this, on the own clock
-	Late    bool  // it said that it is late itself
+	Process uint64 // random identifier of the process
+	At      int64  // the message is no older than this, on the own clock
+	Late    bool   // the sender's own loop is late
 	Payload []byte
 }
 
-// peer is one address of the list.
+// peer is one address of the list of nodes.
 type peer struct {
-	seq        uint32
-	sentAt     [sentTimesKept]int64 // by seq
+	seq        uint32               // of the last datagram to it
+	sentAt     [sentTimesKept]int64 // by seq, modulo its length
 	nextSendAt int64
-	processes  []*remoteProcess // of processes heard there, the latest first
+	processes  []*remoteProcess // heard at this address, the latest first
 	state      Standing
 }
 
-// remoteProcess is one process at an address.
+// remoteProcess is one process heard at an address.
 type remoteProcess struct {
 	Word
-	seq        uint32
+	seq        uint32 // of its last datagram
 	nameHash   uint32
-	receivedAt int64 // when anything of it came, young or not
-	left       bool
+	receivedAt int64 // any datagram of it, recent or not
+	left       bool  // it announced that it ends
 }
 
-// Members is one node's view.
+// Members is one node's view of the other nodes.
 type Members struct {
-	nameHash     uint32
-	process      uint64
-	peers        []*peer
-	rng          *rand.Rand
-	sendInterval int64
-	maxReportAge int64
-	lastSendDue  int64
-	late         bool
-	leaving      bool
-
-	Sent, Heard, SentBytes, ReceivedBytes int64
+	nameHash      uint32
+	process       uint64
+	peers         []*peer
+	rng           *rand.Rand
+	sendInterval  int64
+	maxMessageAge int64 // age up to which a message counts
+	lastRunAt     int64 // last call that sent what was due
+	late          bool
+	leaving       bool
+
+	Sent, Heard, SentBytes, ReceivedBytes int64 // datagrams and their bytes
 	Faults                                [frame.Faults]int64
-	Stale                                 int64 // whole and new, but too old to count
-	StateChanges                          int64 // of any node's standing
+	Stale                                 int64 // valid and new datagrams that were too old to count
+	StateChanges                          int64 // of any node
 }
 
-// New makes the view of a process of a node among so many others. Process is over 0 and differs from that of any other
-// process.
-func New(name uint32, process uint64, others int, seed int64) *Members {
-	m := &Members{nameHash: name, process: process, rng: rand.New(rand.NewSource(seed)), sendInterval: Every(others + 1), maxReportAge: Young(others + 1)}
+// New returns the view of a process of a node with so many other nodes. nameHash is the short hash of the node's name.
+// process is above 0 and differs from that of any other process.
+func New(nameHash uint32, process uint64, others int, seed int64) *Members {
+	m := &Members{
+		nameHash:      nameHash,
+		process:       process,
+		rng:           rand.New(rand.NewSource(seed)),
+		sendInterval:  Every(others + 1),
+		maxMessageAge: Young(others + 1),
+	}
 	for range others {
 		m.peers = append(m.peers, &peer{})
 	}
 	return m
 }
 
-// Begin sets when each is told first.
+// Begin schedules the first heartbeat to each node.
 func (m *Members) Begin(now int64) {
-	m.lastSendDue = now
+	m.lastRunAt = now
 	for _, p := range m.peers {
 		p.nextSendAt = now + m.rng.Int63n(m.sendInterval/4+1)
 	}
 }
 
-// Late says whether this node's own loop is late. While it is, it finds nobody lost, and tells the others so.
+// Late sets whether this node's own loop is late. While it is, the node takes no other node for lost, and its datagrams say
+// that it is late.
 func (m *Members) Late(late bool) { m.late = late }
 
-// IsLate tells what Late was told last.
+// IsLate reports whether this node's own loop is late.
 func (m *Members) IsLate() bool { return m.late }
 
-// Send makes a datagram to one node that is sent at once, beside those that Due sends.
+// Send sends a datagram to one node at once, besides the heartbeats.
 func (m *Members) Send(now int64, to int, payload []byte, send func(to int, p []byte)) {
 	p := m.peers[to]
 	p.seq++
 	p.sentAt[p.seq%sentTimesKept] = now
-	h := frame.Head{Name: m.nameHash, Process: m.process, Seq: p.seq, Late: m.late, Leaving: m.leaving}
+	header := frame.Head{Name: m.nameHash, Process: m.process, Seq: p.seq, Late: m.late, Leaving: m.leaving}
 	if len(p.processes) > 0 {
-		h.Echo, h.EchoSeq = p.processes[0].Process, p.processes[0].seq
+		header.Echo, header.EchoSeq = p.processes[0].Process, p.processes[0].seq
 	}
-	d := frame.Write(h, payload)
+	datagram := frame.Write(header, payload)
 	m.Sent++
-	m.SentBytes += int64(len(d))
-	send(to, d)
+	m.SentBytes += int64(len(datagram))
+	send(to, datagram)
 }
 
-// Name is the short hash of a node's name, as its latest process says; ok is false while nothing of it was heard.
-func (m *Members) Name(no int) (name uint32, ok bool) {
-	if w := m.peers[no].processes; len(w) > 0 {
+// Name returns the short hash of a node's name as given by its latest process; ok is false if no process of it is known.
+func (m *Members) Name(node int) (name uint32, ok bool) {
+	if w := m.peers[node].processes; len(w) > 0 {
 		return w[0].nameHash, true
 	}
 	return 0, false
 }
 
-// Leave lets the next datagrams say that this node ends; they are due at once.
+// Leave makes the next datagrams announce that this node ends. They are due at once.
 func (m *Members) Leave(now int64) {
 	m.leaving = true
 	for _, p := range m.peers {
@@ -143,7 +153,7 @@
 	}
 }
 
-// Next is when Due must be called at the latest.
+// Next returns when the next heartbeat is due.
 func (m *Members) Next() int64 {
 	next := int64(1) << 62
 	for _, p := range m.peers {
@@ -152,128 +162,131 @@
 	return next
 }
 
-// Due sends what is due and goes through who is still heard. The payload is asked for once, if anything is sent.
+// Due sends the heartbeats that are due and updates the state of each node. payload is called at most once, if anything is
+// sent.
 func (m *Members) Due(now int64, payload func() []byte, send func(to int, p []byte)) {
-	// A process that did not run, or whose clock jumped, has heard nothing meanwhile and can blame nobody for that.
-	if gap := now - m.lastSendDue; gap > 2*m.sendInterval || gap < 0 {
+	// A process that was stopped, or whose clock jumped, could receive nothing meanwhile: other nodes are not lost for that.
+	if gap := now - m.lastRunAt; gap > 2*m.sendInterval || gap < 0 {
 		for _, p := range m.peers {
-			for _, h := range p.processes {
-				h.At = min(h.At+gap, now)
+			for _, r := range p.processes {
+				r.At = min(r.At+gap, now)
 			}
-			p.sentAt = [sentTimesKept]int64{} // what comes now may be as old as the gap
+			p.sentAt = [sentTimesKept]int64{} // a datagram that names one of these may be as old as the gap
 		}
 	}
-	m.lastSendDue = now
-	var body []byte
+	m.lastRunAt = now
+	var message []byte
 	for to, p := range m.peers {
 		m.updateState(now, p)
 		if now < p.nextSendAt {
 			continue
 		}
-		if body == nil {
-			body = payload()
+		if message == nil {
+			message = payload()
 		}
-		m.Send(now, to, body, send)
+		m.Send(now, to, message, send)
 		p.nextSendAt = now + m.sendInterval*9/10 + m.rng.Int63n(m.sendInterval/5+1)
 	}
 }
 
-// updateState says what is believed of a node by now.
+// updateState updates the state of a node and removes processes that have not been heard for long.
 func (m *Members) updateState(now int64, p *peer) {
-	was := p.state
+	previous := p.state
 	for i := len(p.processes) - 1; i >= 0; i-- {
-		if h := p.processes[i]; now-h.receivedAt > 4*m.maxReportAge { // guards the memory against processes that are gone
+		if r := p.processes[i]; now-r.receivedAt > 4*m.maxMessageAge { // bounds the memory for processes that have ended
 			p.processes = append(p.processes[:i], p.processes[i+1:]...)
 		}
 	}
 	linked, left := false, false
-	for _, h := range p.processes {
-		linked = linked || !h.left && h.At > 0 && now-h.At <= m.maxReportAge
-		left = left || h.left
+	for _, r := range p.processes {
+		linked = linked || !r.left && r.At > 0 && now-r.At <= m.maxMessageAge
+		left = left || r.left
 	}
 	switch {
 	case linked:
 		p.state = Linked
 	case left:
 		p.state = Left
-	case was == Linked && !m.late:
+	case previous == Linked && !m.late:
 		p.state = Lost
 	}
-	if p.state != was {
+	if p.state != previous {
 		m.StateChanges++
 	}
 }
 
-// Take takes a datagram of a node. ok is true where its word is young and new.
-func (m *Members) Take(now int64, from int, d []byte) (w Word, ok bool) {
-	h, payload, fault := frame.Read(d)
+// Take takes a datagram from node number from; a negative number is an address that is not on the list. ok is true if its
+// message is recent and new.
+func (m *Members) Take(now int64, from int, datagram []byte) (message Word, ok bool) {
+	header, payload, fault := frame.Read(datagram)
 	m.Heard++
-	m.ReceivedBytes += int64(len(d))
+	m.ReceivedBytes += int64(len(datagram))
 	if fault == frame.None && (from < 0 || from >= len(m.peers)) {
 		fault = frame.Stranger
 	}
-	if fault == frame.None && (h.Process == m.process || h.Process == 0) {
-		fault = frame.Replayed // its own, thrown back
+	if fault == frame.None && (header.Process == m.process || header.Process == 0) {
+		fault = frame.Replayed // this node's own datagram, sent back
 	}
 	if fault != frame.None {
 		m.Faults[fault]++
-		return w, false
+		return message, false
 	}
 	p := m.peers[from]
-	e := p.findProcess(h.Process)
-	if e == nil {
-		e = &remoteProcess{Word: Word{Process: h.Process}}
+	r := p.findProcess(header.Process)
+	if r == nil {
+		r = &remoteProcess{Word: Word{Process: header.Process}}
 		if len(p.processes) >= maxProcessesPerAddress {
 			p.processes = p.processes[:maxProcessesPerAddress-1]
 		}
-		p.processes = append([]*remoteProcess{e}, p.processes...)
-	} else if int32(h.Seq-e.seq) <= 0 {
+		p.processes = append([]*remoteProcess{r}, p.processes...)
+	} else if int32(header.Seq-r.seq) <= 0 {
 		m.Faults[frame.Replayed]++
-		return w, false
+		return message, false
 	}
-	e.seq, e.nameHash, e.receivedAt, e.left = h.Seq, h.Name, now, h.Leaving
-	p.moveToFront(e)
-	at := int64(0)
-	if h.Echo == m.process && h.EchoSeq != 0 && p.seq-h.EchoSeq < sentTimesKept {
-		at = p.sentAt[h.EchoSeq%sentTimesKept]
+	r.seq, r.nameHash, r.receivedAt, r.left = header.Seq, header.Name, now, header.Leaving
+	p.moveToFront(r)
+	sentAfter := int64(0)
+	if header.Echo == m.process && header.EchoSeq != 0 && p.seq-header.EchoSeq < sentTimesKept {
+		sentAfter = p.sentAt[header.EchoSeq%sentTimesKept]
 	}
-	if at == 0 || now-at > m.maxReportAge {
+	if sentAfter == 0 || now-sentAfter > m.maxMessageAge {
 		m.Stale++
-		return w, false
+		return message, false
 	}
-	e.At, e.Late = max(e.At, at), h.Late
-	e.Payload = append(e.Payload[:0], payload...)
+	r.At, r.Late = max(r.At, sentAfter), header.Late
+	r.Payload = append(r.Payload[:0], payload...)
 	m.updateState(now, p)
-	return e.Word, true
+	return r.Word, true
 }
 
-// Bad counts a datagram whose figures can't be.
+// Bad counts a fault that the caller found in the payload of a datagram.
 func (m *Members) Bad(f frame.Fault) { m.Faults[f]++ }
 
+// findProcess returns a process heard at the address, or nil.
 func (p *peer) findProcess(process uint64) *remoteProcess {
-	for _, h := range p.processes {
-		if h.Process == process {
-			return h
+	for _, r := range p.processes {
+		if r.Process == process {
+			return r
 		}
 	}
 	return nil
 }
 
-// moveToFront puts a process before the others of its address.
-func (p *peer) moveToFront(e *remoteProcess) {
-	for i, h := range p.processes {
-		if h == e {
+// moveToFront puts a process before the others at its address.
+func (p *peer) moveToFront(r *remoteProcess) {
+	for i, other := range p.processes {
+		if other == r {
 			copy(p.processes[1:i+1], p.processes[:i])
-			p.processes[0] = e
+			p.processes[0] = r
 			return
 		}
 	}
 }
 
-// Standing is what is believed of a node.
-func (m *Members) Standing(no int) Standing { return m.peers[no].state }
+// Standing returns the state of a node.
+func (m *Members) Standing(node int) Standing { return m.peers[node].state }
 
-// Linked counts the nodes that are.
+// Linked returns the number of nodes that are linked.
 func (m *Members) Linked() (n int) {
 	for _, p := range m.peers {
 		if p.state == Linked {
@@ -283,20 +296,20 @@
 	return n
 }
 
-// Others is how many nodes there are besides this one.
+// Others returns the number of nodes besides this one.
 func (m *Members) Others() int { return len(m.peers) }
 
-// Oldest is the age of the oldest word that still counts, in microseconds; 0 where none does.
+// Oldest returns the age of the oldest message that still counts, in microseconds; 0 if none does.
 func (m *Members) Oldest(now int64) (age int64) {
 	for _, p := range m.peers {
-		for _, h := range p.processes {
-			if p.state == Linked && !h.left && h.At > 0 && now-h.At <= m.maxReportAge {
-				age = max(age, now-h.At)
+		for _, r := range p.processes {
+			if p.state == Linked && !r.left && r.At > 0 && now-r.At <= m.maxMessageAge {
+				age = max(age, now-r.At)
 			}
 		}
 	}
 	return age
 }
 
-// YoungFor is for how long a word counts.
-func (m *Members) YoungFor() int64 { return m.maxReportAge }
+// YoungFor returns the age up to which a message counts, in microseconds.
+func (m *Members) YoungFor() int64 { return m.maxMessageAge }
--- a/cluster/members/members_test.go
+++ b/cluster/members/members_test.go
@@ -8,32 +8,34 @@
 	"coursewinch/cluster/frame"
 )
 
-// testNetwork is some nodes and what is on its way between them.
+// testNetwork is some nodes and the datagrams in flight between them, in virtual time.
 type testNetwork struct {
 	t           *testing.T
 	rng         *rand.Rand
 	now         int64
 	nodes       []*Members
-	skew        []int64 // of each clock
+	skew        []int64 // of each node's clock, microseconds
 	inFlight    []packet
-	loss        float64
-	maxDelay    int64 // delay
-	sent        []packet
-	repeatShare float64
+	loss        float64  // share of the datagrams
+	maxDelay    int64    // microseconds
+	sent        []packet // all datagrams so far
+	repeatShare float64  // probability that a datagram is followed by a replay of any earlier one
 	isCut       func(from, to int) bool
-	oldest      int64 // the oldest word that counted
-	starts      []uint64
+	oldest      int64    // age of the oldest message that counted, microseconds
+	starts      []uint64 // of each node
 }
 
+// packet is a datagram that arrives at a time.
 type packet struct {
 	at       int64
 	from, to int
 	p        []byte
 }
 
-func newTestNetwork(t *testing.T, n int, seed int64) *testNetwork {
-	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, n), isCut: func(int, int) bool { return false }}
-	for i := range n {
+// newTestNetwork starts so many nodes that all hear each other.
+func newTestNetwork(t *testing.T, nodes int, seed int64) *testNetwork {
+	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, nodes), isCut: func(int, int) bool { return false }}
+	for i := range nodes {
 		w.nodes = append(w.nodes, nil)
 		w.starts = append(w.starts, 0)
 		w.start(i)
@@ -41,188 +43,199 @@
 	return w
 }
 
-func (w *testNetwork) start(i int) {
-	w.starts[i]++
-	w.nodes[i] = New(uint32(i), uint64(i+1)<<32|w.starts[i]<<1, len(w.skew)-1, w.rng.Int63())
-	w.nodes[i].Begin(w.now + w.skew[i])
+// start starts a new process of a node.
+func (n *testNetwork) start(node int) {
+	n.starts[node]++
+	n.nodes[node] = New(uint32(node), uint64(node+1)<<32|n.starts[node]<<1, len(n.skew)-1, n.rng.Int63())
+	n.nodes[node].Begin(n.now + n.skew[node])
 }
 
-func peerIndex(from, to int) int { // what one is to another
-	if from > to {
-		return from - 1
+// peerIndex is the number of a node among the others of an observer.
+func peerIndex(node, observer int) int {
+	if node > observer {
+		return node - 1
 	}
-	return from
+	return node
 }
 
-// step is a hundredth of a second: all that has come is taken, then what is due is sent. still are stopped.
-func (w *testNetwork) step(still ...int) {
-	w.now += 10 * ms
+// step lets 10 ms pass: each node takes the datagrams that have arrived, then sends those that are due. Paused nodes do
+// neither.
+func (n *testNetwork) step(paused ...int) {
+	n.now += 10 * ms
 	stopped := map[int]bool{}
-	for _, i := range still {
+	for _, i := range paused {
 		stopped[i] = true
 	}
-	var left []packet
-	for _, p := range w.inFlight {
-		if p.at > w.now || stopped[p.to] {
-			left = append(left, p)
+	var waiting []packet
+	for _, p := range n.inFlight {
+		if p.at > n.now || stopped[p.to] {
+			waiting = append(waiting, p)
 			continue
 		}
-		word, ok := w.nodes[p.to].Take(w.now+w.skew[p.to], peerIndex(p.from, p.to), p.p)
-		if ok { // the payload says when it was made, on the true clock
-			age := w.now - int64(binary.LittleEndian.Uint64(word.Payload))
-			if w.oldest = max(w.oldest, age); age > Young(len(w.nodes)) {
-				w.t.Errorf("a word of %d ms counts", age/ms)
+		message, ok := n.nodes[p.to].Take(n.now+n.skew[p.to], peerIndex(p.from, p.to), p.p)
+		if ok { // the payload is the true time of sending
+			age := n.now - int64(binary.LittleEndian.Uint64(message.Payload))
+			if n.oldest = max(n.oldest, age); age > Young(len(n.nodes)) {
+				n.t.Errorf("a message of age %d ms counts", age/ms)
 			}
 		}
 	}
-	w.inFlight = left
-	for i, m := range w.nodes {
+	n.inFlight = waiting
+	for i, m := range n.nodes {
 		if stopped[i] {
 			continue
 		}
-		m.Due(w.now+w.skew[i], func() []byte { return binary.LittleEndian.AppendUint64(nil, uint64(w.now)) }, func(nth int, p []byte) {
-			to := nth
-			if nth >= i {
+		m.Due(n.now+n.skew[i], func() []byte { return binary.LittleEndian.AppendUint64(nil, uint64(n.now)) }, func(peer int, p []byte) {
+			to := peer
+			if peer >= i {
 				to++
 			}
-			d := packet{w.now + w.rng.Int63n(w.maxDelay), i, to, p}
-			w.sent = append(w.sent, d)
-			if w.rng.Float64() >= w.loss && !w.isCut(i, to) {
-				w.inFlight = append(w.inFlight, d)
+			d := packet{n.now + n.rng.Int63n(n.maxDelay), i, to, p}
+			n.sent = append(n.sent, d)
+			if n.rng.Float64() >= n.loss && !n.isCut(i, to) {
+				n.inFlight = append(n.inFlight, d)
 			}
-			if len(w.sent) > 0 && w.rng.Float64() < w.repeatShare {
-				d := w.sent[w.rng.Intn(len(w.sent))]
-				d.at = w.now
-				w.inFlight = append(w.inFlight, d)
+			if len(n.sent) > 0 && n.rng.Float64() < n.repeatShare {
+				d := n.sent[n.rng.Intn(len(n.sent))]
+				d.at = n.now
+				n.inFlight = append(n.inFlight, d)
 			}
 		})
 	}
 }
 
-func (w *testNetwork) run(seconds float64, still ...int) {
+// run runs steps for some seconds.
+func (n *testNetwork) run(seconds float64, paused ...int) {
 	for range int(seconds * 100) {
-		w.step(still...)
+		n.step(paused...)
 	}
 }
 
-func (w *testNetwork) wantState(of, about int, want Standing) {
-	w.t.Helper()
-	if got := w.nodes[of].Standing(peerIndex(about, of)); got != want {
-		w.t.Errorf("node %d takes %d for %v, not %v", of, about, got, want)
+// wantState checks in which state an observer has a node.
+func (n *testNetwork) wantState(observer, node int, want Standing) {
+	n.t.Helper()
+	if got := n.nodes[observer].Standing(peerIndex(node, observer)); got != want {
+		n.t.Errorf("node %d has node %d as %v, want %v", observer, node, got, want)
 	}
 }
 
-// TestNoOldWordCounts: under loss, delay, datagrams sent again, clocks that differ by hours, stops and restarts, no word
-// that counts is older than the bound.
-func TestNoOldReportCounts(t *testing.T) {
+// TestNoOldMessageCounts guards against old messages being taken for recent ones: under loss, delay, replays, clocks that
+// differ by hours, pauses and restarts, no message that counts is older than the bound.
+func TestNoOldMessageCounts(t *testing.T) {
 	worst := int64(0)
 	for seed := range int64(40) {
-		w := newTestNetwork(t, 5, seed)
-		w.loss, w.maxDelay, w.repeatShare = 0.4, 2*second, 0.5
-		for i := range w.skew {
-			w.skew[i] = w.rng.Int63n(24*3600) * second
-			w.start(i)
+		n := newTestNetwork(t, 5, seed)
+		n.loss, n.maxDelay, n.repeatShare = 0.4, 2*second, 0.5
+		for i := range n.skew {
+			n.skew[i] = n.rng.Int63n(24*3600) * second
+			n.start(i)
 		}
 		for range 6 {
-			w.run(2)
-			w.run(3, w.rng.Intn(5), w.rng.Intn(5))
-			w.start(w.rng.Intn(5))
+			n.run(2)
+			n.run(3, n.rng.Intn(5), n.rng.Intn(5))
+			n.start(n.rng.Intn(5))
 		}
-		worst = max(worst, w.oldest)
+		worst = max(worst, n.oldest)
 	}
 	if worst < Young(5)/2 {
-		t.Errorf("the worst was %d ms of %d: the test does not come near", worst/ms, Young(5)/ms)
+		t.Errorf("the oldest message was %d ms of %d: the test does not come near the bound", worst/ms, Young(5)/ms)
 	}
-	t.Logf("no older than %d ms; worst %d ms", Young(5)/ms, worst/ms)
+	t.Logf("bound %d ms; oldest %d ms", Young(5)/ms, worst/ms)
 }
 
+// TestStates guards against wrong membership states when a node is heard by none, when that ends, and when a node leaves.
 func TestStates(t *testing.T) {
-	w := newTestNetwork(t, 3, 1)
-	w.run(1)
-	w.wantState(0, 1, Linked)
-	w.isCut = func(from, _ int) bool { return from == 0 } // it hears all and is heard by none
-	w.run(3)
-	w.wantState(1, 0, Lost)
-	w.wantState(0, 1, Lost) // they name nothing young that it sent: it knows that it is not heard
-	w.wantState(1, 2, Linked)
-	w.isCut = func(int, int) bool { return false }
-	w.run(1)
-	w.wantState(0, 1, Linked)
-	w.nodes[2].Leave(w.now)
-	w.run(0.2)
-	w.wantState(0, 2, Left)
+	n := newTestNetwork(t, 3, 1)
+	n.run(1)
+	n.wantState(0, 1, Linked)
+	n.isCut = func(from, _ int) bool { return from == 0 } // node 0 hears all and is heard by none
+	n.run(3)
+	n.wantState(1, 0, Lost)
+	n.wantState(0, 1, Lost) // their datagrams name no recent one of node 0, so it knows that it is not heard
+	n.wantState(1, 2, Linked)
+	n.isCut = func(int, int) bool { return false }
+	n.run(1)
+	n.wantState(0, 1, Linked)
+	n.nodes[2].Leave(n.now)
+	n.run(0.2)
+	n.wantState(0, 2, Left)
 }
 
-// TestWhoStoodStillBlamesNobody: one that did not run, or is late, takes nobody for lost for that.
+// TestPausedOrLateNodeMarksNobodyLost guards against a node that was stopped, or is late, taking the others for lost for
+// that reason.
 func TestPausedOrLateNodeMarksNobodyLost(t *testing.T) {
-	w := newTestNetwork(t, 3, 1)
-	w.run(1)
-	w.run(5, 0)
-	w.inFlight = nil // nor did anything reach it
-	lost := w.nodes[0].StateChanges
-	w.step()
-	if w.nodes[0].StateChanges != lost {
-		t.Error("awake, it takes the others for lost before it can have heard them")
-	}
-	w.run(1)
-	w.wantState(0, 1, Linked)
-	w.wantState(1, 0, Linked)
-	w.nodes[0].Late(true)
-	w.isCut = func(int, int) bool { return true }
-	w.run(5)
-	w.wantState(0, 1, Linked)
-	w.wantState(1, 2, Lost)
+	n := newTestNetwork(t, 3, 1)
+	n.run(1)
+	n.run(5, 0)
+	n.inFlight = nil // nothing reached node 0 meanwhile
+	changes := n.nodes[0].StateChanges
+	n.step()
+	if n.nodes[0].StateChanges != changes {
+		t.Error("after a pause the node takes others for lost before it can have heard them")
+	}
+	n.run(1)
+	n.wantState(0, 1, Linked)
+	n.wantState(1, 0, Linked)
+	n.nodes[0].Late(true)
+	n.isCut = func(int, int) bool { return true }
+	n.run(5)
+	n.wantState(0, 1, Linked)
+	n.wantState(1, 2, Lost)
 }
 
+// TestForeignDatagramsAreCounted guards against datagrams of unknown senders, damaged and replayed ones being taken or not
+// being counted.
 func TestForeignDatagramsAreCounted(t *testing.T) {
-	w := newTestNetwork(t, 2, 1)
-	w.run(1)
-	m, other := w.nodes[0], w.nodes[1]
+	n := newTestNetwork(t, 2, 1)
+	n.run(1)
+	m, other := n.nodes[0], n.nodes[1]
 	var p []byte
-	other.Leave(w.now)
-	other.Due(w.now, func() []byte { return make([]byte, 8) }, func(_ int, d []byte) { p = d })
+	other.Leave(n.now)
+	other.Due(n.now, func() []byte { return make([]byte, 8) }, func(_ int, d []byte) { p = d })
 	for _, c := range []struct {
 		from int
 		p    []byte
 		want frame.Fault
 	}{{-1, p, frame.Stranger}, {1, p, frame.Stranger}, {0, p[:30], frame.Short}, {0, nil, frame.Short}, {0, []byte{1, 2}, frame.Foreign}} {
 		before := m.Faults[c.want]
-		if _, ok := m.Take(w.now, c.from, c.p); ok || m.Faults[c.want] != before+1 {
-			t.Errorf("%v is not counted as such", c.want)
+		if _, ok := m.Take(n.now, c.from, c.p); ok || m.Faults[c.want] != before+1 {
+			t.Errorf("the fault %v is not counted, or the datagram was taken", c.want)
 		}
 	}
-	m.Take(w.now, 0, p)
-	if _, ok := m.Take(w.now, 0, p); ok || m.Faults[frame.Replayed] != 1 {
-		t.Error("taken twice")
+	m.Take(n.now, 0, p)
+	if _, ok := m.Take(n.now, 0, p); ok || m.Faults[frame.Replayed] != 1 {
+		t.Error("a datagram was taken twice, or not counted as replayed")
 	}
 }
 
-// TestTwins: two processes at one address are told apart, and neither's datagrams are taken for replays of the other's.
+// TestTwoProcessesAtOneAddress guards against mixing up two processes at one address, as during a handover: datagrams of
+// the one are not taken for replays of the other's.
 func TestTwoProcessesAtOneAddress(t *testing.T) {
 	m := New(0, 2, 1, 1)
-	twins := []*Members{New(1, 10, 1, 1), New(1, 20, 1, 2)}
+	processes := []*Members{New(1, 10, 1, 1), New(1, 20, 1, 2)}
 	now, counted := int64(0), map[uint64]int{}
 	m.Begin(now)
-	for _, tw := range twins {
-		tw.Begin(now)
+	for _, process := range processes {
+		process.Begin(now)
 	}
 	for i := range 400 {
 		now += 10 * ms
-		m.Due(now, func() []byte { return nil }, func(_ int, p []byte) { twins[i%2].Take(now, 0, p) })
-		for _, tw := range twins {
-			tw.Due(now, func() []byte { return nil }, func(_ int, p []byte) {
-				if w, ok := m.Take(now, 0, p); ok {
-					counted[w.Process]++
+		m.Due(now, func() []byte { return nil }, func(_ int, p []byte) { processes[i%2].Take(now, 0, p) })
+		for _, process := range processes {
+			process.Due(now, func() []byte { return nil }, func(_ int, p []byte) {
+				if message, ok := m.Take(now, 0, p); ok {
+					counted[message.Process]++
 				}
 			})
 		}
 	}
 	if len(counted) != 2 || m.Faults[frame.Replayed] > 0 {
-		t.Errorf("counted %v, %d taken for replays", counted, m.Faults[frame.Replayed])
+		t.Errorf("messages by process: %v; %d taken for replays", counted, m.Faults[frame.Replayed])
 	}
 }
 
-// TestBytesDoNotGrow: a node sends at most (n-1)/Every(n) datagrams a second, 250 from some size on; 10 % are for jitter.
+// TestSendRateIsBounded guards against traffic that grows with the fleet: a node sends one datagram to each other node in
+// a send interval, and at most 250 a second at any size. 10 % are for jitter.
 func TestSendRateIsBounded(t *testing.T) {
 	for _, n := range []int{2, 12, 80, 300} {
 		m, now := New(0, 1, n-1, 1), int64(0)
--- a/cluster/overload/bounds.go
+++ b/cluster/overload/bounds.go
@@ -2,7 +2,7 @@
 
 import "coursewinch/balance"
 
-// The decision module reads its bounds from Core.
+// The decision module reads its bounds through this interface.
 var _ balance.Bounds = (*Core)(nil)
 
 // Room returns the probability with which a server is taken to have room for a flow. During overload servers with less
--- a/cluster/overload/coldstart.go
+++ b/cluster/overload/coldstart.go
@@ -4,8 +4,8 @@
 
 // coldSlotDue reports whether this node may send a flow to a cold host now. In overload hosts hold more flows than fill
 // them, so that the decision module's budget, which goes by the number of flows held, is too large for cold hosts.
-// Instead a share of the rate that the rule allows all nodes is divided among them by their demand, in slots at random
-// times. A slot that is not used at once lapses.
+// Instead a share of the rate that the cold-start rule allows all nodes is divided among them by their demand, in slots at
+// random times. A slot that is not used at once lapses.
 func (c *Core) coldSlotDue(h *host) bool {
 	if c.usesGrants != nil && c.usesGrants(h.server) && c.ColdRate(h.server) > 0 {
 		return c.now < h.grantUntil
@@ -34,8 +34,9 @@
 	return c.now + int64(min(c.rng.ExpFloat64()/max(rate, 1e-6), 1e4)*float64(second))
 }
 
-// ColdRate returns how many flows a second the rule lets all nodes together send to a server while it is cold, as far as
-// this node knows; 0 if the server is not cold or the rate is unknown.
+// ColdRate returns how many flows a second all nodes together may send to a server while it is cold, as far as this node
+// knows; 0 if the server is not cold or the rate is unknown. The cold-start rule allows FallMultiple times the flows that
+// fill the server in ColdTime.
 func (c *Core) ColdRate(s *balance.Server) float64 {
 	h := c.hosts[s]
 	if h == nil || c.meanFlowLoad <= 0 || c.warmShare(h) == 1 {
--- a/cluster/overload/constants.go
+++ b/cluster/overload/constants.go
@@ -71,7 +71,7 @@
 
 // Flows to cold hosts.
 const (
-	coldRateShare    = 0.35   // of the rate at which the rule lets all nodes send flows to a cold host
+	coldRateShare    = 0.35   // of the rate at which the cold-start rule lets all nodes send flows to a host, see ColdRate
 	coldSlotLifetime = second // for which a cold-start slot may be used
 )
 
--- a/cluster/overload/suspension.go
+++ b/cluster/overload/suspension.go
@@ -27,7 +27,7 @@
 		Linked:      c.Figures.ReportingProcesses,
 		Others:      c.nodes - 1,
 		Zone:        c.zone,
-		SameZone:    func(index int) bool { return c.hostsByName[index].server.Zone == c.settings.Zone },
+		OwnZone:     func(index int) bool { return c.hostsByName[index].server.Zone == c.settings.Zone },
 		Contradicts: c.contradicts,
 	}
 	suspended := view.Suspended(c.witnesses())
--- a/cluster/peers/peers.go
+++ b/cluster/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers puts what nodes tell each other into datagrams and takes it out again: hosts' load, and which hosts hold
-// which groups. A datagram may be lost, come late or be anyone's: what does not make sense is dropped whole.
+// Package peers encodes and decodes the messages by which nodes share the load of hosts and the preferred servers of
+// groups. A datagram may be lost, arrive late or be sent by anyone: an invalid one is dropped as a whole.
 package peers
 
 import (
@@ -8,55 +8,62 @@
 	"coursewinch/balance"
 )
 
+// Layout of a datagram: version, number of loads, entries of loads, entries of groups up to the end.
 const (
 	version        = 1
-	shortHashSize  = 3   // bytes of a hash
-	headerSize     = 2   // the version and the number of loads
-	loadEntrySize  = 4   // a host's short hash and its load
-	groupEntrySize = 6   // the short hashes of a group and of a host
-	Most           = 256 // bytes of a datagram
-	loadSteps      = 32  // in which a load of one is told
+	shortHashSize  = 3 // bytes
+	headerSize     = 2 // bytes: the version and the number of loads
+	loadEntrySize  = 4 // bytes: a host's short hash and its load
+	groupEntrySize = 6 // bytes: the short hashes of a group and of its preferred server
+
+	Most = 256 // maximum size of a datagram in bytes
+
+	loadSteps = 32 // steps for a load of 1, which is a saturated host
 )
 
-// Short is the part of a hash that is told.
+// Short returns the part of a hash that datagrams carry.
 func Short(hash uint64) uint32 { return uint32(hash & (1<<(8*shortHashSize) - 1)) }
 
+// appendShortHash appends the short form of a hash.
 func appendShortHash(p []byte, hash uint64) []byte {
 	return append(p, byte(hash), byte(hash>>8), byte(hash>>16))
 }
 
+// readShortHash returns the short hash at the beginning of p.
 func readShortHash(p []byte) uint32 { return uint32(p[0]) | uint32(p[1])<<8 | uint32(p[2])<<16 }
 
-// Write puts all into as few datagrams as hold it.
+// Write encodes the loads of servers and the preferred servers of groups into as few datagrams as hold them, and calls send
+// with each.
 func Write(servers []*balance.Server, homes []balance.Home, send func([]byte)) {
 	for len(servers)+len(homes) > 0 {
-		n := min(len(servers), (Most-headerSize)/loadEntrySize)
-		p := append(make([]byte, 0, Most), version, byte(n))
-		for _, s := range servers[:n] {
+		loads := min(len(servers), (Most-headerSize)/loadEntrySize)
+		p := append(make([]byte, 0, Most), version, byte(loads))
+		for _, s := range servers[:loads] {
 			p = appendShortHash(p, s.Hash)
 			p = append(p, byte(min(math.Round(max(s.Busy(), 0)*loadSteps), 255)))
 		}
-		m := min(len(homes), (Most-len(p))/groupEntrySize)
-		for _, h := range homes[:m] {
-			p = appendShortHash(p, h.Group.Hash)
-			p = appendShortHash(p, h.Server.Hash)
+		groups := min(len(homes), (Most-len(p))/groupEntrySize)
+		for _, home := range homes[:groups] {
+			p = appendShortHash(p, home.Group.Hash)
+			p = appendShortHash(p, home.Server.Hash)
 		}
-		servers, homes = servers[n:], homes[m:]
+		servers, homes = servers[loads:], homes[groups:]
 		send(p)
 	}
 }
 
-// Read gives all that a datagram tells; false for what is no such.
+// Read decodes a datagram and calls loads and homes with each entry. Loads are shares of what the host can do. It returns
+// false, without any call, for an invalid datagram.
 func Read(p []byte, loads func(host uint32, busy float64), homes func(group, host uint32)) bool {
 	if len(p) < headerSize || len(p) > Most || p[0] != version {
 		return false
 	}
-	n, rest := int(p[1]), len(p)-headerSize-int(p[1])*loadEntrySize
+	hosts, rest := int(p[1]), len(p)-headerSize-int(p[1])*loadEntrySize
 	if rest < 0 || rest%groupEntrySize != 0 {
 		return false
 	}
 	p = p[headerSize:]
-	for range n {
+	for range hosts {
 		loads(readShortHash(p), float64(p[shortHashSize])/loadSteps)
 		p = p[loadEntrySize:]
 	}
--- a/cluster/peers/peers_test.go
+++ b/cluster/peers/peers_test.go
@@ -7,24 +7,26 @@
 	"coursewinch/balance"
 )
 
+// TestReadReturnsWhatWasWritten guards against entries that are lost between encoding and decoding, and against invalid
+// datagrams being taken.
 func TestReadReturnsWhatWasWritten(t *testing.T) {
 	s := &balance.Server{Hash: 5 | 7<<40}
 	h := balance.Home{Group: &balance.Group{Hash: 9}, Server: s}
-	loads, held, p := 0, 0, []byte(nil)
-	hear := func(q []byte) bool {
-		return Read(q, func(host uint32, _ float64) { loads += int(host) }, func(group, host uint32) { held += int(group - host) })
+	loads, homes, p := 0, 0, []byte(nil)
+	read := func(q []byte) bool {
+		return Read(q, func(host uint32, _ float64) { loads += int(host) }, func(group, host uint32) { homes += int(group - host) })
 	}
 	Write(slices.Repeat([]*balance.Server{s}, 100), slices.Repeat([]balance.Home{h}, 100), func(q []byte) {
-		if p = q; !hear(q) || len(q) > Most {
-			t.Fatal("unread, or", len(q), "bytes")
+		if p = q; !read(q) || len(q) > Most {
+			t.Fatal("a valid datagram was dropped or is too large:", len(q), "bytes")
 		}
 	})
 	for _, bad := range [][]byte{nil, {1}, {1, 200, 0}, p[:len(p)-1], append([]byte{2}, p[1:]...), append(p, make([]byte, 300)...)} {
-		if hear(bad) {
-			t.Fatal("taken for a datagram:", bad)
+		if read(bad) {
+			t.Fatal("an invalid datagram was taken:", bad)
 		}
 	}
-	if loads != 500 || held != 400 {
-		t.Fatal(loads, held)
+	if loads != 500 || homes != 400 {
+		t.Fatalf("sums of what was read: hosts %d, groups less hosts %d", loads, homes)
 	}
 }
--- a/cluster/verdicts/verdicts.go
+++ b/cluster/verdicts/verdicts.go
@@ -1,11 +1,12 @@
-// Package verdicts draws from what nodes tell of hosts which of them this node holds back from for now. It has no I/O
-// and no clock; whoever calls it says how old evidence is by leaving out what is too old, so that each verdict ends by
+// Package verdicts decides from the health reports of other nodes which hosts this node suspends for now: it sends them no
+// new flows. It has no I/O and no clock. The caller leaves out reports that are too old, so that each suspension ends by
 // itself.
 //
-// What others tell may hold back, and never rank: only own latency does. One witness alone takes no host from others;
-// two that used it of late do, of the own zone or of two zones: what is bad by one zone's way stays that zone's. A
-// witness that finds most hosts bad, or that is late itself, speaks for itself alone, and a node in the smaller part of
-// a cut fleet takes nobody's word. Whatever is told, no more than a third of the hosts are held back by hearsay.
+// Reports of other nodes may suspend a host but never rank it: only a node's own latency does that. One witness alone
+// suspends no host for others. Two that recently used it do, if they are of the own zone or of two zones: what fails over
+// one zone's network path only counts in that zone. A witness that finds most hosts failing, or that is late itself, counts
+// for itself alone, and a node in the smaller part of a partitioned fleet follows nobody's reports. Whatever is reported, at
+// most a third of the hosts are suspended.
 package verdicts
 
 import (
@@ -14,26 +15,29 @@
 	"strings"
 )
 
+// Bounds on suspensions.
 const (
-	MinWitnesses      = 2      // that take a host from others
-	MaxSuspendedShare = 1. / 3 // of the hosts, that hearsay holds back
-	MaxBadShare       = 0.5    // of the hosts that a witness speaks of: one that finds more bad finds its own way bad
+	MinWitnesses      = 2      // that suspend a host for others
+	MaxSuspendedShare = 1. / 3 // of the hosts
+	MaxBadShare       = 0.5    // of the hosts that a witness reports; one that finds more failing has a failing network path itself
 )
 
-// Kind is of a verdict, a bit each.
+// Kind is a set of reasons to suspend a host, a bit each.
 type Kind uint8
 
+// Reasons to suspend a host.
 const (
-	Down       Kind = 1 << iota // connects to it don't come up
-	SetupFails                  // they do, and set-ups fail
-	Cold                        // it has started of late
-	Draining                    // a list says that it drains or is gone
+	Down       Kind = 1 << iota // connects to it fail
+	SetupFails                  // connections are established, but set-ups on them fail
+	Cold                        // it has started recently
+	Draining                    // a list of servers says that it drains or is gone
 
-	pathReasons = Down | SetupFails // what a witness saw by its own way
+	pathReasons = Down | SetupFails // observed over the witness's own network path
 )
 
 var reasonNames = []string{"down", "sick", "cold", "leaving"}
 
+// String returns the names of the reasons, joined by plus signs.
 func (k Kind) String() (text string) {
 	for i, name := range reasonNames {
 		if k&(1<<i) != 0 {
@@ -43,113 +47,116 @@
 	return strings.TrimPrefix(text, "+")
 }
 
-// HostReport is what one witness tells of one host that it used of late.
+// HostReport is what a witness reports of one host that it recently used.
 type HostReport struct {
-	Host    int
+	Host    int // number of the host
 	Reasons Kind
 }
 
-// Witness is one process and what it tells; Late where it says that it is late itself. Zone is any number that tells its
-// zone from others.
+// Witness is one process of another node and what it reports.
 type Witness struct {
-	Late  bool
-	Zone  uint32
+	Late  bool   // it says that it is late itself
+	Zone  uint32 // any number that differs between zones
 	Hosts []HostReport
 }
 
-// IsCredible tells whether a witness counts for others.
+// IsCredible reports whether a witness counts for other nodes: it is not late, reports more than one host, and at most
+// MaxBadShare of them as failing.
 func (w Witness) IsCredible() bool {
-	n := 0
-	for _, e := range w.Hosts {
-		if e.Reasons&(pathReasons|Draining) != 0 {
-			n++
+	failing := 0
+	for _, report := range w.Hosts {
+		if report.Reasons&(pathReasons|Draining) != 0 {
+			failing++
 		}
 	}
-	return !w.Late && float64(n) <= MaxBadShare*float64(len(w.Hosts)) && len(w.Hosts) > 1
+	return !w.Late && float64(failing) <= MaxBadShare*float64(len(w.Hosts)) && len(w.Hosts) > 1
 }
 
-// Verdict is why a host is held back, and by how many witnesses.
+// Verdict is why a host is suspended, and how many witnesses reported it.
 type Verdict struct {
-	Of        Kind
-	Witnesses int
+	Of        Kind // the reasons
+	Witnesses int  // added up over the reasons
 }
 
-// tally is who tells one thing of one host.
+// tally counts the witnesses that report one reason for one host.
 type tally struct {
-	witnesses, sameZone int // witnesses, and those in the own zone
-	zones               []uint32
+	witnesses, ownZone int // all, and those in the own zone
+	zones              []uint32
 }
 
-func (t *tally) add(zone, own uint32) {
+// add counts a witness of a zone.
+func (t *tally) add(zone, ownZone uint32) {
 	t.witnesses++
-	if zone == own {
-		t.sameZone++
+	if zone == ownZone {
+		t.ownZone++
 	}
 	if !slices.Contains(t.zones, zone) {
 		t.zones = append(t.zones, zone)
 	}
 }
 
-// isQuorum tells whether these are enough: what is seen by a way wants two of the own zone, or of two zones. At a host of the
-// own zone one of them has to be of it: nodes of all others may have lost their way there.
-func (t *tally) isQuorum(by Kind, near bool) bool {
-	switch by {
+// isQuorum reports whether the witnesses suffice. What is observed over a network path needs two witnesses of the own zone
+// or witnesses of two zones. For a host in the own zone one of them has to be in the own zone: nodes of all other zones may
+// have lost their path to it.
+func (t *tally) isQuorum(reason Kind, ownZoneHost bool) bool {
+	switch reason {
 	case Draining:
-		return t.witnesses > 0 // a list said so, and not the witness's own eyes
+		return t.witnesses > 0 // the source is a list of servers, not an observation
 	case Cold:
 		return t.witnesses >= MinWitnesses
 	}
-	return t.sameZone >= MinWitnesses || len(t.zones) > 1 && (t.sameZone > 0 || !near)
+	return t.ownZone >= MinWitnesses || len(t.zones) > 1 && (t.ownZone > 0 || !ownZoneHost)
 }
 
-// View is where a node stands that hears witnesses: of so many hosts, linked to so many of the others, in a zone. Near
-// tells whether a host is of that zone, Well what this node knows better: its own evidence against a verdict.
+// View is the position of the node that decides.
 type View struct {
-	Hosts, Linked, Others int
-	Zone                  uint32
-	SameZone              func(host int) bool
-	Contradicts           func(host int, of Kind) bool
+	Hosts, Linked, Others int                              // number of hosts, of other nodes that are heard, and of other nodes
+	Zone                  uint32                           // the own zone
+	OwnZone               func(host int) bool              // whether a host is in the own zone
+	Contradicts           func(host int, reason Kind) bool // whether the node's own evidence contradicts a reason
 }
 
-// Suspended is the hosts that this node sends nothing new, by what the others tell.
-func (v View) Suspended(all []Witness) map[int]Verdict {
+// Suspended returns the hosts that this node sends no new flows because of the witnesses' reports.
+func (v View) Suspended(witnesses []Witness) map[int]Verdict {
 	if 2*(v.Linked+1) <= v.Others+1 {
-		return nil // the smaller part, or one of two halves
+		return nil // the node is in the smaller part of a partitioned fleet, or in one of two halves
 	}
 	hosts := v.Hosts
-	tells := map[Kind][]tally{}
-	for _, k := range []Kind{Down, SetupFails, Cold, Draining} {
-		tells[k] = make([]tally, hosts)
+	tallies := map[Kind][]tally{}
+	for _, reason := range []Kind{Down, SetupFails, Cold, Draining} {
+		tallies[reason] = make([]tally, hosts)
 	}
-	for _, w := range all {
-		if !w.IsCredible() {
+	for _, witness := range witnesses {
+		if !witness.IsCredible() {
 			continue
 		}
-		for _, e := range w.Hosts {
-			for k, t := range tells {
-				if e.Host >= 0 && e.Host < hosts && e.Reasons&k != 0 {
-					t[e.Host].add(w.Zone, v.Zone)
+		for _, report := range witness.Hosts {
+			for reason, t := range tallies {
+				if report.Host >= 0 && report.Host < hosts && report.Reasons&reason != 0 {
+					t[report.Host].add(witness.Zone, v.Zone)
 				}
 			}
 		}
 	}
-	found := map[int]Verdict{}
-	var out []int
-	for h := range hosts {
-		var is Verdict
-		for _, k := range []Kind{Down, SetupFails, Cold, Draining} {
-			if t := &tells[k][h]; t.isQuorum(k, v.SameZone(h)) && !v.Contradicts(h, k) {
-				is.Of, is.Witnesses = is.Of|k, is.Witnesses+t.witnesses
+	suspended := map[int]Verdict{}
+	var order []int
+	for host := range hosts {
+		var suspension Verdict
+		for _, reason := range []Kind{Down, SetupFails, Cold, Draining} {
+			if t := &tallies[reason][host]; t.isQuorum(reason, v.OwnZone(host)) && !v.Contradicts(host, reason) {
+				suspension.Of |= reason
+				suspension.Witnesses += t.witnesses
 			}
 		}
-		if is.Of != 0 {
-			found[h] = is
-			out = append(out, h)
+		if suspension.Of != 0 {
+			suspended[host] = suspension
+			order = append(order, host)
 		}
 	}
-	slices.SortStableFunc(out, func(x, y int) int { return cmp.Compare(found[y].Witnesses, found[x].Witnesses) })
-	for _, h := range out[min(len(out), int(MaxSuspendedShare*float64(hosts))):] {
-		delete(found, h)
+	// If more than the allowed share qualify, those with the most witnesses are suspended.
+	slices.SortStableFunc(order, func(x, y int) int { return cmp.Compare(suspended[y].Witnesses, suspended[x].Witnesses) })
+	for _, host := range order[min(len(order), int(MaxSuspendedShare*float64(hosts))):] {
+		delete(suspended, host)
 	}
-	return found
+	return suspended
 }
