--- a/node/capture.go
+++ b/node/capture.go
@@ -7,57 +7,57 @@
 	"coursewinch/capture"
 )
 
-// seen is what a capture will hold of a flow.
-type seen struct {
-	flow  capture.Flow
-	end   capture.End
-	noted bool // its answer is in the capture
+// captureRecord is what a capture will hold of a flow.
+type captureRecord struct {
+	flow     capture.Flow
+	end      capture.End
+	answered bool // its answer is in the capture
 }
 
-// ends are the words for how a host's side of a flow ended.
-var ends = map[balance.Outcome]byte{balance.Completed: capture.Completed, balance.Recalled: capture.Moved,
+// hostEndKinds are the words for how a host's side of a flow ended.
+var hostEndKinds = map[balance.Outcome]byte{balance.Completed: capture.Completed, balance.Recalled: capture.Moved,
 	balance.Severed: capture.Severed}
 
-// look begins to keep what a capture wants of a flow.
-func (n *Node) look(f *flow) {
-	if n.conf.Capture == nil {
+// startCapture begins to keep what a capture wants of a flow.
+func (n *Node) startCapture(f *flow) {
+	if n.config.Capture == nil {
 		return
 	}
-	n.captured++
-	o := f.open
-	f.seen = &seen{flow: capture.Flow{No: n.captured, At: n.now, Type: o.Class, Key: o.Key, Group: o.Group, Again: o.Again,
-		Wait: o.Wait}, end: capture.End{No: n.captured, How: capture.Severed}}
+	n.capturedFlows++
+	o := f.request
+	f.record = &captureRecord{flow: capture.Flow{No: n.capturedFlows, At: n.now, Type: o.Class, Key: o.Key, Group: o.Group, Again: o.Again,
+		Wait: o.Wait}, end: capture.End{No: n.capturedFlows, How: capture.Severed}}
 }
 
 // captureAnswer writes that a flow has its answer.
 func (n *Node) captureAnswer(f *flow, answer byte) {
-	s := f.seen
-	if s == nil || s.noted {
+	s := f.record
+	if s == nil || s.answered {
 		return
 	}
-	s.noted = true
+	s.answered = true
 	s.flow.Answer, s.flow.Took, s.flow.Connects = answer, n.now-s.flow.At, f.Tries
 	if f.host != nil {
 		s.flow.Host = f.host.uid
 	}
-	n.conf.Capture.Flow(s.flow)
+	n.config.Capture.Flow(s.flow)
 }
 
 // captureEnd writes the end of an established flow, or that a client left before its answer.
 func (n *Node) captureEnd(f *flow) {
-	s := f.seen
+	s := f.record
 	switch {
 	case s == nil:
-	case !s.noted:
+	case !s.answered:
 		n.captureAnswer(f, capture.Left)
 	case s.flow.Answer == capture.Established:
 		s.end.At = n.now
-		n.conf.Capture.End(s.end)
+		n.config.Capture.End(s.end)
 	}
-	f.seen = nil
+	f.record = nil
 }
 
-func (s *seen) passed(up bool, p []byte) {
+func (s *captureRecord) countLines(up bool, p []byte) {
 	if s == nil {
 		return
 	}
@@ -70,12 +70,12 @@
 
 // captureLoad writes what a flow's load is told to be.
 func (n *Node) captureLoad(f *flow, load float64) {
-	if f.seen != nil {
-		n.conf.Capture.Load(capture.Load{No: f.seen.flow.No, At: n.now, Load: load})
+	if f.record != nil {
+		n.config.Capture.Load(capture.Load{No: f.record.flow.No, At: n.now, Load: load})
 	}
 }
 
-func (s *seen) ended(how byte) {
+func (s *captureRecord) setEnd(how byte) {
 	if s != nil {
 		s.end.How = how
 	}
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -16,7 +16,7 @@
 // sees itself, and, where it has others' addresses, by what they tell.
 
 const (
-	tendEvery = 50 * ms
+	clusterInterval = 50 * ms
 )
 
 // Cluster is what a node is told of its fleet.
@@ -33,137 +33,137 @@
 
 // cluster is a node's part in its fleet; members is nil where it has no others, all is nil where it is off.
 type cluster struct {
-	members  *members.Members
-	overload *overload.Core
-	timer    deadline
-	leases   *lease.Leases
-	limits   []*keptLimit
-	unknown  int64  // words about limits that this node does not keep
-	names    []bool // slots that this node should own, by name
+	members       *members.Members
+	overload      *overload.Core
+	timer         deadline
+	leases        *lease.Leases
+	limits        []*localLimit
+	unknownLimits int64  // words about limits that this node does not keep
+	desiredSlots  []bool // slots that this node should own, by name
 }
 
 func (n *Node) newCluster() {
-	c := n.conf.Cluster
+	c := n.config.Cluster
 	if !c.On {
 		return
 	}
 	c.Process |= 1 // 0 is nobody's
-	n.conf.Cluster.Process = c.Process
-	k := &cluster{overload: overload.New(&n.set.Settings, c.Others+1, members.Young(c.Others+1), n.conf.Seed+2)}
+	n.config.Cluster.Process = c.Process
+	k := &cluster{overload: overload.New(&n.settings.Settings, c.Others+1, members.Young(c.Others+1), n.config.Seed+2)}
 	if c.Others > 0 {
-		k.members = members.New(uint32(hash(c.Name)), c.Process, c.Others, n.conf.Seed+3)
+		k.members = members.New(uint32(hash(c.Name)), c.Process, c.Others, n.config.Seed+3)
 	}
 	if len(c.Limits) > 0 {
 		k.leases = lease.New(c.Process, 0, c.Others+1)
 		n.cluster = k
 		k.limits = n.newLimits(c.Limits, c.Process, c.Others+1)
 	}
-	k.timer.due = n.tend
-	k.overload.Tell(uint32(hash(n.zoneName())), n.heldBack)
-	n.cluster, n.set.Bounds = k, k.overload
+	k.timer.run = n.clusterTick
+	k.overload.Tell(uint32(hash(n.ownZoneName())), n.noteSuspended)
+	n.cluster, n.settings.Bounds = k, k.overload
 	if slices.ContainsFunc(c.Limits, func(l FleetLimit) bool { return l.Over == OverHost }) {
-		n.set.Bounds = hostBounds{k.overload, n}
+		n.settings.Bounds = hostBounds{k.overload, n}
 	}
 }
 
-// tend does what time brings: it tells the others, and looks at its own lateness.
-func (n *Node) tend() {
+// clusterTick does what time brings: it tells the others, and looks at its own lateness.
+func (n *Node) clusterTick() {
 	k := n.cluster
-	late := n.starved()
+	late := n.isStarved()
 	k.overload.Late(late)
-	n.tendLeases()
-	n.findCold()
-	next := n.now + tendEvery
+	n.requestLeases()
+	n.findColdHosts()
+	next := n.now + clusterInterval
 	if m := k.members; m != nil {
 		m.Late(late)
-		if n.stopAt > 0 && n.flows.held == 0 {
+		if n.stopAt > 0 && n.flows.count == 0 {
 			m.Leave(n.now)
 		}
-		m.Due(n.now, func() []byte { return k.overload.Word(frame.MostPayload) }, n.conf.Cluster.Send)
+		m.Due(n.now, func() []byte { return k.overload.Word(frame.MostPayload) }, n.config.Cluster.Send)
 		next = min(next, max(m.Next(), n.now+ms))
 	}
-	n.times.set(&k.timer, next)
+	n.deadlines.set(&k.timer, next)
 }
 
 // HeardFrom takes a datagram of the so-many-th other node; under 0 it is from an address that is none of theirs.
 func (n *Node) HeardFrom(from int, p []byte) {
-	defer n.guard(nil)
+	defer n.recoverPanic(nil)
 	k := n.cluster
 	if k == nil || k.members == nil {
 		return
 	}
 	w, ok := k.members.Take(n.now, from, p)
-	if ok && n.limitTold(from, w) {
+	if ok && n.receiveLimitMessage(from, w) {
 		return
 	}
 	if ok && !k.overload.Told(from, w.Process, w.At, w.Late, w.Payload) {
 		k.members.Bad(frame.Nonsense)
-		n.note("cluster_nonsense", "a word whose figures can't be")
+		n.logThrottled("cluster_nonsense", "a word whose figures can't be")
 	}
 }
 
 // setUp, probedIn, reportedBusy and turnedAway tell the cluster's cores what this node saw of a host.
 
-func (n *Node) setUp(h *host, took int64, sure bool) {
+func (n *Node) noteSetup(h *host, took int64, sure bool) {
 	if n.cluster != nil && sure {
 		n.cluster.overload.Setup(&h.Server, took)
 	}
 }
 
-func (n *Node) probedIn(h *host, took int64) {
+func (n *Node) noteProbe(h *host, took int64) {
 	if n.cluster != nil {
 		n.cluster.overload.Probe(&h.Server, took)
 	}
 }
 
-func (n *Node) reportedBusy(h *host, busy float64) {
+func (n *Node) noteBusy(h *host, busy float64) {
 	if n.cluster != nil {
 		n.cluster.overload.Reported(&h.Server, busy)
 	}
 }
 
-func (n *Node) turnedAway(h *host) {
+func (n *Node) noteTurnedAway(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.TurnedAway(&h.Server)
 	}
 }
 
-func (n *Node) foundSick(h *host) {
+func (n *Node) noteSick(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.Sick(&h.Server)
 	}
 }
 
-// heldBack is that a verdict on a host is taken over from others.
-func (n *Node) heldBack(s *balance.Server, v verdicts.Verdict) {
-	n.note("held_back", fmt.Sprintf("%s: %s, by %d", s.Name, v.Of, v.Witnesses))
-	if n.conf.Cluster.Held != nil {
-		n.conf.Cluster.Held(n.now, s.Name, v)
+// noteSuspended is that a verdict on a host is taken over from others.
+func (n *Node) noteSuspended(s *balance.Server, v verdicts.Verdict) {
+	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", s.Name, v.Of, v.Witnesses))
+	if n.config.Cluster.Held != nil {
+		n.config.Cluster.Held(n.now, s.Name, v)
 	}
 }
 
-func (n *Node) zoneName() string {
-	for name, no := range n.set.Zones {
-		if no == n.set.Zone {
+func (n *Node) ownZoneName() string {
+	for name, no := range n.settings.Zones {
+		if no == n.settings.Zone {
 			return name
 		}
 	}
 	return ""
 }
 
-func (n *Node) foundDown(h *host) {
+func (n *Node) noteDown(h *host) {
 	if n.cluster != nil {
 		n.cluster.overload.Down(&h.Server)
 	}
 }
 
-// listHosts tells the cluster's cores which hosts there are.
-func (n *Node) listHosts() {
+// updateClusterHosts tells the cluster's cores which hosts there are.
+func (n *Node) updateClusterHosts() {
 	if n.cluster == nil {
 		return
 	}
 	var all []*balance.Server
-	for _, h := range n.fleet {
+	for _, h := range n.hostList {
 		if h.State != balance.Removed {
 			all = append(all, &h.Server)
 		}
@@ -171,8 +171,8 @@
 	n.cluster.overload.List(all)
 }
 
-// clusterText is the cluster's figures for operators, a line each; empty where it is off.
-func (n *Node) clusterText() (text string) {
+// clusterMetrics is the cluster's figures for operators, a line each; empty where it is off.
+func (n *Node) clusterMetrics() (text string) {
 	k := n.cluster
 	if k == nil {
 		return ""
@@ -191,7 +191,7 @@
 			add("cluster_dropped."+f.String(), m.Faults[f])
 		}
 	}
-	text += n.limitText()
+	text += n.limitMetrics()
 	f := k.overload.Figures
 	bit := map[bool]int{true: 1}
 	late := false
@@ -217,8 +217,8 @@
 
 // worth is what a flow of a service type is worth where refusals weigh it; 0 where they don't, or the settings don't say.
 func (n *Node) worth(kind int) float64 {
-	if n.cluster != nil && kind < len(n.set.Worth) {
-		return n.set.Worth[kind]
+	if n.cluster != nil && kind < len(n.settings.Worth) {
+		return n.settings.Worth[kind]
 	}
 	return 0
 }
--- a/node/counts.go
+++ b/node/counts.go
@@ -23,8 +23,8 @@
 // Tally counts the answers to flows of one service type, each when it is given to the client's connection.
 type Tally struct{ Success, Busy, Failure int }
 
-// answered counts a flow's one answer and captures it. Nothing else counts answers.
-func (n *Node) answered(f *flow, answer byte) {
+// countAnswer counts a flow's one answer and captures it. Nothing else counts answers.
+func (n *Node) countAnswer(f *flow, answer byte) {
 	t := &n.Types[f.TypeNo]
 	switch answer {
 	case capture.Established:
@@ -52,8 +52,8 @@
 		c.LateTurns, c.LateUs)
 }
 
-// metrics is the figures that operators fetch, a line each.
-func (n *Node) metrics() string {
+// metricsText is the figures that operators fetch, a line each.
+func (n *Node) metricsText() string {
 	names := n.typeNames()
 	var b strings.Builder
 	for kind, t := range n.Types {
@@ -61,7 +61,7 @@
 			names[kind], t.Failure)
 	}
 	listed, down := 0, 0
-	for _, h := range n.fleet {
+	for _, h := range n.hostList {
 		if h.State == balance.Removed {
 			continue
 		}
@@ -70,7 +70,7 @@
 			down++
 		}
 	}
-	fmt.Fprintf(&b, "backend_calls=%d\ninflight=%d\nhosts_listed=%d\nhosts_down=%d\n", n.Count.Asked, n.flows.held, listed, down)
-	b.WriteString(n.clusterText())
+	fmt.Fprintf(&b, "backend_calls=%d\ninflight=%d\nhosts_listed=%d\nhosts_down=%d\n", n.Count.Asked, n.flows.count, listed, down)
+	b.WriteString(n.clusterMetrics())
 	return b.String()
 }
--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -14,60 +14,60 @@
 
 // Guards an answer that is still to go against its client ending first: it may only have closed its own half.
 func TestAnswerOutlivesTheEndOfItsClient(t *testing.T) {
-	n, w := ready(0)
-	c := w.client("")
+	n, w := newNode(0)
+	c := w.openClient("")
 	w.up[c] = false // nothing of what is put for it has gone yet
-	w.bytes(c, asks)
-	w.turn(1, func() { n.Ended(c, nil) })
+	w.receive(c, openLine)
+	w.run(1, func() { n.Ended(c, nil) })
 	if w.ended[c] != "shut" {
 		t.Fatal("closed over its answer:", w.ended[c])
 	}
 	w.up[c] = true
-	w.turn(1, func() {
+	w.run(1, func() {
 		w.Touch(c)
 		n.Sent(c)
 	})
-	w.want(t, c, "BUSY\r\n", "close")
-	c = w.client("")
+	w.expect(t, c, "BUSY\r\n", "close")
+	c = w.openClient("")
 	w.up[c] = false
-	w.bytes(c, asks)
-	w.turn(1, func() { n.Ended(c, unix.ECONNRESET) })
-	if w.ended[c] != "close" || n.conns.held != 1 { // the watch
-		t.Fatal("waits for a client whose connection is broken", w.ended[c], n.conns.held)
+	w.receive(c, openLine)
+	w.run(1, func() { n.Ended(c, unix.ECONNRESET) })
+	if w.ended[c] != "close" || n.conns.count != 1 { // the watch
+		t.Fatal("waits for a client whose connection is broken", w.ended[c], n.conns.count)
 	}
 }
 
 // Guards hosts against connects for clients that have left while nobody was told: their end lies unread. The first
 // connect and each further one.
 func TestNoConnectForAClientThatLeft(t *testing.T) {
-	for name, before := range map[string]func(w *wires) (client uint64){
-		"first": func(w *wires) uint64 {
-			c := w.client("")
-			w.gone[c] = true
-			w.bytes(c, asks)
+	for name, before := range map[string]func(w *fakeNet) (client uint64){
+		"first": func(w *fakeNet) uint64 {
+			c := w.openClient("")
+			w.endedUnread[c] = true
+			w.receive(c, openLine)
 			return c
 		},
-		"further": func(w *wires) uint64 {
-			c := w.client(asks)
-			h := w.connect()
-			w.gone[c] = true
-			w.bytes(h, "BUSY\r\n")
+		"further": func(w *fakeNet) uint64 {
+			c := w.openClient(openLine)
+			h := w.connectLast()
+			w.endedUnread[c] = true
+			w.receive(h, "BUSY\r\n")
 			return c
 		},
 	} {
-		n, w := ready(2)
+		n, w := newNode(2)
 		made := 0
 		c := before(w)
-		for _, to := range w.to {
+		for _, to := range w.address {
 			if strings.HasPrefix(to, "h") {
 				made++
 			}
 		}
-		w.turn(0, func() {})
-		if made > 1 || name == "first" && made > 0 || n.flows.held != 0 || n.links != 0 || w.ended[c] != "close" || n.Count.Left != 1 {
-			t.Errorf("%s: %d connects, %d flows, %d links, client %q, %d left", name, made, n.flows.held, n.links, w.ended[c], n.Count.Left)
+		w.run(0, func() {})
+		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 || w.ended[c] != "close" || n.Count.Left != 1 {
+			t.Errorf("%s: %d connects, %d flows, %d links, client %q, %d left", name, made, n.flows.count, n.upstreamCount, w.ended[c], n.Count.Left)
 		}
-		for _, h := range n.fleet {
+		for _, h := range n.hostList {
 			if h.Flows() != 0 {
 				t.Errorf("%s: the module counts %d at %s still", name, h.Flows(), h.uid)
 			}
@@ -81,35 +81,35 @@
 	for _, c := range []struct {
 		name, answer string
 		late         int64
-		so           func(n *Node, w *wires, client uint64)
+		so           func(n *Node, w *fakeNet, client uint64)
 	}{
-		{"client left", "", ms, func(n *Node, w *wires, client uint64) { w.gone[client] = true }},
+		{"client left", "", ms, func(n *Node, w *fakeNet, client uint64) { w.endedUnread[client] = true }},
 		{"no time left", "BUSY\r\n", 2 * second, nil},
-		{"repeats unknown", "BUSY\r\n", 200 * ms, func(n *Node, w *wires, client uint64) {
+		{"repeats unknown", "BUSY\r\n", 200 * ms, func(n *Node, w *fakeNet, client uint64) {
 			f := n.conns.get(client).flow
 			f.Type = &balance.ServiceType{Effect: balance.Referenced, SetupTarget: 300 * ms, MessageTarget: 60 * ms, Window: 150 * ms}
 		}},
 	} {
-		n, w := ready(2)
-		n.set.Dial = 0
-		client := w.client(asks)
-		first := w.connect()
+		n, w := newNode(2)
+		n.settings.Dial = 0
+		client := w.openClient(openLine)
+		first := w.connectLast()
 		if c.so != nil {
 			c.so(n, w, client)
 		}
-		w.bytes(first, "ERR\r\n") // it may have run
+		w.receive(first, "ERR\r\n") // it may have run
 		if c.name == "client left" {
-			w.gone[client] = false // so that a second connect goes out
-			n, w = ready(1)
-			client = w.client(asks)
-			w.gone[client] = true
+			w.endedUnread[client] = false // so that a second connect goes out
+			n, w = newNode(1)
+			client = w.openClient(openLine)
+			w.endedUnread[client] = true
 		}
-		second := w.last()
+		second := w.lastConn()
 		w.up[second] = true
-		w.turn(c.late, func() { n.Connected(second) })
-		w.turn(0, func() {})
-		if w.sent[second] != "" || w.sent[client] != c.answer || n.flows.held != 0 {
-			t.Errorf("%s: the host got %q, the client %q, %d flows", c.name, w.sent[second], w.sent[client], n.flows.held)
+		w.run(c.late, func() { n.Connected(second) })
+		w.run(0, func() {})
+		if w.sent[second] != "" || w.sent[client] != c.answer || n.flows.count != 0 {
+			t.Errorf("%s: the host got %q, the client %q, %d flows", c.name, w.sent[second], w.sent[client], n.flows.count)
 		}
 	}
 }
@@ -117,35 +117,35 @@
 // Guards clients that rest without a flow, and those who come late, against the exit of the process: each has a last word.
 func TestTheDoorIsShutInOrder(t *testing.T) {
 	for name, flow := range map[string]bool{"nothing in hand": false, "a flow to the last": true} {
-		n, w := ready(1)
-		rests, asked, half := w.client(""), w.client("PING\r\n"), w.client("OPEN 1 2 c=ch")
-		n.times.off(&n.conns.get(rests).timer)
-		n.times.off(&n.conns.get(half).timer)
+		n, w := newNode(1)
+		rests, asked, half := w.openClient(""), w.openClient("PING\r\n"), w.openClient("OPEN 1 2 c=ch")
+		n.deadlines.cancel(&n.conns.get(rests).timer)
+		n.deadlines.cancel(&n.conns.get(half).timer)
 		stays := uint64(0)
 		if flow {
-			stays, _ = w.stands()
+			stays, _ = w.establish()
 		}
-		w.turn(1, func() { n.Stop() })
+		w.run(1, func() { n.Stop() })
 		if take, _ := n.Quota(); take == 0 {
 			t.Fatal("the door is shut at once")
 		}
-		for n.shutAt == 0 && n.now < n.stopEnd {
-			w.turn(moveStep, func() {})
+		for n.acceptStoppedAt == 0 && n.now < n.stopDeadline {
+			w.run(moveInterval, func() {})
 		}
-		if left := n.stopEnd - n.now; left < lastWords-moveStep || !flow && n.now > n.stopAt+stopLeast+moveStep {
+		if left := n.stopDeadline - n.now; left < lastLineTime-moveInterval || !flow && n.now > n.stopAt+minStopTime+moveInterval {
 			t.Fatal(name, "shut late", left)
 		}
-		w.want(t, rests, "BUSY\r\n", "shut")
-		w.want(t, asked, "PONG\r\nBUSY\r\n", "shut")
-		w.want(t, half, "BUSY\r\n", "shut")
+		w.expect(t, rests, "BUSY\r\n", "shut")
+		w.expect(t, asked, "PONG\r\nBUSY\r\n", "shut")
+		w.expect(t, half, "BUSY\r\n", "shut")
 		if take, refuse := n.Quota(); take != 0 || refuse == 0 {
 			t.Fatal("taken behind the door", take, refuse)
 		}
-		w.bytes(rests, asks) // crossed its last word
+		w.receive(rests, openLine) // crossed its last word
 		if n.Done() || n.Count.Taken > 1 || len(w.sent[rests]) != len("BUSY\r\n") {
 			t.Fatal(name, n.Done(), n.Count.Taken, w.sent[rests])
 		}
-		w.turn(1, func() {
+		w.run(1, func() {
 			for _, c := range []uint64{rests, asked, half, stays} {
 				if c != 0 {
 					n.Ended(c, nil)
@@ -156,13 +156,13 @@
 			t.Fatal(name, "all have ended, and it stays")
 		}
 	}
-	n, w := ready(1)
-	w.client("PING\r\n")
-	w.turn(1, func() { n.Stop() })
+	n, w := newNode(1)
+	w.openClient("PING\r\n")
+	w.run(1, func() { n.Stop() })
 	for !n.Done() {
-		w.turn(moveStep, func() {})
+		w.run(moveInterval, func() {})
 	}
-	if n.now > n.stopAt+stopLeast+lastWords+2*moveStep {
+	if n.now > n.stopAt+minStopTime+lastLineTime+2*moveInterval {
 		t.Fatal("waits for ever for a client that has vanished", n.now-n.stopAt)
 	}
 }
@@ -170,17 +170,17 @@
 // Guards a line against being taken for sent where its write failed: it never ran, and goes on also where a repeat would not be
 // known.
 func TestAFailedWriteNeverRan(t *testing.T) {
-	n, w := ready(2)
-	n.set.Types[0].Effect = balance.OnceOnly
-	c := w.client(asks)
-	first := w.last()
-	w.turn(1, func() { n.Connected(first) }) // the line stays in its ring
-	w.turn(1, func() { n.Ended(first, unix.EPIPE) })
-	if w.last() == first || w.sent[c] != "" {
+	n, w := newNode(2)
+	n.settings.Types[0].Effect = balance.OnceOnly
+	c := w.openClient(openLine)
+	first := w.lastConn()
+	w.run(1, func() { n.Connected(first) }) // the line stays in its ring
+	w.run(1, func() { n.Ended(first, unix.EPIPE) })
+	if w.lastConn() == first || w.sent[c] != "" {
 		t.Fatalf("given up: %q", w.sent[c])
 	}
-	w.bytes(w.connect(), "UP 1\r\n")
-	w.want(t, c, "UP 1\r\n", "")
+	w.receive(w.connectLast(), "UP 1\r\n")
+	w.expect(t, c, "UP 1\r\n", "")
 }
 
 // Guards each order of a host's word and the end of its connection within one turn, or with the word cut: what the flow's
@@ -205,11 +205,11 @@
 		{"UP 1\r\nUP 2\r\n", nil, balance.OnceOnly, "UP 1\r\nUP 2\r\n", "shut"},
 		{strings.Repeat("x", lines.Longest+3), nil, balance.OnceOnly, "ERR\r\n", "shut"}, // an answer that never ends
 	} {
-		n, w := ready(2)
-		n.set.Types[0].Effect = c.effect
-		client := w.client(asks)
-		host := w.connect()
-		w.turn(1, func() {
+		n, w := newNode(2)
+		n.settings.Types[0].Effect = c.effect
+		client := w.openClient(openLine)
+		host := w.connectLast()
+		w.run(1, func() {
 			w.in[host].Put([]byte(c.text))
 			n.Received(host)
 			n.Ended(host, c.err)
@@ -217,7 +217,7 @@
 		if w.sent[client] != c.sent || w.ended[client] != c.ended {
 			t.Errorf("%.9q, %v: client got %q, ended %q", c.text, c.err, w.sent[client], w.ended[client])
 		}
-		if again := w.last() != host; again != (c.sent == "") {
+		if again := w.lastConn() != host; again != (c.sent == "") {
 			t.Errorf("%.9q, %v: a further connect %t", c.text, c.err, again)
 		}
 	}
@@ -227,34 +227,34 @@
 // moves it, for the module or because the node ends. At the last moment all are moved.
 func TestNoMoveBehindTheHostsEnd(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		n, w := ready(1)
-		c, h := w.stands()
+		n, w := newNode(1)
+		c, h := w.establish()
 		f := n.conns.get(c).flow
-		w.gone[h] = true
-		w.turn(1, func() {
+		w.endedUnread[h] = true
+		w.run(1, func() {
 			if stops {
 				n.Stop()
 			} else {
 				n.Move(&f.Flow)
 			}
 		})
-		for n.now < n.stopEnd-2*moveSpare {
-			w.turn(moveStep, func() {})
+		for n.now < n.stopDeadline-2*moveMargin {
+			w.run(moveInterval, func() {})
 		}
-		w.want(t, c, "UP 7\r\n", "")
-		w.bytes(h, "BYE\r\n")
-		w.turn(1, func() { n.Ended(h, nil) })
-		w.want(t, c, "UP 7\r\nBYE\r\n", "shut")
+		w.expect(t, c, "UP 7\r\n", "")
+		w.receive(h, "BYE\r\n")
+		w.run(1, func() { n.Ended(h, nil) })
+		w.expect(t, c, "UP 7\r\nBYE\r\n", "shut")
 		if n.Count.Moves != 0 || n.Count.Completed != 1 {
 			t.Errorf("stops %t: %d moves, %d served to their end", stops, n.Count.Moves, n.Count.Completed)
 		}
 	}
-	n, w := ready(1)
-	c, h := w.stands()
-	w.gone[h] = true
-	w.turn(1, n.Stop)
-	for n.now < n.stopEnd-moveSpare {
-		w.turn(moveStep, func() {})
+	n, w := newNode(1)
+	c, h := w.establish()
+	w.endedUnread[h] = true
+	w.run(1, n.Stop)
+	for n.now < n.stopDeadline-moveMargin {
+		w.run(moveInterval, func() {})
 	}
-	w.want(t, c, "UP 7\r\nMOVE\r\n", "shut")
+	w.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
 }
--- a/node/ending_test.go
+++ b/node/ending_test.go
@@ -5,19 +5,19 @@
 // Guards flows that came before the word to end, and whose clients would wait for longer than the process has left,
 // against the kill: each has its answer by then, at whatever stage its connect is.
 func TestFlowsInHandAreAnsweredBeforeTheEnd(t *testing.T) {
-	for name, begin := range map[string]func(w *wires){
-		"not up yet": func(w *wires) {}, "asked": func(w *wires) { w.connect() },
+	for name, begin := range map[string]func(w *fakeNet){
+		"not up yet": func(w *fakeNet) {}, "asked": func(w *fakeNet) { w.connectLast() },
 	} {
-		n, w := ready(1)
-		n.set.Longest, n.set.Dial = 4800*ms, 0
-		c := w.client("OPEN 1 2 c=chat,d=4798\r\n")
+		n, w := newNode(1)
+		n.settings.Longest, n.settings.Dial = 4800*ms, 0
+		c := w.openClient("OPEN 1 2 c=chat,d=4798\r\n")
 		begin(w)
-		w.turn(second, func() { n.Stop() })
-		for n.now < n.stopEnd-moveSpare/2 {
-			w.turn(moveStep, func() {})
+		w.run(second, func() { n.Stop() })
+		for n.now < n.stopDeadline-moveMargin/2 {
+			w.run(moveInterval, func() {})
 		}
-		if w.sent[c] != "BUSY\r\n" || n.flows.held != 0 {
-			t.Errorf("%s: told %q, %d flows in hand %d us before the end", name, w.sent[c], n.flows.held, n.stopEnd-n.now)
+		if w.sent[c] != "BUSY\r\n" || n.flows.count != 0 {
+			t.Errorf("%s: told %q, %d flows in hand %d us before the end", name, w.sent[c], n.flows.count, n.stopDeadline-n.now)
 		}
 	}
 }
@@ -25,17 +25,17 @@
 // Guards a deployment whose clients wait for less than a second: the platform kills 0.7 s after the longest of these.
 func TestTheEndComesBeforeTheKill(t *testing.T) {
 	for _, longest := range []int64{300 * ms, 800 * ms, 2 * second, 9 * second} {
-		n, w := ready(1)
-		n.set.Longest = longest
-		c, _ := w.stands()
-		w.turn(1, func() { n.Stop() })
+		n, w := newNode(1)
+		n.settings.Longest = longest
+		c, _ := w.establish()
+		w.run(1, func() { n.Stop() })
 		for from := n.now; !n.Done(); {
 			if n.now-from > min(longest, 3*second)+700*ms-100*ms {
 				t.Fatal(longest, "killed")
 			}
-			w.turn(moveStep, func() {})
+			w.run(moveInterval, func() {})
 		}
-		w.want(t, c, "UP 7\r\nMOVE\r\n", "shut")
+		w.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
 		if n.now-n.stopAt < 400*ms {
 			t.Fatal(longest, "ends while connections go on coming")
 		}
--- a/node/figures.go
+++ b/node/figures.go
@@ -5,47 +5,47 @@
 // load, such a figure makes a host that drowns look empty.
 
 const (
-	tellEvery = second        // between two message times of one host
-	tellOff   = 25 * ms       // by which they may miss it
-	tellFall  = 20            // a load does not fall to less than such a part at once
-	loadFirst = 50 * ms       // after it stood, a flow's first load comes within
-	loadHeld  = 2 * tellEvery // for so long a host's own word counts before what the node makes out itself
+	hostReportInterval  = second                 // between two message times of one host
+	hostReportTolerance = 25 * ms                // by which they may miss it
+	maxLoadDrop         = 20                     // a load does not fall to less than such a part at once
+	firstLoadWithin     = 50 * ms                // after it stood, a flow's first load comes within
+	hostReportValidity  = 2 * hostReportInterval // for so long a host's own word counts before what the node makes out itself
 )
 
-// figures is what a host told lately.
-type figures struct {
-	seen int64 // when the last figure came that can be a message time; 0 for never
-	told int64 // when the last one came that was
+// messageReports is what a host told lately.
+type messageReports struct {
+	lastFigure      int64 // when the last figure came that can be a message time; 0 for never
+	lastMessageTime int64 // when the last one came that was
 }
 
-// figure takes in what stood behind LOAD on a flow's connection.
-func (n *Node) figure(f *flow, x float64) {
+// receiveFigure takes in what stood behind LOAD on a flow's connection.
+func (n *Node) receiveFigure(f *flow, x float64) {
 	h := f.host
 	// Clients wait no longer than Longest for anything, and no message takes no time: that is a flow without load.
-	if !n.set.TellsTime || x > float64(n.set.Longest/ms) || x == 0 {
-		n.load(f, x)
+	if !n.settings.TellsTime || x > float64(n.settings.Longest/ms) || x == 0 {
+		n.receiveLoad(f, x)
 		return
 	}
-	since := n.now - h.figures.seen
-	first := n.now-f.stoodAt < loadFirst
-	series := h.figures.seen > 0 && since > tellEvery-tellOff && since < tellEvery+tellOff
+	since := n.now - h.reported.lastFigure
+	first := n.now-f.establishedAt < firstLoadWithin
+	series := h.reported.lastFigure > 0 && since > hostReportInterval-hostReportTolerance && since < hostReportInterval+hostReportTolerance
 	switch {
-	case f.told == 0 && first:
-		n.load(f, x)
+	case f.reportedLoad == 0 && first:
+		n.receiveLoad(f, x)
 		return
-	case series, f.told > 0 && x < f.told/tellFall, f.told == 0 && n.timesTold:
-		n.timesTold = n.timesTold || series
-		h.figures.told = n.now
-		n.b.Slow(&h.Server, int64(x*float64(ms)))
+	case series, f.reportedLoad > 0 && x < f.reportedLoad/maxLoadDrop, f.reportedLoad == 0 && n.hostsReportTimes:
+		n.hostsReportTimes = n.hostsReportTimes || series
+		h.reported.lastMessageTime = n.now
+		n.decider.Slow(&h.Server, int64(x*float64(ms)))
 	}
-	h.figures.seen = n.now // what can be either and has no sign teaches nothing but when it came
+	h.reported.lastFigure = n.now // what can be either and has no sign teaches nothing but when it came
 }
 
-func (n *Node) load(f *flow, x float64) {
-	f.told = x
+func (n *Node) receiveLoad(f *flow, x float64) {
+	f.reportedLoad = x
 	n.captureLoad(f, x)
 	if n.cluster != nil {
 		n.cluster.overload.Load(f.TypeNo, x)
 	}
-	n.b.Load(&f.Flow, x)
+	n.decider.Load(&f.Flow, x)
 }
--- a/node/figures_test.go
+++ b/node/figures_test.go
@@ -7,19 +7,19 @@
 	"coursewinch/balance"
 )
 
-// heardOf is a decider that keeps what it hears of loads and message times.
-type heardOf struct {
+// figureDecider is a decider that keeps what it hears of loads and message times.
+type figureDecider struct {
 	Decider
-	words []string
+	calls []string
 }
 
-func (d *heardOf) Load(f *balance.Flow, perSecond float64) {
-	d.words = append(d.words, fmt.Sprintf("load %.0f", perSecond))
+func (d *figureDecider) Load(f *balance.Flow, perSecond float64) {
+	d.calls = append(d.calls, fmt.Sprintf("load %.0f", perSecond))
 	d.Decider.Load(f, perSecond)
 }
 
-func (d *heardOf) Slow(s *balance.Server, us int64) {
-	d.words = append(d.words, fmt.Sprintf("slow %d", us)) // and no further: the flow stays
+func (d *figureDecider) Slow(s *balance.Server, us int64) {
+	d.calls = append(d.calls, fmt.Sprintf("slow %d", us)) // and no further: the flow stays
 }
 
 // A host that drowned told message times with the word for loads, and so looked all but empty (all days at size).
@@ -48,16 +48,16 @@
 		{"where hosts tell none, all are loads", false, false, []int64{ms, 700 * ms, second}, []string{"60000", "600", "500"},
 			"[load 60000 load 600 load 500]"},
 	} {
-		n, w := ready(1)
-		n.set.TellsTime, n.timesTold = c.tells, c.heard
-		d := &heardOf{Decider: n.b}
-		n.b = d
-		_, host := w.stands()
+		n, w := newNode(1)
+		n.settings.TellsTime, n.hostsReportTimes = c.tells, c.heard
+		d := &figureDecider{Decider: n.decider}
+		n.decider = d
+		_, host := w.establish()
 		for i, told := range c.told {
-			w.turn(c.after[i]-1, func() {})
-			w.bytes(host, "LOAD "+told+"\r\n")
+			w.run(c.after[i]-1, func() {})
+			w.receive(host, "LOAD "+told+"\r\n")
 		}
-		if got := fmt.Sprint(d.words); got != c.want {
+		if got := fmt.Sprint(d.calls); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/node/flows.go
+++ b/node/flows.go
@@ -23,13 +23,13 @@
 )
 
 var (
-	errTimeout = errors.New("timed out")
-	errEnded   = errors.New("ended without an answer")
-	errBusy    = errors.New("turned away")
-	errAnswer  = errors.New("answered with an error")
-	errLeaves  = errors.New("host leaves")
-	errWindow  = errors.New("repeats are known no longer")
-	errRoom    = errors.New("no descriptor left")
+	errTimeout      = errors.New("timed out")
+	errEnded        = errors.New("ended without an answer")
+	errBusy         = errors.New("turned away")
+	errAnswer       = errors.New("answered with an error")
+	errHostLeaving  = errors.New("host leaves")
+	errRepeatWindow = errors.New("repeats are known no longer")
+	errNoDescriptor = errors.New("no descriptor left")
 )
 
 // ConnectError is why a connect failed, with how far it had come.
@@ -44,9 +44,9 @@
 // Outcome is what the module is told: before the last byte was written the flow can't have run.
 func (e *ConnectError) Outcome() balance.Outcome {
 	switch {
-	case errors.Is(e.Cause, errRoom):
+	case errors.Is(e.Cause, errNoDescriptor):
 		return balance.Superseded
-	case errors.Is(e.Cause, errBusy), errors.Is(e.Cause, errLeaves), errors.Is(e.Cause, errWindow):
+	case errors.Is(e.Cause, errBusy), errors.Is(e.Cause, errHostLeaving), errors.Is(e.Cause, errRepeatWindow):
 		return balance.Saturated
 	case e.Stage <= Dialing:
 		return balance.Unreachable
@@ -59,73 +59,73 @@
 }
 
 var (
-	errType  = errors.New("unknown service type")
-	errTaken = errors.New("id of another flow")
-	errEarly = errors.New("more than a line before the answer")
+	errUnknownType = errors.New("unknown service type")
+	errDuplicateID = errors.New("id of another flow")
+	errEarlyData   = errors.New("more than a line before the answer")
 )
 
-// take reads the line with which a client asks for a connection and hands the flow to the module.
-func (n *Node) take(c *conn, line []byte) {
+// acceptRequest reads the line with which a client asks for a connection and hands the flow to the module.
+func (n *Node) acceptRequest(c *conn, line []byte) {
 	o, err := lines.ParseOpen(line)
 	if err != nil {
-		n.bad(c, err)
+		n.rejectLine(c, err)
 		return
 	}
-	kind, ok := n.set.Names[o.Class]
+	kind, ok := n.settings.Names[o.Class]
 	if !ok {
-		n.bad(c, errType)
+		n.rejectLine(c, errUnknownType)
 		return
 	}
 	n.Count.Taken++
 	switch {
-	case !n.ids.add(hash(o.ID)): // guards the flow of that id: a host would take this one for it
+	case !n.recentIDs.add(hash(o.ID)): // guards the flow of that id: a host would take this one for it
 		n.Types[kind].Failure++
-		n.bad(c, errTaken)
+		n.rejectLine(c, errDuplicateID)
 		return
 	case c.in.Len() > 0:
 		n.Types[kind].Failure++
-		n.bad(c, errEarly)
+		n.rejectLine(c, errEarlyData)
 		return
 	}
 	wait := o.Wait
-	if most := n.set.Limits[kind]; most > 0 && o.At == "" {
+	if most := n.settings.Limits[kind]; most > 0 && o.At == "" {
 		wait = min(wait, most)
 	}
-	f := &flow{open: o, client: c}
-	n.look(f)
-	f.Flow = balance.Flow{Type: &n.set.Types[kind], TypeNo: kind, Hash: hash(o.Key), Again: o.Again, Hint: o.Hint,
-		Worth: n.worth(kind), Deadline: n.now + wait - answerSlack, Passed: n.set.Passes, Ref: f}
-	n.hasten(f)
-	f.timer.due = func() { n.flowDue(f) }
-	c.role, c.flow = client, f
-	n.queue(c, nil)
-	n.times.off(&c.timer)
-	for n.net.Room() <= n.owed() && n.shed() {
-	}
-	if n.net.Room() < n.owed() {
+	f := &flow{request: o, client: c}
+	n.startCapture(f)
+	f.Flow = balance.Flow{Type: &n.settings.Types[kind], TypeNo: kind, Hash: hash(o.Key), Again: o.Again, Hint: o.Hint,
+		Worth: n.worth(kind), Deadline: n.now + wait - answerMargin, Passed: n.settings.Passes, Ref: f}
+	n.shortenDeadline(f)
+	f.timer.run = func() { n.flowTimedOut(f) }
+	c.role, c.flow = roleClient, f
+	n.setShedQueue(c, nil)
+	n.deadlines.cancel(&c.timer)
+	for n.net.Room() <= n.owedDescriptors() && n.shedOne() {
+	}
+	if n.net.Room() < n.owedDescriptors() {
 		n.Count.Crowded++
-		n.answered(f, capture.Rejected)
-		n.answer(c, "BUSY\r\n")
+		n.countAnswer(f, capture.Rejected)
+		n.sendFinalLine(c, "BUSY\r\n")
 		return
 	}
-	f.id = n.flows.put(f)
-	f.join(n, o.Group)
+	f.id = n.flows.add(f)
+	f.joinNamedGroup(n, o.Group)
 	if o.At != "" {
-		f.stood = true
+		f.rejoins = true
 		n.Count.Stood++
 		n.rejoin(f)
 		return
 	}
 	if n.holdsFlows() {
-		n.hold(f)
+		n.holdFlow(f)
 	} else {
-		n.begin(f)
+		n.startFlow(f)
 	}
 }
 
-// join finds the flow's group.
-func (f *flow) join(n *Node, name string) {
-	if name == "" || !n.set.Groups {
+// joinNamedGroup finds the flow's group.
+func (f *flow) joinNamedGroup(n *Node, name string) {
+	if name == "" || !n.settings.Groups {
 		return
 	}
 	f.joinGroup(n, hash(name))
@@ -134,176 +134,176 @@
 func (f *flow) joinGroup(n *Node, id uint64) {
 	g := n.groups[id]
 	if g == nil {
-		if len(n.groups) >= n.lim.Groups { // guards the memory: groups without flows are met anew
+		if len(n.groups) >= n.limits.Groups { // guards the memory: groups without flows are met anew
 			for id, o := range n.groups {
-				if o.flows == 0 {
+				if o.flowCount == 0 {
 					delete(n.groups, id)
-					delete(n.whole, peers.Short(id))
+					delete(n.groupHashes, peers.Short(id))
 				}
 			}
 		}
 		g = &group{Group: balance.Group{Hash: id}}
 		n.groups[id] = g
-		n.meet(g)
+		n.announcePeerHolder(g)
 	}
-	g.flows++
+	g.flowCount++
 	f.group, f.Group = g, &g.Group
 }
 
 // rejoin sends a flow to the host that held its connection before the run.
 func (n *Node) rejoin(f *flow) {
-	if f.Deadline+answerSlack <= n.now {
-		n.answered(f, capture.Rejected)
-		n.drop(f)
-		n.answer(f.client, "BUSY\r\n")
+	if f.Deadline+answerMargin <= n.now {
+		n.countAnswer(f, capture.Rejected)
+		n.removeFlow(f)
+		n.sendFinalLine(f.client, "BUSY\r\n")
 		return
 	}
-	if h := n.hosts[f.open.At]; h != nil {
+	if h := n.hosts[f.request.At]; h != nil {
 		n.dial(f, h, f.Deadline-n.now)
 		return
 	}
-	n.times.set(&f.timer, n.now+rejoinEvery)
+	n.deadlines.set(&f.timer, n.now+rejoinInterval)
 }
 
 // dial opens the connection for a flow's connect.
 func (n *Node) dial(f *flow, h *host, wait int64) {
-	c := &conn{role: upstream, flow: f, host: h}
-	c.timer.due = func() { n.failed(f, errTimeout) }
-	c.id = n.place(c)
-	f.link, f.host, f.sent, f.setup, f.wait, f.stage = c, h, n.now, n.mark(), wait, Dialing
-	h.flows++
-	n.links++
-	for n.net.Room() < 1 && n.shed() {
+	c := &conn{role: roleUpstream, flow: f, host: h}
+	c.timer.run = func() { n.connectFailed(f, errTimeout) }
+	c.id = n.register(c)
+	f.upstream, f.host, f.connectAt, f.setupSpan, f.connectTimeout, f.stage = c, h, n.now, n.startSpan(), wait, Dialing
+	h.flowCount++
+	n.upstreamCount++
+	for n.net.Room() < 1 && n.shedOne() {
 	}
 	switch {
 	case n.net.Gone(f.client.id): // guards hosts against flows whose client's end nobody has read yet
-		c.timer.due = func() { n.gone(f) }
+		c.timer.run = func() { n.clientGone(f) }
 	case n.net.Room() < 1:
-		c.timer.due = func() { n.failed(f, errRoom) }
+		c.timer.run = func() { n.connectFailed(f, errNoDescriptor) }
 	default:
-		n.dialed(f, c, wait)
+		n.startDial(f, c, wait)
 		return
 	}
-	n.times.set(&c.timer, n.now) // the module is told in the next turn
+	n.deadlines.set(&c.timer, n.now) // the module is told in the next turn
 }
 
-func (n *Node) dialed(f *flow, c *conn, wait int64) {
+func (n *Node) startDial(f *flow, c *conn, wait int64) {
 	h := f.host
 	n.Count.Connects++
 	if n.cluster != nil {
 		n.cluster.overload.Placed(&h.Server)
 	}
-	n.times.set(&f.timer, n.now+max(wait, 0))
-	if n.set.Dial > 0 && n.set.Dial < wait {
-		n.times.set(&c.timer, n.now+n.set.Dial)
+	n.deadlines.set(&f.timer, n.now+max(wait, 0))
+	if n.settings.Dial > 0 && n.settings.Dial < wait {
+		n.deadlines.set(&c.timer, n.now+n.settings.Dial)
 	}
 	n.net.Dial(c.id, h.addr, &c.in, &c.out)
 }
 
-// connected writes the client's line to a host whose connection is up.
-func (n *Node) connected(c *conn) {
-	f, left := c.flow, c.flow.sent+c.flow.wait-n.now
-	n.times.off(&c.timer)
+// upstreamConnected writes the client's line to a host whose connection is up.
+func (n *Node) upstreamConnected(c *conn) {
+	f, left := c.flow, c.flow.connectAt+c.flow.connectTimeout-n.now
+	n.deadlines.cancel(&c.timer)
 	// Guards against sending what was right when the connect was decided and no longer is: it may have come up late.
 	switch {
 	case n.net.Gone(f.client.id):
-		n.gone(f)
+		n.clientGone(f)
 		return
 	case left <= 0:
-		n.failed(f, errTimeout)
+		n.connectFailed(f, errTimeout)
 		return
-	case f.stood:
+	case f.rejoins:
 	case c.host.State != balance.Up:
-		n.failed(f, errLeaves)
+		n.connectFailed(f, errHostLeaving)
 		return
 	case n.now > f.SendBy():
-		n.failed(f, errWindow)
+		n.connectFailed(f, errRepeatWindow)
 		return
 	}
-	n.leg(&f.setup)
-	c.out.Put(f.open.Line(left))
+	n.nextLeg(&f.setupSpan)
+	c.out.Put(f.request.Line(left))
 	n.net.Touch(c.id)
-	n.written(c)
+	n.checkRequestSent(c)
 }
 
-func (n *Node) written(c *conn) {
+func (n *Node) checkRequestSent(c *conn) {
 	if f := c.flow; f.stage == Dialing && c.up && c.out.Len() == 0 {
-		n.asked(f)
+		n.requestSent(f)
 	}
 }
 
-// asked is that a host has a flow's whole line.
-func (n *Node) asked(f *flow) {
+// requestSent is that a host has a flow's whole line.
+func (n *Node) requestSent(f *flow) {
 	f.stage = Asked
 	n.Count.Asked++
 }
 
-// flowDue is called when a connect has taken its time, or when a flow without one has come to its end.
-func (n *Node) flowDue(f *flow) {
+// flowTimedOut is called when a connect has taken its time, or when a flow without one has come to its end.
+func (n *Node) flowTimedOut(f *flow) {
 	switch {
-	case f.over: // its end was called for in the turn before
-		n.report(f, balance.Recalled)
+	case f.ended: // its end was called for in the turn before
+		n.reportEnd(f, balance.Recalled)
 	case f.stage == Established:
 		n.Count.Silent++
-		n.move(f)
-		n.end(f, balance.Severed)
+		n.moveClient(f)
+		n.endFlow(f, balance.Severed)
 	case f.stage != Waiting:
-		n.failed(f, errTimeout)
-	case f.stood:
+		n.connectFailed(f, errTimeout)
+	case f.rejoins:
 		n.rejoin(f)
-	case f.held:
-		n.Reject(&f.Flow, n.set.MaxWait/2)
-	case n.waitsForFleet(f) != nil: // it went nowhere: trying again is harmless
-		n.refuse(f, n.waitsForFleet(f))
+	case f.awaitsList:
+		n.Reject(&f.Flow, n.settings.MaxWait/2)
+	case n.pendingLimit(f) != nil: // it went nowhere: trying again is harmless
+		n.refuseFlow(f, n.pendingLimit(f))
 	default: // guards the promise of one answer against a flow that the module has not answered
-		n.b.Expired(&f.Flow)
+		n.decider.Expired(&f.Flow)
 		n.Abort(&f.Flow)
 	}
 }
 
-// failed ends a connect that brought no connection.
-func (n *Node) failed(f *flow, cause error) {
+// connectFailed ends a connect that brought no connection.
+func (n *Node) connectFailed(f *flow, cause error) {
 	end := &ConnectError{f.stage, cause}
-	h, took := f.host, n.now-f.sent
-	n.close(f.link)
-	n.unlink(f)
-	if f.stood {
-		n.times.set(&f.timer, n.now+rejoinEvery)
+	h, took := f.host, n.now-f.connectAt
+	n.close(f.upstream)
+	n.detachHost(f)
+	if f.rejoins {
+		n.deadlines.set(&f.timer, n.now+rejoinInterval)
 		return
 	}
-	n.times.set(&f.timer, max(f.Deadline, n.now+1))
+	n.deadlines.set(&f.timer, max(f.Deadline, n.now+1))
 	switch {
 	case cause == errBusy:
-		n.turnedAway(h)
+		n.noteTurnedAway(h)
 	case end.Outcome() == balance.Unreachable:
-		n.foundDown(h)
+		n.noteDown(h)
 	case end.Outcome() != balance.Superseded && end.Outcome() != balance.Saturated:
-		n.foundSick(h)
+		n.noteSick(h)
 	}
-	n.b.Ended(&f.Flow, &h.Server, end.Outcome(), took, false)
+	n.decider.Ended(&f.Flow, &h.Server, end.Outcome(), took, false)
 }
 
-func (n *Node) unlink(f *flow) {
+func (n *Node) detachHost(f *flow) {
 	if f.host != nil {
-		f.host.flows--
-		n.links--
+		f.host.flowCount--
+		n.upstreamCount--
 		if f.stage == Established {
-			n.standing--
+			n.establishedCount--
 		}
 	}
-	f.link, f.host, f.stage = nil, nil, Waiting
-	n.times.off(&f.timer)
+	f.upstream, f.host, f.stage = nil, nil, Waiting
+	n.deadlines.cancel(&f.timer)
 }
 
-// heard reads the first line that a host sent back.
-func (n *Node) heard(c *conn) {
+// readHostAnswer reads the first line that a host sent back.
+func (n *Node) readHostAnswer(c *conn) {
 	f := c.flow
 	line := c.in.Line()
 	if line == nil {
 		if c.in.Len() > lines.Longest+2 {
-			n.failed(f, errAnswer)
-		} else if c.ended {
-			n.failed(f, errEnded)
+			n.connectFailed(f, errAnswer)
+		} else if c.inputEnded {
+			n.connectFailed(f, errEnded)
 		}
 		return
 	}
@@ -311,67 +311,67 @@
 	switch word {
 	case lines.Up:
 	case lines.Busy:
-		n.failed(f, errBusy)
+		n.connectFailed(f, errBusy)
 		return
 	default:
 		if f.stage == Dialing {
-			n.asked(f) // it answers, so it has the line
+			n.requestSent(f) // it answers, so it has the line
 		}
-		n.failed(f, errAnswer)
+		n.connectFailed(f, errAnswer)
 		return
 	}
 	f.client.out.Put(line)
 	c.in.Drop(len(line))
-	n.answered(f, capture.Established)
-	f.stage, f.open, f.stoodAt = Established, nil, n.now
-	n.standing++
-	f.client.heard = n.now
+	n.countAnswer(f, capture.Established)
+	f.stage, f.request, f.establishedAt = Established, nil, n.now
+	n.establishedCount++
+	f.client.receivedAt = n.now
 	if f.group != nil {
-		f.group.stood = true
+		f.group.established = true
 	}
-	n.times.off(&f.timer)
-	if f.client.gated.IsValid() {
-		n.gate.Stood(f.client.gated, n.now)
+	n.deadlines.cancel(&f.timer)
+	if f.client.gatePrefix.IsValid() {
+		n.admissionGate.Stood(f.client.gatePrefix, n.now)
 	}
-	if f.stood {
-		n.b.Opened(&f.Flow, &c.host.Server)
+	if f.rejoins {
+		n.decider.Opened(&f.Flow, &c.host.Server)
 	} else {
-		took, sure := n.took(f.setup)
-		n.setUp(c.host, took, sure)
-		f.Unsure = n.starved()
-		n.b.Established(&f.Flow, took)
+		took, sure := n.elapsed(f.setupSpan)
+		n.noteSetup(c.host, took, sure)
+		f.Unsure = n.isStarved()
+		n.decider.Established(&f.Flow, took)
 	}
 	n.net.Touch(f.client.id)
-	n.pass(f)
+	n.relay(f)
 }
 
-// pass moves lines both ways, whole ones only, so that a word of the node's own never falls into one.
-func (n *Node) pass(f *flow) {
+// relay moves lines both ways, whole ones only, so that a word of the node's own never falls into one.
+func (n *Node) relay(f *flow) {
 	for {
-		p, ended := whole(f.client, f.link)
+		p, ended := nextChunk(f.client, f.upstream)
 		if len(p) == 0 {
 			break
 		}
-		n.up(f, p, ended)
+		n.relayToHost(f, p, ended)
 	}
 	for {
-		p, ended := whole(f.link, f.client)
+		p, ended := nextChunk(f.upstream, f.client)
 		if len(p) == 0 {
 			break
 		}
-		n.down(f, p, ended)
+		n.relayToClient(f, p, ended)
 	}
 	n.net.Touch(f.client.id)
-	n.net.Touch(f.link.id)
-	if n.parted(f); f.leaves && !f.over && n.canMove(f) {
-		n.move(f)
-		n.end(f, balance.Recalled)
+	n.net.Touch(f.upstream.id)
+	if n.finishIfEnded(f); f.movePending && !f.ended && n.canMove(f) {
+		n.moveClient(f)
+		n.endFlow(f, balance.Recalled)
 	}
 }
 
-// whole is what goes on next from a connection to its other side: as many whole lines as lie in one piece and find
+// nextChunk is what goes on next from a connection to its other side: as many whole lines as lie in one piece and find
 // room, or what is left when no end of line will come. It stays in the ring.
-func whole(from, to *conn) (p []byte, ended bool) {
+func nextChunk(from, to *conn) (p []byte, ended bool) {
 	head := from.in.Head()
 	if room := to.out.Free(); len(head) > room {
 		head = head[:room]
@@ -388,36 +388,36 @@
 		}
 		return line, true
 	}
-	if from.in.Free() == 0 || from.ended {
+	if from.in.Free() == 0 || from.inputEnded {
 		return from.in.Peek(min(from.in.Len(), to.out.Free())), false
 	}
 	return nil, false
 }
 
-// put gives bytes to a connection. What carries bulk gets a wide ring: each turn then moves more for the same calls.
-func put(to *conn, p []byte) {
+// enqueue gives bytes to a connection. What carries bulk gets a wide ring: each turn then moves more for the same calls.
+func enqueue(to *conn, p []byte) {
 	if len(p) > lines.RingSize/2 {
 		to.out.Widen()
 	}
 	to.out.Put(p)
 }
 
-// up passes on what a client sent.
-func (n *Node) up(f *flow, p []byte, ended bool) {
-	to := f.link
+// relayToHost passes on what a client sent.
+func (n *Node) relayToHost(f *flow, p []byte, ended bool) {
+	to := f.upstream
 	asks := ended && (!to.midLine || bytes.IndexByte(p, '\n') < len(p)-1) // a line of which no part went before
-	f.seen.passed(true, p)
-	put(to, p)
+	f.record.countLines(true, p)
+	enqueue(to, p)
 	to.midLine = !ended
 	f.client.in.Drop(len(p))
-	if asks && f.askedAt == 0 {
-		f.askedAt, f.echo = n.now, n.mark()
-		n.times.set(&f.timer, n.now+silence)
+	if asks && f.unansweredSince == 0 {
+		f.unansweredSince, f.unansweredSpan = n.now, n.startSpan()
+		n.deadlines.set(&f.timer, n.now+hostSilenceTimeout)
 	}
 }
 
-// down passes on what a host sent, and reads what of it is meant for the node as well.
-func (n *Node) down(f *flow, p []byte, ended bool) {
+// relayToClient passes on what a host sent, and reads what of it is meant for the node as well.
+func (n *Node) relayToClient(f *flow, p []byte, ended bool) {
 	to, answered := f.client, false
 	for rest := p; len(rest) > 0; {
 		end := bytes.IndexByte(rest, '\n') + 1
@@ -432,126 +432,126 @@
 			answered = answered || word != lines.Load
 			switch word {
 			case lines.Load:
-				n.figure(f, load)
+				n.receiveFigure(f, load)
 			case lines.Bye, lines.Move:
-				f.last = word
+				f.lastWord = word
 			}
 		}
 		rest = rest[end:]
 		to.midLine = false
 	}
-	f.seen.passed(false, p)
+	f.record.countLines(false, p)
 	if to.out.Len() == 0 {
-		to.moved = n.now
+		to.sentAt = n.now
 	}
-	put(to, p)
+	enqueue(to, p)
 	to.midLine = !ended
-	f.link.in.Drop(len(p))
-	if answered && f.askedAt > 0 {
-		took, _ := n.took(f.echo)
-		f.host.took = append(f.host.took, took)
-		f.askedAt = 0
-		n.times.off(&f.timer)
+	f.upstream.in.Drop(len(p))
+	if answered && f.unansweredSince > 0 {
+		took, _ := n.elapsed(f.unansweredSpan)
+		f.host.messageTimes = append(f.host.messageTimes, took)
+		f.unansweredSince = 0
+		n.deadlines.cancel(&f.timer)
 	}
 }
 
-// parted ends an open flow once one side has ended and its last bytes are passed on.
-func (n *Node) parted(f *flow) {
-	c, h := f.client, f.link
+// finishIfEnded ends an open flow once one side has ended and its last bytes are passed on.
+func (n *Node) finishIfEnded(f *flow) {
+	c, h := f.client, f.upstream
 	switch {
-	case h.ended && (h.in.Len() == 0 || h.err != nil):
+	case h.inputEnded && (h.in.Len() == 0 || h.err != nil):
 		end := balance.Severed
-		switch f.last {
+		switch f.lastWord {
 		case lines.Bye:
 			end = balance.Completed
 		case lines.Move:
 			end = balance.Recalled
 		}
-		f.seen.ended(ends[end])
-		n.finish(c, h.err)
+		f.record.setEnd(hostEndKinds[end])
+		n.closeLikeOtherSide(c, h.err)
 		n.close(h)
-		n.end(f, end)
-	case c.ended && (c.in.Len() == 0 || c.err != nil):
-		f.seen.ended(capture.Gone)
-		n.finish(h, c.err)
+		n.endFlow(f, end)
+	case c.inputEnded && (c.in.Len() == 0 || c.err != nil):
+		f.record.setEnd(capture.Gone)
+		n.closeLikeOtherSide(h, c.err)
 		n.close(c)
-		n.end(f, balance.Recalled)
+		n.endFlow(f, balance.Recalled)
 	}
 }
 
-// finish ends a connection in the way its other side ended: in order, or as broken.
-func (n *Node) finish(c *conn, err error) {
+// closeLikeOtherSide ends a connection in the way its other side ended: in order, or as broken.
+func (n *Node) closeLikeOtherSide(c *conn, err error) {
 	if err != nil && c.out.Len() == 0 {
 		n.net.Reset(c.id)
-		n.forget(c)
+		n.forgetConn(c)
 		return
 	}
-	n.leave(c)
+	n.closeAfterSending(c)
 }
 
-// move tells a client to come again and ends both sides.
-func (n *Node) move(f *flow) {
+// moveClient tells a client to come again and ends both sides.
+func (n *Node) moveClient(f *flow) {
 	n.Count.Moves++
-	f.seen.ended(capture.Moved)
+	f.record.setEnd(capture.Moved)
 	if !f.client.midLine {
-		f.client.out.Put([]byte(moveWord)) // at the last moment it may find no room: then the client takes nothing anyway
+		f.client.out.Put([]byte(moveLine)) // at the last moment it may find no room: then the client takes nothing anyway
 	}
-	n.leave(f.client)
-	n.leave(f.link)
+	n.closeAfterSending(f.client)
+	n.closeAfterSending(f.upstream)
 }
 
-// end tells the module that an open flow has ended.
-func (n *Node) end(f *flow, end balance.Outcome) {
-	if f.over {
+// endFlow tells the module that an open flow has ended.
+func (n *Node) endFlow(f *flow, end balance.Outcome) {
+	if f.ended {
 		return
 	}
-	f.over = true
-	n.report(f, end)
+	f.ended = true
+	n.reportEnd(f, end)
 }
 
-func (n *Node) report(f *flow, end balance.Outcome) {
-	h, took := f.host, n.now-f.sent
+func (n *Node) reportEnd(f *flow, end balance.Outcome) {
+	h, took := f.host, n.now-f.connectAt
 	switch end {
 	case balance.Completed:
 		n.Count.Completed++
 	case balance.Severed:
 		n.Count.Severed++
 	}
-	n.drop(f)
+	n.removeFlow(f)
 	if h != nil {
-		n.b.Ended(&f.Flow, &h.Server, end, took, true)
+		n.decider.Ended(&f.Flow, &h.Server, end, took, true)
 	} else {
-		n.b.Expired(&f.Flow)
+		n.decider.Expired(&f.Flow)
 	}
 }
 
-// drop takes a flow out of the tables.
-func (n *Node) drop(f *flow) {
-	f.over = true
-	f.release()
+// removeFlow takes a flow out of the tables.
+func (n *Node) removeFlow(f *flow) {
+	f.ended = true
+	f.releasePermits()
 	if n.cluster != nil {
 		n.cluster.overload.Forget(&f.Flow)
 	}
 	n.captureEnd(f)
-	n.unlink(f)
+	n.detachHost(f)
 	if g := f.group; g != nil {
-		if g.flows--; g.flows == 0 && !g.stood {
+		if g.flowCount--; g.flowCount == 0 && !g.established {
 			delete(n.groups, g.Hash) // guards the memory against names that never led anywhere
 		}
 		f.group = nil
 	}
-	n.flows.drop(f.id)
+	n.flows.remove(f.id)
 }
 
-// early is called when a client goes on before its answer, though it must wait.
-func (n *Node) early(f *flow) {
+// rejectEarlyData is called when a client goes on before its answer, though it must wait.
+func (n *Node) rejectEarlyData(f *flow) {
 	n.Types[f.TypeNo].Failure++
-	n.bad(f.client, errEarly)
+	n.rejectLine(f.client, errEarlyData)
 	n.withdraw(f)
 }
 
-// gone is called when a client has left before it had an answer.
-func (n *Node) gone(f *flow) {
+// clientGone is called when a client has left before it had an answer.
+func (n *Node) clientGone(f *flow) {
 	n.Count.Left++
 	n.close(f.client)
 	n.withdraw(f)
@@ -559,15 +559,15 @@
 
 // withdraw takes back a flow that has no answer yet.
 func (n *Node) withdraw(f *flow) {
-	if f.link != nil {
-		n.close(f.link)
+	if f.upstream != nil {
+		n.close(f.upstream)
 	}
-	if f.stood {
-		n.drop(f)
+	if f.rejoins {
+		n.removeFlow(f)
 		return
 	}
-	n.b.Expired(&f.Flow)
-	n.end(f, balance.Recalled)
+	n.decider.Expired(&f.Flow)
+	n.endFlow(f, balance.Recalled)
 }
 
 // The Writer of the module.
@@ -578,32 +578,32 @@
 
 func (n *Node) Reject(bf *balance.Flow, wait int64) {
 	f := bf.Ref.(*flow)
-	n.answered(f, capture.Rejected)
-	n.drop(f)
+	n.countAnswer(f, capture.Rejected)
+	n.removeFlow(f)
 	if wait > 0 {
-		n.answer(f.client, "BUSY "+strconv.FormatInt(wait/ms, 10)+"\r\n")
+		n.sendFinalLine(f.client, "BUSY "+strconv.FormatInt(wait/ms, 10)+"\r\n")
 		return
 	}
-	n.answer(f.client, "BUSY\r\n")
+	n.sendFinalLine(f.client, "BUSY\r\n")
 }
 
 func (n *Node) Abort(bf *balance.Flow) {
 	f := bf.Ref.(*flow)
-	n.answered(f, capture.Aborted)
-	n.drop(f)
-	n.answer(f.client, "ERR\r\n")
+	n.countAnswer(f, capture.Aborted)
+	n.removeFlow(f)
+	n.sendFinalLine(f.client, "ERR\r\n")
 }
 
 // Move ends an open flow at once; the module hears of its end in the next turn.
 func (n *Node) Move(bf *balance.Flow) {
 	f := bf.Ref.(*flow)
-	if f.over || f.stage != Established {
+	if f.ended || f.stage != Established {
 		return
 	}
-	if f.leaves = true; !n.canMove(f) {
+	if f.movePending = true; !n.canMove(f) {
 		return // goes after the line that is under way, or with what its host said at its end
 	}
-	f.over = true
-	n.move(f)
-	n.times.set(&f.timer, n.now)
+	f.ended = true
+	n.moveClient(f)
+	n.deadlines.set(&f.timer, n.now)
 }
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -20,7 +20,7 @@
 	Stalled int64 // and for which it may take nothing of what waits for it; 0: for ever
 }
 
-const mostListed = 20_000
+const defaultMaxHosts = 20_000
 
 // Hold is what a node holds for one purpose.
 type Hold struct {
@@ -34,38 +34,38 @@
 // request, not for each turn.
 func (n *Node) Holdings() []Hold {
 	roles := map[role]int{}
-	for _, s := range n.conns.all {
-		if s.v != nil {
-			roles[s.v.role]++
+	for _, s := range n.conns.entries {
+		if s.value != nil {
+			roles[s.value.role]++
 		}
 	}
 	var asked int // text of lines that wait for an answer
-	for _, s := range n.flows.all {
-		if s.v != nil && s.v.open != nil {
-			asked += int(unsafe.Sizeof(*s.v.open)) + lines.Longest/8
+	for _, s := range n.flows.entries {
+		if s.value != nil && s.value.request != nil {
+			asked += int(unsafe.Sizeof(*s.value.request)) + lines.Longest/8
 		}
 	}
 	known, strangers := 0, 0
-	if n.gate != nil {
-		known, strangers = n.gate.Held()
+	if n.admissionGate != nil {
+		known, strangers = n.admissionGate.Held()
 	}
 	logs := 0
-	for what := range n.logs {
-		logs += len(what) + int(unsafe.Sizeof(kind{}))
+	for what := range n.logKinds {
+		logs += len(what) + int(unsafe.Sizeof(logKind{}))
 	}
-	buffers, wide := n.rings.Held()
+	buffers, wide := n.ringBudget.Held()
 	return []Hold{
-		{"fd_new", roles[fresh], 0, 0}, {"fd_client", roles[client], 0, 0}, {"fd_connect", roles[upstream], 0, 0},
-		{"fd_probe", roles[probing], 0, 0}, {"fd_watch", roles[watching], 0, 0}, {"fd_leaving", roles[leaving], 0, 0},
-		{"fd_operator", roles[operator], 0, CallPlaces},
-		{"connections", n.conns.held, n.conns.held*int(unsafe.Sizeof(conn{})) + n.flows.held*int(unsafe.Sizeof(flow{})) + asked, 0},
-		{"hosts", len(n.hosts), len(n.hosts) * int(unsafe.Sizeof(host{})+64), n.lim.Hosts},
-		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.lim.Groups},
-		{"ids", len(n.ids.ring), len(n.ids.ring) * 32, n.lim.IDs},
-		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideSize, n.lim.Buffers},
+		{"fd_new", roles[roleNew], 0, 0}, {"fd_client", roles[roleClient], 0, 0}, {"fd_connect", roles[roleUpstream], 0, 0},
+		{"fd_probe", roles[roleProbe], 0, 0}, {"fd_watch", roles[roleWatch], 0, 0}, {"fd_leaving", roles[roleClosing], 0, 0},
+		{"fd_operator", roles[roleOperator], 0, CallPlaces},
+		{"connections", n.conns.count, n.conns.count*int(unsafe.Sizeof(conn{})) + n.flows.count*int(unsafe.Sizeof(flow{})) + asked, 0},
+		{"hosts", len(n.hosts), len(n.hosts) * int(unsafe.Sizeof(host{})+64), n.limits.Hosts},
+		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.limits.Groups},
+		{"ids", len(n.recentIDs.ring), len(n.recentIDs.ring) * 32, n.limits.IDs},
+		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideSize, n.limits.Buffers},
 		{"addresses", known + strangers, (known + strangers) * 192, 0},
-		{"logs", len(n.logs), logs, mostKinds},
-		{"deadlines", len(n.times.heap), cap(n.times.heap) * 8, 0},
+		{"logs", len(n.logKinds), logs, maxLogKinds},
+		{"deadlines", len(n.deadlines.heap), cap(n.deadlines.heap) * 8, 0},
 	}
 }
 
@@ -87,36 +87,36 @@
 	return b.String()
 }
 
-// tidy ends what holds on without use: clients that vanished or take nothing. Once a second.
-func (n *Node) tidy() {
-	if n.lim.Idle == 0 && n.lim.Stalled == 0 {
+// closeStalledClients ends what holds on without use: clients that vanished or take nothing. Once a second.
+func (n *Node) closeStalledClients() {
+	if n.limits.Idle == 0 && n.limits.Stalled == 0 {
 		return
 	}
-	for _, s := range n.flows.all {
-		f := s.v
-		if f == nil || f.over || f.stage != Established {
+	for _, s := range n.flows.entries {
+		f := s.value
+		if f == nil || f.ended || f.stage != Established {
 			continue
 		}
-		idle := n.lim.Idle > 0 && n.now-f.client.heard > n.lim.Idle
-		stalled := n.lim.Stalled > 0 && f.client.out.Len() > 0 && n.now-f.client.moved > n.lim.Stalled
+		idle := n.limits.Idle > 0 && n.now-f.client.receivedAt > n.limits.Idle
+		stalled := n.limits.Stalled > 0 && f.client.out.Len() > 0 && n.now-f.client.sentAt > n.limits.Stalled
 		if idle || stalled {
 			n.Count.Vanished++
-			n.move(f) // it may be there yet: then it comes again
-			n.end(f, balance.Recalled)
+			n.moveClient(f) // it may be there yet: then it comes again
+			n.endFlow(f, balance.Recalled)
 		}
 	}
 }
 
-// relieve makes room among the buffers at their cap: of those that sit on half a line before they have a flow, the one
+// relieveBuffers makes room among the buffers at their cap: of those that sit on half a line before they have a flow, the one
 // that has for longest goes. Guards the memory against many who say half a word.
-func (n *Node) relieve() {
-	for n.lim.Buffers > 0 {
-		if held, _ := n.rings.Held(); held <= n.lim.Buffers {
+func (n *Node) relieveBuffers() {
+	for n.limits.Buffers > 0 {
+		if held, _ := n.ringBudget.Held(); held <= n.limits.Buffers {
 			return
 		}
 		var worst *conn
-		for e := n.mute.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*conn); c.role == fresh && c.in.Len() > 0 {
+		for e := n.silentConns.Front(); e != nil; e = e.Next() {
+			if c := e.Value.(*conn); c.role == roleNew && c.in.Len() > 0 {
 				worst = c
 				break
 			}
@@ -125,6 +125,6 @@
 			return
 		}
 		n.Count.Shed++
-		n.part(worst)
+		n.detach(worst)
 	}
 }
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -7,41 +7,41 @@
 	"coursewinch/balance"
 )
 
-// heard is a Decider that notes what it is told of probes and set-ups.
-type heard struct {
+// recordingDecider is a Decider that notes what it is told of probes and set-ups.
+type recordingDecider struct {
 	module
-	probes []probe
+	probes []probeResult
 	setups []int64
 }
 
-type probe struct {
+type probeResult struct {
 	end  balance.Outcome
 	took int64
 }
 
-func (h *heard) Probed(s *balance.Server, end balance.Outcome, took int64) {
-	h.probes = append(h.probes, probe{end, took})
+func (h *recordingDecider) Probed(s *balance.Server, end balance.Outcome, took int64) {
+	h.probes = append(h.probes, probeResult{end, took})
 	h.module.Probed(s, end, took)
 }
 
-func (h *heard) Established(f *balance.Flow, took int64) {
+func (h *recordingDecider) Established(f *balance.Flow, took int64) {
 	h.setups = append(h.setups, took)
 	h.module.Established(f, took)
 }
 
-// listening is a node whose module is listened to.
-func listening(t *testing.T) (*Node, *wires, *heard) {
+// newRecordingNode is a node whose module is listened to.
+func newRecordingNode(t *testing.T) (*Node, *fakeNet, *recordingDecider) {
 	t.Helper()
-	n, w := ready(2)
-	h := &heard{module: n.b.(module)}
-	n.b = h
+	n, w := newNode(2)
+	h := &recordingDecider{module: n.decider.(module)}
+	n.decider = h
 	return n, w, h
 }
 
-// late plays a turn after a turn that took before, in which what came had waited for late.
-func (w *wires) late(late, before int64, in func()) {
-	w.n.Late(late, before)
-	w.turn(late+1, in)
+// runLate plays a turn after a turn that took before, in which what came had waited for late.
+func (w *fakeNet) runLate(late, before int64, in func()) {
+	w.node.Late(late, before)
+	w.run(late+1, in)
 }
 
 // TestOwnLatenessInProbes answers probes while the node itself is late: what is taught is what is left without it.
@@ -50,24 +50,24 @@
 		name   string
 		before int64 // how long the turn took in which PING was sent
 		late   int64 // how long PONG had waited
-		want   probe
+		want   probeResult
 	}{
-		{"in time", 50, 0, probe{balance.Completed, 2*ms - 50}},
-		{"PING left late", 20 * ms, 0, probe{balance.Recalled, 1}},
-		{"PONG was read late", 0, 20 * ms, probe{balance.Recalled, 2 * ms}},
+		{"in time", 50, 0, probeResult{balance.Completed, 2*ms - 50}},
+		{"PING left late", 20 * ms, 0, probeResult{balance.Recalled, 1}},
+		{"PONG was read late", 0, 20 * ms, probeResult{balance.Recalled, 2 * ms}},
 	} {
-		n, w, h := listening(t)
-		s := n.fleet[0]
-		w.late(0, 0, func() { n.Probe(&s.Server) })
-		id := w.last()
+		n, w, h := newRecordingNode(t)
+		s := n.hostList[0]
+		w.runLate(0, 0, func() { n.Probe(&s.Server) })
+		id := w.lastConn()
 		w.up[id] = true
-		w.late(0, 0, func() { n.Connected(id) })
+		w.runLate(0, 0, func() { n.Connected(id) })
 		n.Late(0, 0)
-		w.turn(1, func() { w.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
+		w.run(1, func() { w.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		h.probes = nil
-		w.late(0, 0, func() { n.Probe(&s.Server) })
+		w.runLate(0, 0, func() { n.Probe(&s.Server) })
 		n.Late(c.late, c.before)
-		w.turn(2*ms+c.late, func() { w.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
+		w.run(2*ms+c.late, func() { w.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		if len(h.probes) != 1 || h.probes[0] != c.want {
 			t.Errorf("%s: told %v, not %v", c.name, h.probes, c.want)
 		}
@@ -76,22 +76,22 @@
 
 // TestOwnLatenessInSetUps wants both legs of a set-up without the node's own part.
 func TestOwnLatenessInSetUps(t *testing.T) {
-	n, w, h := listening(t)
+	n, w, h := newRecordingNode(t)
 	n.Late(0, 0)
-	w.client(asks)
-	id := w.last()
+	w.openClient(openLine)
+	id := w.lastConn()
 	w.up[id] = true
 	n.Late(30*ms, 10*ms) // the connection was up long before the node came to see it
-	w.turn(41*ms, func() { n.Connected(id) })
+	w.run(41*ms, func() { n.Connected(id) })
 	n.Late(5*ms, 2*ms)
-	w.turn(8*ms, func() { w.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
+	w.run(8*ms, func() { w.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 	if len(h.setups) != 1 || h.setups[0] > 3*ms {
 		t.Errorf("of a set-up of 2 ms beside 47 ms of the node's own the module is told %v", h.setups)
 	}
 }
 
 func TestMeasuring(t *testing.T) {
-	n, w, _ := listening(t)
+	n, w, _ := newRecordingNode(t)
 	want := func(on bool, when string) {
 		t.Helper()
 		if n.Measuring() != on {
@@ -99,77 +99,77 @@
 		}
 	}
 	want(false, "idle")
-	w.client(asks)
+	w.openClient(openLine)
 	want(true, "a connect is out")
-	id := w.connect()
-	w.bytes(id, "UP 7\r\n")
+	id := w.connectLast()
+	w.receive(id, "UP 7\r\n")
 	want(false, "established")
-	w.turn(1, func() { n.Probe(&n.fleet[0].Server) })
+	w.run(1, func() { n.Probe(&n.hostList[0].Server) })
 	want(true, "a probe is out")
-	w.turn(second, func() {})
+	w.run(second, func() {})
 	want(false, "given up")
 }
 
 // TestLatenessForgets reads no turn's length for another's whose place it has.
 func TestLatenessForgets(t *testing.T) {
-	n, _ := ready(1)
+	n, _ := newNode(1)
 	n.Late(0, 0)
-	m := n.mark()
-	for i := range 2*keptTurns + 3 {
+	m := n.startSpan()
+	for i := range 2*keptIterations + 3 {
 		n.Late(0, int64(i%2)*40*ms)
 	}
 	n.now += second
-	if us, sure := n.took(m); us != second || !sure {
-		t.Errorf("a second over %d turns: %d us, sure %t", 2*keptTurns+3, us, sure)
+	if us, sure := n.elapsed(m); us != second || !sure {
+		t.Errorf("a second over %d turns: %d us, sure %t", 2*keptIterations+3, us, sure)
 	}
 }
 
 // TestClockJumps lets an hour pass within a flow's set-up, and then a second go back: every flow has its answer, nothing
 // breaks, and the next is served.
 func TestClockJumps(t *testing.T) {
-	n, w, _ := listening(t)
+	n, w, _ := newRecordingNode(t)
 	n.Late(0, 0)
-	c := w.client(asks)
+	c := w.openClient(openLine)
 	n.Late(3600*second, 0)
-	w.turn(3600*second, func() {})
-	w.turn(1, func() {})
+	w.run(3600*second, func() {})
+	w.run(1, func() {})
 	if w.sent[c] == "" || n.Count.Panics > 0 {
 		t.Errorf("answered %q, %d panics", w.sent[c], n.Count.Panics)
 	}
 	n.Late(-second, -second)
-	w.turn(-second, func() {})
-	w.turn(2*second, func() {})
-	if client, _ := w.stands(); w.sent[client] != "UP 7\r\n" || n.Count.Panics > 0 {
+	w.run(-second, func() {})
+	w.run(2*second, func() {})
+	if client, _ := w.establish(); w.sent[client] != "UP 7\r\n" || n.Count.Panics > 0 {
 		t.Errorf("after it answered %q, %d panics", w.sent[client], n.Count.Panics)
 	}
 }
 
 // TestVanished ends clients that say nothing, and those that take nothing, for longer than is allowed, and no others.
 func TestVanished(t *testing.T) {
-	n, w, _ := listening(t)
-	n.lim.Idle, n.lim.Stalled = 10*second, 5*second
-	quiet, _ := w.stands()
-	stuck, host := w.stands()
-	sound, soundHost := w.stands()
+	n, w, _ := newRecordingNode(t)
+	n.limits.Idle, n.limits.Stalled = 10*second, 5*second
+	quiet, _ := w.establish()
+	stuck, host := w.establish()
+	sound, soundHost := w.establish()
 	w.up[stuck] = false // takes nothing more
-	w.bytes(stuck, "say\r\n")
-	w.bytes(host, "say\r\n")
+	w.receive(stuck, "say\r\n")
+	w.receive(host, "say\r\n")
 	for range 9 {
-		w.turn(second, func() {})
-		w.bytes(sound, "say\r\n")
-		w.bytes(soundHost, "say\r\n")
+		w.run(second, func() {})
+		w.receive(sound, "say\r\n")
+		w.receive(soundHost, "say\r\n")
 		if w.ended[stuck] == "" {
-			w.bytes(stuck, "say\r\n")
-			w.bytes(host, "say\r\n")
+			w.receive(stuck, "say\r\n")
+			w.receive(host, "say\r\n")
 		}
 	}
 	if w.ended[stuck] == "" || n.Count.Vanished != 1 {
 		t.Errorf("the stalled one ended %q, %d vanished", w.ended[stuck], n.Count.Vanished)
 	}
 	for range 3 {
-		w.turn(second, func() {})
-		w.bytes(sound, "say\r\n")
-		w.bytes(soundHost, "say\r\n")
+		w.run(second, func() {})
+		w.receive(sound, "say\r\n")
+		w.receive(soundHost, "say\r\n")
 	}
 	if w.ended[quiet] == "" || w.ended[sound] != "" || n.Count.Vanished != 2 {
 		t.Errorf("the silent one ended %q, the sound one %q, %d vanished", w.ended[quiet], w.ended[sound], n.Count.Vanished)
@@ -179,18 +179,18 @@
 // TestStarvedNodeBlamesNobody: while the node gets little of its core, set-ups that take long put no host aside; given
 // its core back, it takes them for what they are.
 func TestStarvedNodeBlamesNobody(t *testing.T) {
-	n, w, _ := listening(t)
+	n, w, _ := newRecordingNode(t)
 	no := 0
 	serve := func(flows int, late, took int64) {
 		for range flows {
 			n.Late(late, 0)
 			no++
 			was := n.Count.Connects
-			w.client(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", no, no))
+			w.openClient(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", no, no))
 			if n.Count.Connects > was {
-				id := w.connect()
+				id := w.connectLast()
 				n.Late(late, 0)
-				w.turn(took, func() { w.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
+				w.run(took, func() { w.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 	if n.Types[0].Busy > was {
 		t.Errorf("%d flows rejected by a node that is late itself", n.Types[0].Busy-was)
 	}
-	w.turn(5*second, func() {})
+	w.run(5*second, func() {})
 	serve(20, 0, 200*ms)
 	if n.Types[0].Busy == was {
 		t.Error("slow set-ups mean nothing to a node that is in time")
--- a/node/limits.go
+++ b/node/limits.go
@@ -78,42 +78,42 @@
 	return name
 }
 
-// keptLimit is a limit as this node keeps its part of it.
-type keptLimit struct {
+// localLimit is a limit as this node keeps its part of it.
+type localLimit struct {
 	FleetLimit
-	name   string
-	id     uint32
-	rate   *limits.Limits   // one of the two
-	once   *permits.Permits // by whom the key of a host is in hand beforehand
-	wanted map[*host]int64  // hosts that had no permit left for a flow, and when
-	cold   []*host          // that a grant may be asked for, where it is over these
+	name        string
+	id          uint32
+	rate        *limits.Limits   // one of the two
+	concurrent  *permits.Permits // by whom the key of a host is in hand beforehand
+	exhaustedAt map[*host]int64  // hosts that had no permit left for a flow, and when
+	coldHosts   []*host          // that a grant may be asked for, where it is over these
 }
 
 // permit is what a flow has of a limit, to be given back.
 type permit struct {
-	of  *keptLimit
-	key uint64
+	limit *localLimit
+	key   uint64
 }
 
-func (n *Node) newLimits(of []FleetLimit, process uint64, nodes int) (all []*keptLimit) {
+func (n *Node) newLimits(of []FleetLimit, process uint64, nodes int) (all []*localLimit) {
 	for _, l := range of {
-		k := &keptLimit{FleetLimit: l, name: l.name(), id: uint32(hash(l.name()))}
+		k := &localLimit{FleetLimit: l, name: l.name(), id: uint32(hash(l.name()))}
 		if l.Over == OverCold {
-			k.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(k, key) }, process, nodes, owner{n})
-			n.cluster.overload.ColdByGrant(func(s *balance.Server) bool { return n.cluster.leases.Lent(int(k.mixed(s.Name) % lease.Slots)) })
+			k.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(k, key) }, process, nodes, keyOwner{n})
+			n.cluster.overload.ColdByGrant(func(s *balance.Server) bool { return n.cluster.leases.Lent(int(k.nameKey(s.Name) % lease.Slots)) })
 		} else if l.AtOnce.Most > 0 {
-			k.once, k.wanted = permits.New(l.AtOnce, process, nodes, owner{n}), map[*host]int64{}
+			k.concurrent, k.exhaustedAt = permits.New(l.AtOnce, process, nodes, keyOwner{n}), map[*host]int64{}
 		} else {
-			k.rate = limits.New(l.Rate, process, nodes, owner{n})
+			k.rate = limits.New(l.Rate, process, nodes, keyOwner{n})
 		}
 		all = append(all, k)
 	}
 	// What can be given back comes first, so that a rate is not used up by flows that are refused after all.
 	// And cold hosts last: a flow that is refused takes nothing of theirs.
-	rank := func(l *keptLimit) int {
+	rank := func(l *localLimit) int {
 		return map[bool]int{true: 2}[l.Over == OverCold] + map[bool]int{true: 1}[l.AtOnce.Most == 0]
 	}
-	slices.SortStableFunc(all, func(x, y *keptLimit) int { return cmp.Compare(rank(x), rank(y)) })
+	slices.SortStableFunc(all, func(x, y *localLimit) int { return cmp.Compare(rank(x), rank(y)) })
 	return all
 }
 
@@ -124,14 +124,14 @@
 	}
 	known = len(all) == len(n.cluster.limits)
 	for _, l := range all {
-		i := slices.IndexFunc(n.cluster.limits, func(k *keptLimit) bool { return k.name == l.name() })
+		i := slices.IndexFunc(n.cluster.limits, func(k *localLimit) bool { return k.name == l.name() })
 		if i < 0 {
 			known = false
 			continue
 		}
 		k := n.cluster.limits[i]
-		if k.FleetLimit = l; k.once != nil {
-			k.once.Set(l.AtOnce)
+		if k.FleetLimit = l; k.concurrent != nil {
+			k.concurrent.Set(l.AtOnce)
 		} else {
 			k.rate.Set(l.Rate)
 		}
@@ -139,24 +139,24 @@
 	return known
 }
 
-// key is what of a limit a flow counts for; ok is false where it does not.
-func (l *keptLimit) key(n *Node, f *flow) (key uint64, ok bool) {
+// flowKey is what of a limit a flow counts for; ok is false where it does not.
+func (l *localLimit) flowKey(n *Node, f *flow) (key uint64, ok bool) {
 	switch l.Over {
 	case OverAddress:
-		return l.mixed(f.client.at.String()), f.client.at.IsValid()
+		return l.nameKey(f.client.limitPrefix.String()), f.client.limitPrefix.IsValid()
 	case OverType:
-		return l.mixed(f.typeName(n)), l.Of == "" || l.Of == f.typeName(n)
+		return l.nameKey(f.typeName(n)), l.Of == "" || l.Of == f.typeName(n)
 	case OverGroup:
 		if f.group == nil {
 			return 0, false
 		}
-		return l.keyOf(f.group.Hash), l.Of == "" || hash(l.Of) == f.group.Hash
+		return l.mixKey(f.group.Hash), l.Of == "" || hash(l.Of) == f.group.Hash
 	}
 	return 0, false
 }
 
 func (f *flow) typeName(n *Node) string {
-	for name, no := range n.set.Names {
+	for name, no := range n.settings.Names {
 		if no == f.TypeNo {
 			return name
 		}
@@ -164,41 +164,41 @@
 	return ""
 }
 
-func (l *keptLimit) mixed(name string) uint64 { return l.keyOf(hash(name)) }
+func (l *localLimit) nameKey(name string) uint64 { return l.mixKey(hash(name)) }
 
-// keyOf keeps the keys of two limits apart, and spreads them over slots.
-func (l *keptLimit) keyOf(h uint64) uint64 {
+// mixKey keeps the keys of two limits apart, and spreads them over slots.
+func (l *localLimit) mixKey(h uint64) uint64 {
 	h = (h ^ uint64(l.id)<<32) * 0x9e3779b97f4a7c15
 	return h ^ h>>31
 }
 
-func (l *keptLimit) hostKey(h *host) (key uint64, ok bool) {
-	return l.mixed(h.uid), l.Over == OverHost && (l.Of == "" || l.Of == h.uid)
+func (l *localLimit) hostKey(h *host) (key uint64, ok bool) {
+	return l.nameKey(h.uid), l.Over == OverHost && (l.Of == "" || l.Of == h.uid)
 }
 
-// owner tells who owns a key, as this process knows it.
-type owner struct{ n *Node }
+// keyOwner tells who owns a key, as this process knows it.
+type keyOwner struct{ n *Node }
 
-func (o owner) Mine(key uint64) (since, until int64, ok bool) {
+func (o keyOwner) Mine(key uint64) (since, until int64, ok bool) {
 	l, s := o.n.cluster.leases, int(key%lease.Slots)
 	since, ok = l.Owned(s)
 	return since, l.Until(s), ok
 }
 
-func (o owner) Who(key uint64) int { return o.n.first(int(key % lease.Slots)) }
+func (o keyOwner) Who(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
-// first is the node that should own a slot: of this one and those that are linked, the first by hash of slot and name.
+// believedOwner is the node that should own a slot: of this one and those that are linked, the first by hash of slot and name.
 // Under 0 it is this one. A belief, and nothing but who asks whom rests on it.
-func (n *Node) first(slot int) (no int) {
+func (n *Node) believedOwner(slot int) (no int) {
 	rank := func(name uint32) uint64 {
 		x := (uint64(slot)<<32 | uint64(name)) * 0x9e3779b97f4a7c15
 		x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 		return x ^ x>>32
 	}
 	no = -1
-	best := rank(uint32(hash(n.conf.Cluster.Name)))
+	best := rank(uint32(hash(n.config.Cluster.Name)))
 	m := n.cluster.members
-	for i := range n.conf.Cluster.Others {
+	for i := range n.config.Cluster.Others {
 		name, ok := m.Name(i)
 		if !ok || m.Standing(i) != members.Linked {
 			continue
@@ -210,8 +210,8 @@
 	return no
 }
 
-// turnCluster begins a turn for what belongs to the fleet: what has run out ends before anything else is done.
-func (n *Node) turnCluster() {
+// updateCluster begins a turn for what belongs to the fleet: what has run out ends before anything else is done.
+func (n *Node) updateCluster() {
 	k := n.cluster
 	if k == nil {
 		return
@@ -223,172 +223,172 @@
 	k.leases.Turn(n.now)
 	for _, l := range k.limits {
 		if l.rate != nil {
-			n.settleRate(l, l.rate.Turn(n.now, n.teller(l)))
+			n.settleRate(l, l.rate.Turn(n.now, n.limitSender(l)))
 			continue
 		}
-		if l.Over == OverHost && l.once.Due(n.now) {
-			n.keepHosts(l)
+		if l.Over == OverHost && l.concurrent.Due(n.now) {
+			n.keepHostPermits(l)
 		}
-		done, over := l.once.Turn(n.now, n.teller(l))
-		n.settleOnce(l, done)
+		done, over := l.concurrent.Turn(n.now, n.limitSender(l))
+		n.settleConcurrent(l, done)
 		for _, e := range over {
-			n.endOver(l, e)
+			n.endExcessFlows(l, e)
 		}
 	}
 }
 
-// tendLeases asks for the slots that are this node's.
-func (n *Node) tendLeases() {
+// requestLeases asks for the slots that are this node's.
+func (n *Node) requestLeases() {
 	k := n.cluster
 	if k.leases == nil {
 		return
 	}
-	if k.names = k.names[:0]; n.conf.Cluster.Others > 0 {
+	if k.desiredSlots = k.desiredSlots[:0]; n.config.Cluster.Others > 0 {
 		for s := range lease.Slots {
-			k.names = append(k.names, n.first(s) < 0)
+			k.desiredSlots = append(k.desiredSlots, n.believedOwner(s) < 0)
 		}
 	}
-	k.leases.Ask(func(s int) bool { return len(k.names) == 0 || k.names[s] }, func(p []byte) {
-		for to := range n.conf.Cluster.Others {
-			n.tellOne(to, p)
+	k.leases.Ask(func(s int) bool { return len(k.desiredSlots) == 0 || k.desiredSlots[s] }, func(p []byte) {
+		for to := range n.config.Cluster.Others {
+			n.sendToNode(to, p)
 		}
 	})
 }
 
-func (n *Node) tellOne(to int, p []byte) {
+func (n *Node) sendToNode(to int, p []byte) {
 	if m := n.cluster.members; m != nil {
-		m.Send(n.now, to, p, n.conf.Cluster.Send)
+		m.Send(n.now, to, p, n.config.Cluster.Send)
 	}
 }
 
 const (
-	limitKind = 10    // what is about one limit: its id, and the word of its core
-	limitHead = 1 + 4 // bytes
+	limitMessageKind = 10    // what is about one limit: its id, and the word of its core
+	limitHeaderSize  = 1 + 4 // bytes
 )
 
-func (l *keptLimit) wrap(p []byte) []byte {
-	return append(binary.LittleEndian.AppendUint32([]byte{limitKind}, l.id), p...)
+func (l *localLimit) encode(p []byte) []byte {
+	return append(binary.LittleEndian.AppendUint32([]byte{limitMessageKind}, l.id), p...)
 }
 
-func (n *Node) teller(l *keptLimit) func(to int, p []byte) {
-	return func(to int, p []byte) { n.tellOne(to, l.wrap(p)) }
+func (n *Node) limitSender(l *localLimit) func(to int, p []byte) {
+	return func(to int, p []byte) { n.sendToNode(to, l.encode(p)) }
 }
 
-// limited tells whether a flow waits for the fleet's word, or has been refused by it.
-func (n *Node) limited(f *flow) bool {
+// blockedByLimit tells whether a flow waits for the fleet's word, or has been refused by it.
+func (n *Node) blockedByLimit(f *flow) bool {
 	k := n.cluster
-	if k == nil || f.stood {
+	if k == nil || f.rejoins {
 		return false
 	}
-	for f.gate < len(k.limits) {
-		l := k.limits[f.gate]
+	for f.nextLimit < len(k.limits) {
+		l := k.limits[f.nextLimit]
 		if l.Over == OverCold {
-			if n.asksCold(f, l) {
+			if n.awaitsColdGrant(f, l) {
 				return true
 			}
-			f.gate++
+			f.nextLimit++
 			continue
 		}
-		key, ok := l.key(n, f)
+		key, ok := l.flowKey(n, f)
 		if !ok {
-			f.gate++
+			f.nextLimit++
 			continue
 		}
 		var yes, waits bool
-		if l.once != nil {
-			yes, waits = l.once.Take(key, f, n.teller(l))
+		if l.concurrent != nil {
+			yes, waits = l.concurrent.Take(key, f, n.limitSender(l))
 		} else {
-			yes, waits = l.rate.Take(key, f, n.teller(l))
+			yes, waits = l.rate.Take(key, f, n.limitSender(l))
 		}
 		if waits {
-			f.asksFor = key
+			f.pendingKey = key
 			return true
 		}
 		if !yes {
-			n.refuse(f, l)
+			n.refuseFlow(f, l)
 			return true
 		}
-		f.pass(l, key)
+		f.passLimit(l, key)
 	}
 	return false
 }
 
-// pass is that a flow is let pass by a limit.
-func (f *flow) pass(l *keptLimit, key uint64) {
-	if f.gate++; l.once != nil {
+// passLimit is that a flow is let pass by a limit.
+func (f *flow) passLimit(l *localLimit, key uint64) {
+	if f.nextLimit++; l.concurrent != nil {
 		f.permits = append(f.permits, permit{l, key})
 	}
 }
 
-// release gives back what a flow had.
-func (f *flow) release() {
+// releasePermits gives back what a flow had.
+func (f *flow) releasePermits() {
 	for _, p := range f.permits {
-		p.of.once.Done(p.key)
+		p.limit.concurrent.Done(p.key)
 	}
 	f.permits = nil
 }
 
-// refuse rejects a flow that the module has not heard of.
-func (n *Node) refuse(f *flow, l *keptLimit) {
-	n.note("limited", l.name)
-	n.answered(f, capture.Rejected)
-	n.drop(f)
-	n.answer(f.client, n.busyLine())
+// refuseFlow rejects a flow that the module has not heard of.
+func (n *Node) refuseFlow(f *flow, l *localLimit) {
+	n.logThrottled("limited", l.name)
+	n.countAnswer(f, capture.Rejected)
+	n.removeFlow(f)
+	n.sendFinalLine(f.client, n.busyAnswer())
 }
 
-func (n *Node) busyLine() string {
-	if wait := n.set.MaxWait / 2; wait > 0 {
+func (n *Node) busyAnswer() string {
+	if wait := n.settings.MaxWait / 2; wait > 0 {
 		return fmt.Sprintf("BUSY %d\r\n", wait/ms)
 	}
 	return "BUSY\r\n"
 }
 
-func (n *Node) settleRate(l *keptLimit, done []limits.Answer) {
+func (n *Node) settleRate(l *localLimit, done []limits.Answer) {
 	for _, a := range done {
-		if q, ok := a.Waiter.(*coldAsk); ok {
-			n.coldTold(l, q, a)
+		if q, ok := a.Waiter.(*coldRequest); ok {
+			n.coldAnswered(l, q, a)
 			continue
 		}
-		n.settle(l, a.Waiter.(*flow), a.Yes)
+		n.settleFlow(l, a.Waiter.(*flow), a.Yes)
 	}
 }
 
-func (n *Node) settleOnce(l *keptLimit, done []permits.Answer) {
+func (n *Node) settleConcurrent(l *localLimit, done []permits.Answer) {
 	for _, a := range done {
-		n.settle(l, a.Waiter.(*flow), a.Yes)
+		n.settleFlow(l, a.Waiter.(*flow), a.Yes)
 	}
 }
 
-// waitsForFleet gives the limit for whose word a flow waits; nil where the module has heard of it.
-func (n *Node) waitsForFleet(f *flow) *keptLimit {
-	if k := n.cluster; k != nil && f.gate < len(k.limits) {
-		return k.limits[f.gate]
+// pendingLimit gives the limit for whose word a flow waits; nil where the module has heard of it.
+func (n *Node) pendingLimit(f *flow) *localLimit {
+	if k := n.cluster; k != nil && f.nextLimit < len(k.limits) {
+		return k.limits[f.nextLimit]
 	}
 	return nil
 }
 
-// settle lets a flow go on that waited, or refuses it.
-func (n *Node) settle(l *keptLimit, f *flow, yes bool) {
-	key := f.asksFor // one that is over has no group any more
+// settleFlow lets a flow go on that waited, or refuses it.
+func (n *Node) settleFlow(l *localLimit, f *flow, yes bool) {
+	key := f.pendingKey // one that is over has no group any more
 	switch {
-	case f.over && yes && l.once != nil:
-		l.once.Done(key) // it did not wait for its answer
-	case f.over:
+	case f.ended && yes && l.concurrent != nil:
+		l.concurrent.Done(key) // it did not wait for its answer
+	case f.ended:
 	case yes:
-		if f.pass(l, key); !n.limited(f) {
-			n.b.Demand(&f.Flow)
+		if f.passLimit(l, key); !n.blockedByLimit(f) {
+			n.decider.Demand(&f.Flow)
 		}
 	default:
-		n.refuse(f, l)
+		n.refuseFlow(f, l)
 	}
 }
 
-// endOver ends flows that have no permit any more: those that wait, then the newest of the established, then set-ups.
-func (n *Node) endOver(l *keptLimit, e permits.Excess) {
+// endExcessFlows ends flows that have no permit any more: those that wait, then the newest of the established, then set-ups.
+func (n *Node) endExcessFlows(l *localLimit, e permits.Excess) {
 	var all []*flow
-	for _, s := range n.flows.all {
-		f := s.v
-		if f == nil || f.over {
+	for _, s := range n.flows.entries {
+		f := s.value
+		if f == nil || f.ended {
 			continue
 		}
 		if key, ok := uint64(0), false; f.host != nil && l.Over == OverHost {
@@ -401,47 +401,47 @@
 	}
 	order := map[Stage]int{Waiting: 0, Established: 1, Dialing: 2, Asked: 3}
 	slices.SortStableFunc(all, func(x, y *flow) int {
-		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.stoodAt, x.stoodAt))
+		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.establishedAt, x.establishedAt))
 	})
 	for _, f := range all[:min(e.N, len(all))] {
-		n.note("permit_ran_out", l.name)
-		f.release()
+		n.logThrottled("permit_ran_out", l.name)
+		f.releasePermits()
 		if f.stage == Established {
 			n.Move(&f.Flow)
 			continue
 		}
-		c, answer, line := f.client, byte(capture.Rejected), n.busyLine()
+		c, answer, line := f.client, byte(capture.Rejected), n.busyAnswer()
 		if f.stage == Asked {
 			answer, line = capture.Aborted, "ERR\r\n" // it may have run
 		}
-		n.answered(f, answer)
+		n.countAnswer(f, answer)
 		n.withdraw(f)
-		n.answer(c, line)
+		n.sendFinalLine(c, line)
 	}
 }
 
-const wantedFor = 2 * second // after it had none left for a flow, more permits for a host are kept in hand
+const exhaustedFor = 2 * second // after it had none left for a flow, more permits for a host are kept in hand
 
-// keepHosts says what this node has at hosts, and how much more it wants to have in hand.
-func (n *Node) keepHosts(l *keptLimit) {
-	nodes := n.conf.Cluster.Others + 1
-	for _, h := range n.fleet {
+// keepHostPermits says what this node has at hosts, and how much more it wants to have in hand.
+func (n *Node) keepHostPermits(l *localLimit) {
+	nodes := n.config.Cluster.Others + 1
+	for _, h := range n.hostList {
 		key, ok := l.hostKey(h)
 		if !ok {
 			continue
 		}
 		use, spare := h.Flows(), 0
-		switch at, asked := l.wanted[h]; {
+		switch at, asked := l.exhaustedAt[h]; {
 		case h.State != balance.Up:
-		case asked && n.now-at < wantedFor:
+		case asked && n.now-at < exhaustedFor:
 			spare = 1 + use/4
 		case use == 0 || l.AtOnce.Most >= 4*nodes:
 			spare = 1
 		}
-		if asked := l.wanted[h]; n.now-asked >= wantedFor {
-			delete(l.wanted, h)
+		if asked := l.exhaustedAt[h]; n.now-asked >= exhaustedFor {
+			delete(l.exhaustedAt, h)
 		}
-		l.once.Keep(key, use, spare)
+		l.concurrent.Keep(key, use, spare)
 	}
 }
 
@@ -456,8 +456,8 @@
 	room := b.Bounds.Room(s, f)
 	if h := b.n.hosts[s.Name]; room > 0 && h != nil {
 		for _, l := range b.n.cluster.limits {
-			if key, ok := l.hostKey(h); ok && h.Flows() >= l.once.May(key) {
-				l.wanted[h] = b.n.now
+			if key, ok := l.hostKey(h); ok && h.Flows() >= l.concurrent.May(key) {
+				l.exhaustedAt[h] = b.n.now
 				return 0
 			}
 		}
@@ -465,38 +465,38 @@
 	return room
 }
 
-// takeOver counts a flow that the process before hands over, with what it had: for so many microseconds still.
-func (n *Node) takeOver(f *flow, before uint64, left int64) {
+// adoptPermits counts a flow that the process before hands over, with what it had: for so many microseconds still.
+func (n *Node) adoptPermits(f *flow, before uint64, left int64) {
 	k := n.cluster
 	if k == nil || before == 0 {
 		return
 	}
-	f.gate = len(k.limits)
+	f.nextLimit = len(k.limits)
 	for _, l := range k.limits {
-		if l.once == nil {
+		if l.concurrent == nil {
 			continue
 		}
-		if key, ok := l.key(n, f); ok {
-			l.once.TakeOver(key, before, left)
+		if key, ok := l.flowKey(n, f); ok {
+			l.concurrent.TakeOver(key, before, left)
 			f.permits = append(f.permits, permit{l, key})
 		} else if key, ok := l.hostKey(f.host); ok {
-			l.once.TakeOver(key, before, left)
+			l.concurrent.TakeOver(key, before, left)
 		}
 	}
 }
 
-// leaves is for how long what a flow has still counts, for the process that takes over.
-func (n *Node) leaves(f *flow) (left int64) {
+// permitTimeLeft is for how long what a flow has still counts, for the process that takes over.
+func (n *Node) permitTimeLeft(f *flow) (left int64) {
 	if n.cluster == nil {
 		return 0
 	}
 	left = permits.Use
 	for _, p := range f.permits {
-		left = min(left, p.of.once.Left(p.key))
+		left = min(left, p.limit.concurrent.Left(p.key))
 	}
 	for _, l := range n.cluster.limits {
 		if key, ok := l.hostKey(f.host); ok {
-			left = min(left, l.once.Left(key))
+			left = min(left, l.concurrent.Left(key))
 		}
 	}
 	return left
@@ -508,51 +508,51 @@
 		return
 	}
 	for _, l := range n.cluster.limits {
-		if l.once != nil {
-			l.once.Yield()
+		if l.concurrent != nil {
+			l.concurrent.Yield()
 		}
 	}
 }
 
-// limitTold takes what another node says of leases and limits; false for what is about neither.
-func (n *Node) limitTold(from int, w members.Word) bool {
+// receiveLimitMessage takes what another node says of leases and limits; false for what is about neither.
+func (n *Node) receiveLimitMessage(from int, w members.Word) bool {
 	k := n.cluster
 	if k.leases == nil {
 		return false
 	}
 	p := w.Payload
-	if k.leases.Take(from+1, w.Process, p, func(p []byte) { n.tellOne(from, p) }) {
+	if k.leases.Take(from+1, w.Process, p, func(p []byte) { n.sendToNode(from, p) }) {
 		return true
 	}
-	if len(p) <= limitHead || p[0] != limitKind {
+	if len(p) <= limitHeaderSize || p[0] != limitMessageKind {
 		return false
 	}
 	id := binary.LittleEndian.Uint32(p[1:])
-	i := slices.IndexFunc(k.limits, func(l *keptLimit) bool { return l.id == id })
+	i := slices.IndexFunc(k.limits, func(l *localLimit) bool { return l.id == id })
 	if i < 0 {
-		k.unknown++ // the files of two nodes differ
+		k.unknownLimits++ // the files of two nodes differ
 		return true
 	}
-	l, p := k.limits[i], p[limitHead:]
-	answer := func(p []byte) { n.tellOne(from, l.wrap(p)) }
-	if l.once != nil {
-		if l.once.TakeAsk(w.Process, p, answer) {
+	l, p := k.limits[i], p[limitHeaderSize:]
+	answer := func(p []byte) { n.sendToNode(from, l.encode(p)) }
+	if l.concurrent != nil {
+		if l.concurrent.TakeAsk(w.Process, p, answer) {
 			return true
 		}
-		done, ok := l.once.Told(from, p)
-		n.settleOnce(l, done)
+		done, ok := l.concurrent.Told(from, p)
+		n.settleConcurrent(l, done)
 		return ok
 	}
 	if l.rate.TakeAsk(p, answer) {
 		return true
 	}
-	done, ok := l.rate.Told(from, p, n.teller(l))
+	done, ok := l.rate.Told(from, p, n.limitSender(l))
 	n.settleRate(l, done)
 	return ok
 }
 
-// limitText is the limits' figures for operators; empty where there are none.
-func (n *Node) limitText() string {
+// limitMetrics is the limits' figures for operators; empty where there are none.
+func (n *Node) limitMetrics() string {
 	k := n.cluster
 	if k.leases == nil {
 		return ""
@@ -564,10 +564,10 @@
 			owned++
 		}
 	}
-	fmt.Fprintf(&b, "limit_slots_owned=%d\nlimit_unknown=%d\n", owned, k.unknown)
+	fmt.Fprintf(&b, "limit_slots_owned=%d\nlimit_unknown=%d\n", owned, k.unknownLimits)
 	for _, l := range k.limits {
 		add := func(name string, v int64) { fmt.Fprintf(&b, "limit.%s.%s=%d\n", l.name, name, v) }
-		if o := l.once; o != nil {
+		if o := l.concurrent; o != nil {
 			used, books := o.Keys()
 			add("held", int64(o.Used()))
 			add("granted", o.Granted)
@@ -592,7 +592,7 @@
 	return b.String()
 }
 
-// limitsAddresses tells whether a limit is over clients' addresses.
-func (n *Node) limitsAddresses() bool {
-	return n.cluster != nil && slices.ContainsFunc(n.cluster.limits, func(l *keptLimit) bool { return l.Over == OverAddress })
+// limitsByAddress tells whether a limit is over clients' addresses.
+func (n *Node) limitsByAddress() bool {
+	return n.cluster != nil && slices.ContainsFunc(n.cluster.limits, func(l *localLimit) bool { return l.Over == OverAddress })
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -9,27 +9,27 @@
 	"coursewinch/cluster/permits"
 )
 
-// keeping gives a node that is a fleet of its own and owns all keys, with limits.
-func keeping(hosts int, all ...FleetLimit) (*Node, *wires) {
-	n, w := readyWith(hosts, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Limits: all}})
-	n.set.Groups, w.from, w.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
+// newLimitedNode gives a node that is a fleet of its own and owns all keys, with limits.
+func newLimitedNode(hosts int, all ...FleetLimit) (*Node, *fakeNet) {
+	n, w := newNodeWith(hosts, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Limits: all}})
+	n.settings.Groups, w.from, w.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
-		w.turn(50*ms, func() {}) // until no process before it may have owned or had anything
+		w.run(50*ms, func() {}) // until no process before it may have owned or had anything
 	}
 	return n, w
 }
 
-// come is a client that asks and, where the node connects it, is set up.
-func (w *wires) come(line string) uint64 {
-	id := w.client(line)
-	w.turn(20*ms, func() {})
-	if host := w.last(); w.to[host] != "" && !w.up[host] {
-		w.bytes(w.connect(), "UP 7\r\n")
+// openAndAnswer is a client that asks and, where the node connects it, is set up.
+func (w *fakeNet) openAndAnswer(line string) uint64 {
+	id := w.openClient(line)
+	w.run(20*ms, func() {})
+	if host := w.lastConn(); w.address[host] != "" && !w.up[host] {
+		w.receive(w.connectLast(), "UP 7\r\n")
 	}
 	return id
 }
 
-func atOnce(over, of string, most int) FleetLimit {
+func concurrentLimit(over, of string, most int) FleetLimit {
 	return FleetLimit{Over: over, Of: of, AtOnce: permits.Limit{Most: most, Strict: true}, Rate: limits.Limit{Strict: true}}
 }
 
@@ -41,22 +41,22 @@
 		line string
 		pass int // of four that come
 	}{
-		{"address", atOnce(OverAddress, "", 2), asks, 2},
-		{"type", atOnce(OverType, "chat", 3), asks, 3},
-		{"another type", atOnce(OverType, "other", 1), asks, 4},
-		{"group", atOnce(OverGroup, "", 1), "OPEN 1 2 c=chat,d=2000,g=red\r\n", 1},
-		{"no group", atOnce(OverGroup, "", 1), asks, 4},
-		{"host", atOnce(OverHost, "", 1), asks, 2}, // at each of two
-		{"one host", atOnce(OverHost, "s-0", 1), asks, 4},
-		{"rate", FleetLimit{Over: OverType, Rate: limits.Limit{Rate: 1, Burst: 3, Strict: true}}, asks, 2},
+		{"address", concurrentLimit(OverAddress, "", 2), openLine, 2},
+		{"type", concurrentLimit(OverType, "chat", 3), openLine, 3},
+		{"another type", concurrentLimit(OverType, "other", 1), openLine, 4},
+		{"group", concurrentLimit(OverGroup, "", 1), "OPEN 1 2 c=chat,d=2000,g=red\r\n", 1},
+		{"no group", concurrentLimit(OverGroup, "", 1), openLine, 4},
+		{"host", concurrentLimit(OverHost, "", 1), openLine, 2}, // at each of two
+		{"one host", concurrentLimit(OverHost, "s-0", 1), openLine, 4},
+		{"rate", FleetLimit{Over: OverType, Rate: limits.Limit{Rate: 1, Burst: 3, Strict: true}}, openLine, 2},
 	} {
-		n, w := keeping(2, c.of)
+		n, w := newLimitedNode(2, c.of)
 		if err := c.of.Check(1); err != nil {
 			t.Fatal(err)
 		}
 		var clients []uint64
 		for range 4 {
-			clients = append(clients, w.come(c.line))
+			clients = append(clients, w.openAndAnswer(c.line))
 		}
 		refused := 0
 		for _, id := range clients {
@@ -69,16 +69,16 @@
 		}
 		for _, id := range clients {
 			if n.conns.get(id) != nil {
-				w.turn(1, func() { w.n.Ended(id, nil) })
+				w.run(1, func() { w.node.Ended(id, nil) })
 			}
 		}
 		for range 40 {
-			w.turn(50*ms, func() {})
+			w.run(50*ms, func() {})
 		}
-		if l := n.cluster.limits[0]; l.once != nil && l.once.Used() != 0 {
-			t.Errorf("%s: %d in use after all have ended", c.name, l.once.Used())
+		if l := n.cluster.limits[0]; l.concurrent != nil && l.concurrent.Used() != 0 {
+			t.Errorf("%s: %d in use after all have ended", c.name, l.concurrent.Used())
 		}
-		if again := w.come(c.line); strings.HasPrefix(w.sent[again], "BUSY") {
+		if again := w.openAndAnswer(c.line); strings.HasPrefix(w.sent[again], "BUSY") {
 			t.Errorf("%s: refused after all have ended", c.name)
 		}
 	}
@@ -86,22 +86,22 @@
 
 // TestLoweredWhileItRuns: figures change at once, and what is over ends; a limit that is not there waits for the next start.
 func TestLoweredWhileItRuns(t *testing.T) {
-	n, w := keeping(2, atOnce(OverType, "", 4))
+	n, w := newLimitedNode(2, concurrentLimit(OverType, "", 4))
 	for range 4 {
-		w.come(asks)
+		w.openAndAnswer(openLine)
 	}
-	if n.SetLimits([]FleetLimit{atOnce(OverGroup, "", 4)}) || n.SetLimits([]FleetLimit{atOnce(OverType, "", 4), atOnce(OverGroup, "", 4)}) || !n.SetLimits([]FleetLimit{atOnce(OverType, "", 1)}) {
+	if n.SetLimits([]FleetLimit{concurrentLimit(OverGroup, "", 4)}) || n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 4), concurrentLimit(OverGroup, "", 4)}) || !n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 1)}) {
 		t.Error("which limits are there is not told apart")
 	}
 	for range 10 {
-		w.turn(50*ms, func() {})
+		w.run(50*ms, func() {})
 	}
-	if used := n.cluster.limits[0].once.Used(); used != 1 {
+	if used := n.cluster.limits[0].concurrent.Used(); used != 1 {
 		t.Errorf("%d in use of 1", used)
 	}
 	moved := 0
 	for _, sent := range w.sent {
-		moved += strings.Count(sent, moveWord)
+		moved += strings.Count(sent, moveLine)
 	}
 	if moved != 3 {
 		t.Errorf("%d were told to come again", moved)
@@ -116,33 +116,33 @@
 			if i%2 == 0 {
 				all = append(all, FleetLimit{Over: OverType, Of: []string{"", "chat"}[i/2%2], Rate: limits.Limit{Rate: 1e5, Burst: 1e5, Strict: true}})
 			} else {
-				all = append(all, atOnce([]string{OverAddress, OverType, OverGroup}[i/2%3], "", 60000))
+				all = append(all, concurrentLimit([]string{OverAddress, OverType, OverGroup}[i/2%3], "", 60000))
 			}
 		}
 		b.Run(map[bool]string{true: "none", false: "ten"}[count == 0], func(b *testing.B) {
-			n, w := keeping(2, all...)
-			c := &conn{at: netip.MustParsePrefix("10.0.0.1/32")}
+			n, w := newLimitedNode(2, all...)
+			c := &conn{limitPrefix: netip.MustParsePrefix("10.0.0.1/32")}
 			for i := 0; b.Loop(); i++ {
 				if i%1000 == 0 {
-					w.turn(50*ms, func() {}) // what rates have is not used up
+					w.run(50*ms, func() {}) // what rates have is not used up
 				}
 				f := &flow{client: c, id: 1}
 				f.Ref = f
-				if n.limited(f) {
+				if n.blockedByLimit(f) {
 					b.Fatal("refused")
 				}
-				f.release()
+				f.releasePermits()
 			}
 		})
 	}
 }
 
-// asking gives a node that can't reach the owner of any key: it waits for its word, and then goes by its own part.
-func asking(all ...FleetLimit) (*Node, *wires) {
-	n, w := readyWith(2, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Others: 1, Limits: all, Send: func(int, []byte) {}}})
-	n.set.Groups, w.from, w.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
+// newCutOffNode gives a node that can't reach the owner of any key: it waits for its word, and then goes by its own part.
+func newCutOffNode(all ...FleetLimit) (*Node, *fakeNet) {
+	n, w := newNodeWith(2, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Others: 1, Limits: all, Send: func(int, []byte) {}}})
+	n.settings.Groups, w.from, w.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
-		w.turn(50*ms, func() {})
+		w.run(50*ms, func() {})
 	}
 	return n, w
 }
@@ -151,20 +151,20 @@
 // that a number at once can be over.
 func TestAPermitForAClientThatLeftIsGivenBack(t *testing.T) {
 	for _, over := range []string{OverAddress, OverType, OverGroup} {
-		of := atOnce(over, "", 8)
+		of := concurrentLimit(over, "", 8)
 		of.AtOnce.Strict, of.Rate.Strict = false, false
-		n, w := asking(of)
+		n, w := newCutOffNode(of)
 		for range 3 {
-			id := w.client("OPEN 1 2 c=chat,d=2000,g=red\r\n")
-			if f := n.conns.get(id).flow; f == nil || f.stage != Waiting || f.asksFor == 0 {
+			id := w.openClient("OPEN 1 2 c=chat,d=2000,g=red\r\n")
+			if f := n.conns.get(id).flow; f == nil || f.stage != Waiting || f.pendingKey == 0 {
 				t.Fatalf("over %s: it does not wait", over)
 			}
-			w.turn(1, func() { n.Ended(id, nil) })
+			w.run(1, func() { n.Ended(id, nil) })
 			for range 40 {
-				w.turn(50*ms, func() {})
+				w.run(50*ms, func() {})
 			}
 		}
-		l := n.cluster.limits[0].once
+		l := n.cluster.limits[0].concurrent
 		if l.Granted == 0 || l.Used() != 0 {
 			t.Errorf("over %s: %d let pass, %d in use after all have left", over, l.Granted, l.Used())
 		}
@@ -173,12 +173,12 @@
 
 // TestNoWordOfTheFleetInTime: a flow whose time is up before the fleet's word went nowhere, and its client may come again.
 func TestNoWordOfTheFleetInTime(t *testing.T) {
-	n, w := asking(atOnce(OverType, "", 8))
-	id := w.client("OPEN 1 2 c=chat,d=100\r\n")
+	n, w := newCutOffNode(concurrentLimit(OverType, "", 8))
+	id := w.openClient("OPEN 1 2 c=chat,d=100\r\n")
 	for range 120 {
-		w.turn(ms, func() {})
+		w.run(ms, func() {})
 	}
-	if !strings.HasPrefix(w.sent[id], "BUSY") || len(w.sent[id]) > 12 || n.flows.held != 0 {
+	if !strings.HasPrefix(w.sent[id], "BUSY") || len(w.sent[id]) > 12 || n.flows.count != 0 {
 		t.Errorf("answered %q", w.sent[id])
 	}
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -13,23 +13,23 @@
 // other.
 
 const (
-	CallPlaces = 16         // callers at once
-	callTime   = 5 * second // for a call to be whole and its answer taken
+	CallPlaces          = 16         // callers at once
+	operatorCallTimeout = 5 * second // for a call to be whole and its answer taken
 )
 
-// operators are the callers.
-type operators struct {
-	held     int
-	half     list.List // those with nothing whole yet, the one that came first in front
-	answered list.List // those whose answer is on its way or taken
+// operatorQueues are the callers.
+type operatorQueues struct {
+	count      int
+	incomplete list.List // those with nothing whole yet, the one that came first in front
+	answered   list.List // those whose answer is on its way or taken
 }
 
 // Call takes a connection on the admin address. When all places are taken, a caller that has its answer goes, then the
 // one that has waited longest with nothing whole. Guards whole calls against those who never finish one.
 func (n *Node) Call() (id uint64, in, out *lines.Ring, ok bool) {
-	q := &n.calls
-	for q.held >= CallPlaces {
-		old := q.half.Front()
+	q := &n.operatorCalls
+	for q.count >= CallPlaces {
+		old := q.incomplete.Front()
 		for e := q.answered.Front(); e != nil; e = e.Next() {
 			if e.Value.(*conn).out.Len() == 0 {
 				old = e
@@ -39,43 +39,43 @@
 		if old == nil {
 			return 0, nil, nil, false
 		}
-		if old.Value.(*conn).queue == &q.half {
+		if old.Value.(*conn).shedQueue == &q.incomplete {
 			n.Count.AdminShed++
 		}
 		n.close(old.Value.(*conn))
 	}
-	c := &conn{role: operator, up: true}
-	c.timer.due = func() { n.close(c) }
-	c.id = n.place(c)
-	q.held++
-	n.queue(c, &q.half)
-	n.times.set(&c.timer, n.now+callTime)
+	c := &conn{role: roleOperator, up: true}
+	c.timer.run = func() { n.close(c) }
+	c.id = n.register(c)
+	q.count++
+	n.setShedQueue(c, &q.incomplete)
+	n.deadlines.set(&c.timer, n.now+operatorCallTimeout)
 	return c.id, &c.in, &c.out, true
 }
 
-// called reads what a caller has sent so far, and answers once.
-func (n *Node) called(c *conn) {
-	if c.queue == &n.calls.answered {
-		c.drained += c.in.Len()
+// readCall reads what a caller has sent so far, and answers once.
+func (n *Node) readCall(c *conn) {
+	if c.shedQueue == &n.operatorCalls.answered {
+		c.drainedBytes += c.in.Len()
 		c.in.Drop(c.in.Len())
-		if c.drained > mostDrained {
+		if c.drainedBytes > maxDrainedBytes {
 			n.close(c) // guards the loop against a body without end
 		}
 		return
 	}
 	call, status, allow := admin.Read(c.in.Peek(c.in.Len()))
 	if status == 0 {
-		if c.ended {
+		if c.inputEnded {
 			n.close(c) // it sends no more, and there is nothing to answer
 		}
 		return
 	}
-	n.queue(c, &n.calls.answered)
+	n.setShedQueue(c, &n.operatorCalls.answered)
 	c.in.Drop(c.in.Len())
 	n.Count.AdminCalls++
 	body := admin.Reason(status) + "\n"
 	if status == admin.OK {
-		status, body = n.serve(call)
+		status, body = n.serveCall(call)
 	}
 	c.out.Widen()
 	if !c.out.Put(admin.Answer(status, allow, body)) {
@@ -85,8 +85,8 @@
 	n.net.Shut(c.id)
 }
 
-// serve does what a call asks.
-func (n *Node) serve(call admin.Call) (status int, body string) {
+// serveCall does what a call asks.
+func (n *Node) serveCall(call admin.Call) (status int, body string) {
 	switch call {
 	case admin.Ready:
 		if !n.Ready() {
@@ -94,7 +94,7 @@
 		}
 		return admin.OK, n.state() + "\n"
 	case admin.Metrics:
-		return admin.OK, n.metrics()
+		return admin.OK, n.metricsText()
 	case admin.Drain:
 		n.Drain()
 		return admin.OK, n.state() + "\n"
@@ -107,18 +107,18 @@
 
 // callSent and callEnded are told of a caller's connection.
 func (n *Node) callSent(c *conn) {
-	if c.ended && c.queue == &n.calls.answered && c.out.Len() == 0 {
+	if c.inputEnded && c.shedQueue == &n.operatorCalls.answered && c.out.Len() == 0 {
 		n.close(c)
 	}
 }
 
 func (n *Node) callEnded(c *conn) {
-	if c.err != nil || c.queue == &n.calls.half || c.out.Len() == 0 {
+	if c.err != nil || c.shedQueue == &n.operatorCalls.incomplete || c.out.Len() == 0 {
 		n.close(c) // with no whole call there is nothing to answer
 	}
 }
 
-const noList = "no list"
+const stateNoList = "no list"
 
 // state says in a word how the node stands. Only in the first does it take part in service.
 func (n *Node) state() string {
@@ -127,12 +127,12 @@
 		return "ending"
 	case n.drainAt > 0:
 		return "drained"
-	case n.twin.joining:
+	case n.handover.joining:
 		return "joining"
-	case n.twin.yielded:
+	case n.handover.yielded:
 		return "handed over"
-	case !n.listed():
-		return noList
+	case !n.hasList():
+		return stateNoList
 	}
 	return "ready"
 }
@@ -142,13 +142,13 @@
 // a process which has handed over speaks for the other.
 func (n *Node) Ready() bool { return n.state() == "ready" }
 
-func (n *Node) listed() bool {
+func (n *Node) hasList() bool {
 	if n.Count.Lists > 0 {
 		return true
 	} else if n.holdsFlows() {
 		return false
 	}
-	for _, h := range n.fleet {
+	for _, h := range n.hostList {
 		if h.State == balance.Up {
 			return true
 		}
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,46 +5,46 @@
 	"coursewinch/cluster/peers"
 )
 
-const mostHeard = 4096 // groups that peers alone have named
+const maxPeerHeldGroups = 4096 // groups that peers alone have named
 
 // Tell passes what the module has for the other nodes on to the sockets; without peers nobody hears it.
 func (n *Node) Tell(servers []*balance.Server, homes []balance.Home) {
-	if n.conf.Tell != nil {
-		peers.Write(servers, homes, n.conf.Tell)
+	if n.config.Tell != nil {
+		peers.Write(servers, homes, n.config.Tell)
 	}
 }
 
 // Heard takes a datagram of another node. What makes no sense, or names hosts that the list doesn't, is dropped.
 func (n *Node) Heard(p []byte) {
-	defer n.guard(nil)
+	defer n.recoverPanic(nil)
 	if !peers.Read(p, func(host uint32, busy float64) {
-		if h := n.short[host]; h != nil {
-			n.b.Reported(&h.Server, busy, false)
+		if h := n.hostsByShortHash[host]; h != nil {
+			n.decider.Reported(&h.Server, busy, false)
 		}
-	}, n.heardHome) {
-		n.note("peer_unread", "a datagram that is none of ours")
+	}, n.peerHoldsGroup) {
+		n.logThrottled("peer_unread", "a datagram that is none of ours")
 	}
 }
 
-// heardHome keeps where others hold a group for the time when this node meets it.
-func (n *Node) heardHome(group, host uint32) {
-	h := n.short[host]
+// peerHoldsGroup keeps where others hold a group for the time when this node meets it.
+func (n *Node) peerHoldsGroup(group, host uint32) {
+	h := n.hostsByShortHash[host]
 	if h == nil {
 		return
 	}
-	if len(n.away) >= mostHeard {
-		clear(n.away) // guards the memory; what still holds is told again
+	if len(n.peerHeldGroups) >= maxPeerHeldGroups {
+		clear(n.peerHeldGroups) // guards the memory; what still holds is told again
 	}
-	n.away[group] = h
-	if g := n.groups[n.whole[group]]; g != nil {
-		n.b.Held(&g.Group, &h.Server)
+	n.peerHeldGroups[group] = h
+	if g := n.groups[n.groupHashes[group]]; g != nil {
+		n.decider.Held(&g.Group, &h.Server)
 	}
 }
 
-// meet tells the module of a new group what others said of it before.
-func (n *Node) meet(g *group) {
-	n.whole[peers.Short(g.Hash)] = g.Hash
-	if h := n.away[peers.Short(g.Hash)]; h != nil {
-		n.b.Held(&g.Group, &h.Server)
+// announcePeerHolder tells the module of a new group what others said of it before.
+func (n *Node) announcePeerHolder(g *group) {
+	n.groupHashes[peers.Short(g.Hash)] = g.Hash
+	if h := n.peerHeldGroups[peers.Short(g.Hash)]; h != nil {
+		n.decider.Held(&g.Group, &h.Server)
 	}
 }
--- a/node/quota.go
+++ b/node/quota.go
@@ -5,54 +5,54 @@
 // at the listener longer than that is turned away at the least cost.
 
 const (
-	mostTaken  = 128      // connections a turn
-	longTurn   = 8 * ms   // a turn that takes longer has taken too many
-	fullFor    = 250 * ms // without a pause: the core is full, and no burst
-	refuseCost = 6        // so many refusals cost about what one flow costs
-	refusePart = 12       // a twelfth of what flows cost is spent on refusals at the most
+	maxAccepts          = 128      // connections a turn
+	longIteration       = 8 * ms   // a turn that takes longer has taken too many
+	saturatedAfter      = 250 * ms // without a pause: the core is full, and no burst
+	refusalsPerFlow     = 6        // so many refusals cost about what one flow costs
+	refusalShareDivisor = 12       // a twelfth of what flows cost is spent on refusals at the most
 )
 
-// quota is how many connections a turn may take.
-type quota struct {
-	take  int
-	since int64 // since when no wait has been one; 0 when the last was
-	tried int   // taken in this turn
+// acceptQuota is how many connections a turn may take.
+type acceptQuota struct {
+	accepts   int
+	busySince int64 // since when no wait has been one; 0 when the last was
+	accepted  int   // taken in this turn
 }
 
-// pace sets the quota by the turn before. It halves when that was long and had taken its fill, and grows by an eighth
+// adjustQuota sets the quota by the turn before. It halves when that was long and had taken its fill, and grows by an eighth
 // else.
-func (n *Node) pace(late, before int64) {
-	q := &n.taking
-	if q.take == 0 {
-		q.take = mostTaken
+func (n *Node) adjustQuota(late, before int64) {
+	q := &n.acceptQuota
+	if q.accepts == 0 {
+		q.accepts = maxAccepts
 	}
 	switch {
-	case before > longTurn && q.tried > 0:
-		q.take = max(min(q.take, q.tried)/2, 1)
-	case before < longTurn/2:
-		q.take = min(q.take+q.take/8+1, mostTaken)
+	case before > longIteration && q.accepted > 0:
+		q.accepts = max(min(q.accepts, q.accepted)/2, 1)
+	case before < longIteration/2:
+		q.accepts = min(q.accepts+q.accepts/8+1, maxAccepts)
 	}
-	q.tried = 0
+	q.accepted = 0
 	if late == 0 {
-		q.since = 0
-	} else if q.since == 0 {
-		q.since = n.now
+		q.busySince = 0
+	} else if q.busySince == 0 {
+		q.busySince = n.now
 	}
 }
 
 // Quota is how many new connections this turn may take, and how many after these it may turn away.
 func (n *Node) Quota() (take, refuse int) {
-	q := &n.taking
-	if n.shutAt > 0 {
-		return 0, mostTaken
+	q := &n.acceptQuota
+	if n.acceptStoppedAt > 0 {
+		return 0, maxAccepts
 	}
-	if q.take == 0 {
-		return mostTaken, 0
+	if q.accepts == 0 {
+		return maxAccepts, 0
 	}
-	if q.since > 0 && n.now-q.since > fullFor && q.take < mostTaken {
-		refuse = max(q.take*refuseCost/refusePart, 1)
+	if q.busySince > 0 && n.now-q.busySince > saturatedAfter && q.accepts < maxAccepts {
+		refuse = max(q.accepts*refusalsPerFlow/refusalShareDivisor, 1)
 	}
-	return q.take, refuse
+	return q.accepts, refuse
 }
 
 // Refused is that the loop has turned a connection away.
--- a/node/tables.go
+++ b/node/tables.go
@@ -5,79 +5,79 @@
 // slots is a table of numbered places. An id is the number in its low half and, above it, how often the place has
 // been given out, so that an id kept too long finds nothing.
 type slots[T any] struct {
-	all  []slot[T]
-	free []uint32
-	held int
+	entries []slot[T]
+	free    []uint32
+	count   int
 }
 
 type slot[T any] struct {
-	uses uint32
-	v    *T
+	generation uint32
+	value      *T
 }
 
-func (t *slots[T]) put(v *T) uint64 {
+func (t *slots[T]) add(v *T) uint64 {
 	var no uint32
 	if n := len(t.free); n > 0 {
 		no = t.free[n-1]
 		t.free = t.free[:n-1]
 	} else {
-		no = uint32(len(t.all))
-		t.all = append(t.all, slot[T]{})
+		no = uint32(len(t.entries))
+		t.entries = append(t.entries, slot[T]{})
 	}
-	s := &t.all[no]
-	s.uses = (s.uses + 1) & 0x7fffffff
-	s.v = v
-	t.held++
-	return uint64(s.uses)<<32 | uint64(no)
+	s := &t.entries[no]
+	s.generation = (s.generation + 1) & 0x7fffffff
+	s.value = v
+	t.count++
+	return uint64(s.generation)<<32 | uint64(no)
 }
 
 func (t *slots[T]) get(id uint64) *T {
 	no := uint32(id)
-	if int(no) >= len(t.all) || t.all[no].uses != uint32(id>>32) {
+	if int(no) >= len(t.entries) || t.entries[no].generation != uint32(id>>32) {
 		return nil
 	}
-	return t.all[no].v
+	return t.entries[no].value
 }
 
-func (t *slots[T]) drop(id uint64) {
+func (t *slots[T]) remove(id uint64) {
 	if t.get(id) != nil {
-		t.all[uint32(id)].v = nil
+		t.entries[uint32(id)].value = nil
 		t.free = append(t.free, uint32(id))
-		t.held--
+		t.count--
 	}
 }
 
-// recent holds the hashes of the last ids that clients gave. Each is new with every connection, so one that comes again
+// recentIDs holds the hashes of the last ids that clients gave. Each is new with every connection, so one that comes again
 // is wrong, also after the end of its flow: its client may have been moved and its host not have heard of that yet.
-type recent struct {
-	held  map[uint64]bool
+type recentIDs struct {
+	known map[uint64]bool
 	ring  []uint64
 	next  int
-	most  int
+	limit int
 	added int // ever
 }
 
 // add tells whether an id is new.
-func (r *recent) add(id uint64) bool {
-	if r.held[id] {
+func (r *recentIDs) add(id uint64) bool {
+	if r.known[id] {
 		return false
 	}
-	if r.held == nil {
-		r.held = map[uint64]bool{}
+	if r.known == nil {
+		r.known = map[uint64]bool{}
 	}
 	r.added++
-	if r.held[id] = true; len(r.ring) < r.most {
+	if r.known[id] = true; len(r.ring) < r.limit {
 		r.ring = append(r.ring, id)
 		return true
 	}
-	delete(r.held, r.ring[r.next])
+	delete(r.known, r.ring[r.next])
 	r.ring[r.next] = id
-	r.next = (r.next + 1) % r.most
+	r.next = (r.next + 1) % r.limit
 	return true
 }
 
-// last is the last so many ids, the newest last.
-func (r *recent) last(most int) []uint64 {
+// newest is the last so many ids, the newest last.
+func (r *recentIDs) newest(most int) []uint64 {
 	var all []uint64
 	for i := range min(most, len(r.ring)) {
 		all = append(all, r.ring[(r.next-1-i+2*len(r.ring))%len(r.ring)])
@@ -89,26 +89,26 @@
 // deadline is one moment at which something is done unless it is called off. It is set and called off through the
 // one structure that holds them all.
 type deadline struct {
-	at  int64
-	pos int // in the heap from 1; 0 when off, taken when its time has come in this turn
-	due func()
+	at       int64
+	position int // in the heap from 1; 0 when off, taken when its time has come in this turn
+	run      func()
 }
 
-const taken = -1
+const positionTaken = -1
 
 // deadlines is a heap, the next one first.
 type deadlines struct{ heap []*deadline }
 
 func (h *deadlines) set(d *deadline, at int64) {
-	h.off(d)
+	h.cancel(d)
 	d.at = at
 	h.heap = append(h.heap, d)
-	h.up(len(h.heap) - 1)
+	h.siftUp(len(h.heap) - 1)
 }
 
-func (h *deadlines) off(d *deadline) {
-	i := d.pos - 1
-	d.pos = 0
+func (h *deadlines) cancel(d *deadline) {
+	i := d.position - 1
+	d.position = 0
 	if i < 0 {
 		return
 	}
@@ -118,23 +118,23 @@
 	h.heap = h.heap[:last]
 	if i < last {
 		h.heap[i] = moved
-		h.down(i)
-		h.up(moved.pos - 1)
+		h.siftDown(i)
+		h.siftUp(moved.position - 1)
 	}
 }
 
-func (h *deadlines) up(i int) {
+func (h *deadlines) siftUp(i int) {
 	d := h.heap[i]
 	for i > 0 && h.heap[(i-1)/2].at > d.at {
 		h.heap[i] = h.heap[(i-1)/2]
-		h.heap[i].pos = i + 1
+		h.heap[i].position = i + 1
 		i = (i - 1) / 2
 	}
 	h.heap[i] = d
-	d.pos = i + 1
+	d.position = i + 1
 }
 
-func (h *deadlines) down(i int) {
+func (h *deadlines) siftDown(i int) {
 	d := h.heap[i]
 	for {
 		c := 2*i + 1
@@ -148,11 +148,11 @@
 			break
 		}
 		h.heap[i] = h.heap[c]
-		h.heap[i].pos = i + 1
+		h.heap[i].position = i + 1
 		i = c
 	}
 	h.heap[i] = d
-	d.pos = i + 1
+	d.position = i + 1
 }
 
 // next is the time of the first one; ok is false when there is none.
@@ -163,13 +163,13 @@
 	return h.heap[0].at, true
 }
 
-// take takes out all that are due. What is set while they are done waits for the next turn, and each can still be
+// takeDue takes out all that are due. What is set while they are done waits for the next turn, and each can still be
 // called off or set anew.
-func (h *deadlines) take(now int64, into []*deadline) []*deadline {
+func (h *deadlines) takeDue(now int64, into []*deadline) []*deadline {
 	for len(h.heap) > 0 && h.heap[0].at <= now {
 		d := h.heap[0]
-		h.off(d)
-		d.pos = taken
+		h.cancel(d)
+		d.position = positionTaken
 		into = append(into, d)
 	}
 	return into
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	lineEvery  = 2 * second // a watch says so much at least
-	askedSoon  = 200 * ms   // after one failed call, at the latest
-	askedLater = 400 * ms   // after two
-	askedLast  = 3800 * ms  // after many
+	watchLineInterval = 2 * second // a watch says so much at least
+	secondCallWithin  = 200 * ms   // after one failed call, at the latest
+	thirdCallWithin   = 400 * ms   // after two
+	laterCallWithin   = 3800 * ms  // after many
 )
 
 // Guards the operators' bound as a sum of what is waited for at the most: silence noticed, a call, that call lost, another,
 // answered; and a call refused after many, the next one answered, or lost and the one after it.
 func TestChangesAreTakenInWithinTheBound(t *testing.T) {
-	if sum := watchQuiet + askedSoon + callAgain + askedLater + wayThere; sum > toldWithin {
+	if sum := watchSilenceTimeout + secondCallWithin + callTimeout + thirdCallWithin + roundTripMargin; sum > maxChangeDelay {
 		t.Error("a silent watch and a lost call:", sum)
 	}
-	if toldWithin != 6*second { // by the operators' terms
-		t.Error("told within", toldWithin)
+	if maxChangeDelay != 6*second { // by the operators' terms
+		t.Error("told within", maxChangeDelay)
 	}
-	if watchQuiet <= lineEvery {
+	if watchSilenceTimeout <= watchLineInterval {
 		t.Error("a line that comes in time counts as missing")
 	}
 	for _, nodes := range []int{1, 6, 80, 350} { // what the sums go by is what the module does
-		n, w := ready(1)
-		n.set.Nodes = nodes
-		n.turnedOff = true
-		if sum := n.set.RefusedMost() + n.patience() + wayThere; sum > toldWithin || n.patience() < callAgain {
-			t.Error(nodes, "nodes: many refused, then one answered at the last moment:", sum, n.patience())
+		n, w := newNode(1)
+		n.settings.Nodes = nodes
+		n.callRefused = true
+		if sum := n.settings.RefusedMost() + n.callPatience() + roundTripMargin; sum > maxChangeDelay || n.callPatience() < callTimeout {
+			t.Error(nodes, "nodes: many refused, then one answered at the last moment:", sum, n.callPatience())
 		}
-		n.turnedOff = false
+		n.callRefused = false
 		failed := 0
 		for range 12 {
-			for from := n.now; n.out == nil; {
-				if n.now-from > askedLast || failed == 1 && n.now-from > askedSoon || failed == 2 && n.now-from > askedLater {
+			for from := n.now; n.pendingCall == nil; {
+				if n.now-from > laterCallWithin || failed == 1 && n.now-from > secondCallWithin || failed == 2 && n.now-from > thirdCallWithin {
 					t.Fatalf("%d nodes: %d us after %d failed calls", nodes, n.now-from, failed)
 				}
-				w.turn(10*ms, func() {})
+				w.run(10*ms, func() {})
 			}
-			w.turn(1, func() { n.lost(n.out, "refused") })
+			w.run(1, func() { n.watchLost(n.pendingCall, "refused") })
 			failed++
 		}
 	}
@@ -55,46 +55,46 @@
 // Thirty-two nodes gave their calls up after 1.5 s each, and a discovery that answers some five a second worked for calls
 // that nobody waited for any more: half of the nodes had no watch after 17 s (throng+brink at kingston-replay's settings).
 func TestCallsWaitTheirTurnWhereOthersWereTurnedAway(t *testing.T) {
-	n, w := ready(1)
-	n.set.Nodes = 32
-	for n.out == nil {
-		w.turn(ms, func() {})
-	}
-	w.bytes(w.connect(), "HTTP/1.1 503 Service Unavailable\r\n\r\n")
-	for n.out == nil {
-		w.turn(ms, func() {})
-	}
-	call := w.connect()
-	w.turn(3*second, func() {})
-	if n.out == nil || n.out.id != call || w.ended[call] != "" {
+	n, w := newNode(1)
+	n.settings.Nodes = 32
+	for n.pendingCall == nil {
+		w.run(ms, func() {})
+	}
+	w.receive(w.connectLast(), "HTTP/1.1 503 Service Unavailable\r\n\r\n")
+	for n.pendingCall == nil {
+		w.run(ms, func() {})
+	}
+	call := w.connectLast()
+	w.run(3*second, func() {})
+	if n.pendingCall == nil || n.pendingCall.id != call || w.ended[call] != "" {
 		t.Fatal("given up while discovery still has it in its queue")
 	}
-	w.bytes(call, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	w.receive(call, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	if n.watch == nil || n.watch.id != call {
 		t.Fatal("no watch by the answer that came late")
 	}
-	w.turn(1, func() { n.lost(n.watch, "ended") })
-	for n.out == nil {
-		w.turn(ms, func() {})
+	w.run(1, func() { n.watchLost(n.watch, "ended") })
+	for n.pendingCall == nil {
+		w.run(ms, func() {})
 	}
-	call = n.out.id
-	if w.turn(callAgain, func() {}); n.out != nil && n.out.id == call {
+	call = n.pendingCall.id
+	if w.run(callTimeout, func() {}); n.pendingCall != nil && n.pendingCall.id == call {
 		t.Fatal("a lost call is waited for where discovery turned nobody away")
 	}
-	n.turnedOff = true
-	if n.Follow("d9"); n.turnedOff {
+	n.callRefused = true
+	if n.Follow("d9"); n.callRefused {
 		t.Fatal("what one discovery did counts at another")
 	}
-	first := w.connect()
-	w.turn(1, func() { n.Ended(first, syscall.ECONNRESET) })
-	for n.out == nil {
-		w.turn(ms, func() {})
+	first := w.connectLast()
+	w.run(1, func() { n.Ended(first, syscall.ECONNRESET) })
+	for n.pendingCall == nil {
+		w.run(ms, func() {})
 	}
-	call = w.connect()
-	if w.turn(3*second, func() {}); w.ended[call] != "" {
+	call = w.connectLast()
+	if w.run(3*second, func() {}); w.ended[call] != "" {
 		t.Fatal("given up though discovery had reset another")
 	}
-	if w.turn(callWaits-3*second, func() {}); w.ended[call] != "close" {
+	if w.run(queuedCallTimeout-3*second, func() {}); w.ended[call] != "close" {
 		t.Fatal("waited for without end")
 	}
 }
@@ -102,19 +102,19 @@
 // A change in the worst moment, step by step: the watch falls silent right before it, the next call is lost, and the one
 // after that brings it.
 func TestAChangeBehindASilentWatch(t *testing.T) {
-	n, w := ready(2)
-	first := w.connect()
-	w.bytes(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	n, w := newNode(2)
+	first := w.connectLast()
+	w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	from := n.now
 	calls := n.Count.Calls
 	for n.Count.Calls < calls+2 {
-		if n.now-from > toldWithin {
+		if n.now-from > maxChangeDelay {
 			t.Fatal("no second call")
 		}
-		w.turn(10*ms, func() {})
+		w.run(10*ms, func() {})
 	}
-	w.bytes(w.connect(), watchHead+chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}`))
-	if n.hosts["s-1"].State != balance.Draining || n.now-from > toldWithin {
+	w.receive(w.connectLast(), watchHead+chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}`))
+	if n.hosts["s-1"].State != balance.Draining || n.now-from > maxChangeDelay {
 		t.Fatal(n.hosts["s-1"].State, n.now-from)
 	}
 }
@@ -131,23 +131,23 @@
 			return chunk("")
 		},
 	} {
-		n, w := ready(1)
-		first := w.connect()
-		w.bytes(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
-		for i := range int(watchQuiet / (100 * ms)) {
-			w.bytes(first, more(i))
-			w.turn(100*ms-1, func() {})
+		n, w := newNode(1)
+		first := w.connectLast()
+		w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+		for i := range int(watchSilenceTimeout / (100 * ms)) {
+			w.receive(first, more(i))
+			w.run(100*ms-1, func() {})
 		}
-		if w.turn(100*ms, func() {}); n.Count.CallsFailed != 1 {
+		if w.run(100*ms, func() {}); n.Count.CallsFailed != 1 {
 			t.Error(name, "keeps a watch")
 		}
 	}
-	n, w := ready(1)
-	first := w.connect()
-	w.bytes(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	n, w := newNode(1)
+	first := w.connectLast()
+	w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	for range 5 {
-		w.turn(lineEvery, func() {})
-		w.bytes(first, chunk(""))
+		w.run(watchLineInterval, func() {})
+		w.receive(first, chunk(""))
 	}
 	if n.Count.CallsFailed != 0 {
 		t.Fatal("a watch with its empty lines is given up")
@@ -156,137 +156,137 @@
 
 // Guards hosts of a discovery that began anew: its versions are lower, and what it says has changed is not all.
 func TestDiscoveryThatBeganAnew(t *testing.T) {
-	n, w := ready(2)
-	first := w.connect()
-	w.bytes(first, watchHead+chunk(`{"rev":41,"all":false,"targets":[]}`))
-	w.turn(1, func() { n.Ended(first, nil) })
-	w.turn(250*ms, func() {})
-	call := w.connect()
+	n, w := newNode(2)
+	first := w.connectLast()
+	w.receive(first, watchHead+chunk(`{"rev":41,"all":false,"targets":[]}`))
+	w.run(1, func() { n.Ended(first, nil) })
+	w.run(250*ms, func() {})
+	call := w.connectLast()
 	if !strings.Contains(w.sent[call], "after=41 ") {
 		t.Fatal(w.sent[call])
 	}
-	w.bytes(call, watchHead+chunk(`{"rev":2,"all":false,"targets":[]}`))
-	if call = w.connect(); strings.Contains(w.sent[call], "after=") {
+	w.receive(call, watchHead+chunk(`{"rev":2,"all":false,"targets":[]}`))
+	if call = w.connectLast(); strings.Contains(w.sent[call], "after=") {
 		t.Fatal("its versions are taken for the old ones")
 	}
-	w.bytes(call, watchHead+chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-0","endpoint":"h0","state":"ready"}]}`))
-	if len(n.hosts) != 1 || n.rev != 2 || n.watch == nil {
-		t.Fatal(len(n.hosts), n.rev)
+	w.receive(call, watchHead+chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-0","endpoint":"h0","state":"ready"}]}`))
+	if len(n.hosts) != 1 || n.listRev != 2 || n.watch == nil {
+		t.Fatal(len(n.hosts), n.listRev)
 	}
 }
 
 // Discovery moves, moves back, and old watches and calls end meanwhile, in any order: what is watched in the end is the
 // last address, and one call is out at most.
 func TestDiscoveryMovesTwice(t *testing.T) {
-	n, w := ready(1)
-	old := w.connect()
-	w.bytes(old, watchHead+chunk(`{"rev":30,"all":false,"targets":[]}`))
-	w.turn(1, func() { n.Follow("d2") })
-	call := w.connect()
-	w.turn(1, func() { n.Follow("") }) // back, while the call is out
-	if w.ended[call] != "close" || w.ended[old] != "" || n.out != nil {
+	n, w := newNode(1)
+	old := w.connectLast()
+	w.receive(old, watchHead+chunk(`{"rev":30,"all":false,"targets":[]}`))
+	w.run(1, func() { n.Follow("d2") })
+	call := w.connectLast()
+	w.run(1, func() { n.Follow("") }) // back, while the call is out
+	if w.ended[call] != "close" || w.ended[old] != "" || n.pendingCall != nil {
 		t.Fatal("the old watch is not gone on with", w.ended[call], w.ended[old])
 	}
-	w.turn(1, func() { n.Follow("d2") })
-	w.turn(1, func() { n.Ended(old, nil) }) // while the second call is out
-	second := w.last()
-	w.turn(300*ms, func() {})
-	if w.last() != second || n.out == nil || n.watch != nil {
+	w.run(1, func() { n.Follow("d2") })
+	w.run(1, func() { n.Ended(old, nil) }) // while the second call is out
+	second := w.lastConn()
+	w.run(300*ms, func() {})
+	if w.lastConn() != second || n.pendingCall == nil || n.watch != nil {
 		t.Fatal("two calls")
 	}
-	w.connect()
-	w.bytes(second, watchHead+chunk(`{"rev":1,"all":true,"targets":[{"uid":"s-7","endpoint":"h7","state":"ready"}]}`))
-	if n.hosts["s-7"] == nil || n.hosts["s-0"] != nil || n.watch == nil || n.watch.from != "d2" {
+	w.connectLast()
+	w.receive(second, watchHead+chunk(`{"rev":1,"all":true,"targets":[{"uid":"s-7","endpoint":"h7","state":"ready"}]}`))
+	if n.hosts["s-7"] == nil || n.hosts["s-0"] != nil || n.watch == nil || n.watch.discoveryAddr != "d2" {
 		t.Fatal(n.hosts)
 	}
-	w.turn(1, func() { n.Follow("d3") })
-	third := w.connect()
-	w.bytes(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // in the instant of the switch
-	w.bytes(third, watchHead+chunk(`{"rev":9,"all":true,"targets":[{"uid":"s-8","endpoint":"h8","state":"ready"}]}`))
-	if w.ended[second] != "close" || n.from != "d3" || n.rev != 9 || n.hosts["s-7"] != nil {
-		t.Fatal(w.ended[second], n.from, n.rev)
+	w.run(1, func() { n.Follow("d3") })
+	third := w.connectLast()
+	w.receive(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // in the instant of the switch
+	w.receive(third, watchHead+chunk(`{"rev":9,"all":true,"targets":[{"uid":"s-8","endpoint":"h8","state":"ready"}]}`))
+	if w.ended[second] != "close" || n.listAddr != "d3" || n.listRev != 9 || n.hosts["s-7"] != nil {
+		t.Fatal(w.ended[second], n.listAddr, n.listRev)
 	}
-	if w.turn(1, func() { n.Received(second) }); n.from != "d3" {
+	if w.run(1, func() { n.Received(second) }); n.listAddr != "d3" {
 		t.Fatal("a list of the old address after one of the new")
 	}
 }
 
-func pushed(hosts int) (*Node, *wires) {
-	n, w := ready(hosts)
-	set := *n.set
+func newPushedNode(hosts int) (*Node, *fakeNet) {
+	n, w := newNode(hosts)
+	set := *n.settings
 	set.OnRequest, set.Grace = false, 400*ms
-	w2 := &wires{to: w.to, in: w.in, out: w.out, sent: w.sent, ended: w.ended, up: w.up, gone: w.gone, room: 100}
-	w2.n = New(&set, Config{}, w2)
-	w2.n.Begin(begun, named("ready", hosts))
-	return w2.n, w2
+	w2 := &fakeNet{address: w.address, in: w.in, out: w.out, sent: w.sent, ended: w.ended, up: w.up, endedUnread: w.endedUnread, room: 100}
+	w2.node = New(&set, Config{}, w2)
+	w2.node.Begin(startTime, entries("ready", hosts))
+	return w2.node, w2
 }
 
 // Guards hosts that drained while a process was away: where lists are pushed, they count as told from its first moment.
 func TestPushedListsAreWaitedForFirst(t *testing.T) {
-	n, w := pushed(2)
-	front := w.client("PING\r\n")
-	if n.out == nil {
-		w.turn(1, func() {})
+	n, w := newPushedNode(2)
+	front := w.openClient("PING\r\n")
+	if n.pendingCall == nil {
+		w.run(1, func() {})
 	}
 	watch := w.ids[0]
-	c := w.client(asks)
-	if w.want(t, front, "NO\r\n", ""); n.links != 0 || w.sent[c] != "" {
-		t.Fatal("sent by a list that may be old", n.links, w.sent[c])
+	c := w.openClient(openLine)
+	if w.expect(t, front, "NO\r\n", ""); n.upstreamCount != 0 || w.sent[c] != "" {
+		t.Fatal("sent by a list that may be old", n.upstreamCount, w.sent[c])
 	}
 	w.up[watch] = true
-	w.turn(1, func() { n.Connected(watch) })
-	w.bytes(watch, watchHead+chunk(`{"rev":3,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
-	if w.to[w.last()] != "h1" || n.links != 1 {
-		t.Fatal("not sent on by the list that came", w.to[w.last()])
+	w.run(1, func() { n.Connected(watch) })
+	w.receive(watch, watchHead+chunk(`{"rev":3,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
+	if w.address[w.lastConn()] != "h1" || n.upstreamCount != 1 {
+		t.Fatal("not sent on by the list that came", w.address[w.lastConn()])
 	}
-	w.bytes(front, "PING\r\n")
-	w.want(t, front, "NO\r\nPONG\r\n", "")
+	w.receive(front, "PING\r\n")
+	w.expect(t, front, "NO\r\nPONG\r\n", "")
 
-	n, w = pushed(1) // discovery says nothing
-	c = w.client("OPEN 1 2 c=chat,d=1000\r\n")
-	w.turn(500*ms, func() {})
-	w.want(t, c, "BUSY\r\n", "shut")
-	late := w.client("OPEN 1 2 c=chat,d=9000\r\n")
-	gone := w.client("OPEN 1 2 c=chat,d=9000\r\n")
-	w.turn(1, func() { n.Ended(gone, nil) })
-	w.turn(heldFirst, func() {})
-	if n.links != 1 || n.flows.held != 1 || w.sent[late] != "" {
-		t.Fatal("waits for ever", n.links, n.flows.held)
-	}
-	w.bytes(w.client("PING\r\n"), "")
-	if w.sent[w.last()] != "PONG\r\n" {
+	n, w = newPushedNode(1) // discovery says nothing
+	c = w.openClient("OPEN 1 2 c=chat,d=1000\r\n")
+	w.run(500*ms, func() {})
+	w.expect(t, c, "BUSY\r\n", "shut")
+	late := w.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	gone := w.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	w.run(1, func() { n.Ended(gone, nil) })
+	w.run(firstListWait, func() {})
+	if n.upstreamCount != 1 || n.flows.count != 1 || w.sent[late] != "" {
+		t.Fatal("waits for ever", n.upstreamCount, n.flows.count)
+	}
+	w.receive(w.openClient("PING\r\n"), "")
+	if w.sent[w.lastConn()] != "PONG\r\n" {
 		t.Fatal("not ready by the list that it has")
 	}
 }
 
 // Guards clients and the front of a node whose version is rolled where lists are pushed: what was handed on is no old list.
 func TestAnHeirWaitsForNoFirstList(t *testing.T) {
-	old, p := running(t, 1)
-	s, _ := old.n.Heir(p)
-	n, w := pushed(0)
-	young := New(n.set, Config{}, w)
-	young.set.Pushed = true
-	w.n = young
-	young.Inherit(&pipe{t: t}, s)
+	old, p := newPredecessor(t, 1)
+	s, _ := old.node.Heir(p)
+	n, w := newPushedNode(0)
+	young := New(n.settings, Config{}, w)
+	young.settings.Pushed = true
+	w.node = young
+	young.Inherit(&fakePeer{t: t}, s)
 	young.Begin(n.now, discovery.List{})
-	w.turn(joinTime, func() {})
-	w.want(t, w.client("PING\r\n"), "PONG\r\n", "")
-	if w.client(asks); young.links != 1 || len(young.held) != 0 {
-		t.Fatal("held", young.links, len(young.held))
+	w.run(joinTimeout, func() {})
+	w.expect(t, w.openClient("PING\r\n"), "PONG\r\n", "")
+	if w.openClient(openLine); young.upstreamCount != 1 || len(young.heldFlows) != 0 {
+		t.Fatal("held", young.upstreamCount, len(young.heldFlows))
 	}
 }
 
 // Guards the time without a call where lists are pushed: what discovery has at its return counts at once.
 func TestPushedListsAreAskedForWithinTheGrace(t *testing.T) {
-	n, w := pushed(1)
-	w.turn(1, func() {})
+	n, w := newPushedNode(1)
+	w.run(1, func() {})
 	for range 20 {
-		w.turn(1, func() { n.lost(n.out, "refused") })
+		w.run(1, func() { n.watchLost(n.pendingCall, "refused") })
 		from := n.now
-		for n.out == nil {
-			w.turn(ms, func() {})
+		for n.pendingCall == nil {
+			w.run(ms, func() {})
 		}
-		if n.now-from > n.set.Grace/2+2*ms {
+		if n.now-from > n.settings.Grace/2+2*ms {
 			t.Fatal("no call is out for", n.now-from)
 		}
 	}
@@ -295,64 +295,64 @@
 // Guards a fleet that starts while discovery is down, with no list to begin with: its front is told yes, and clients no.
 func TestReadyWithoutAnyList(t *testing.T) {
 	for _, push := range []bool{false, true} {
-		_, w := ready(0)
+		_, w := newNode(0)
 		if push {
-			_, w = pushed(0)
+			_, w = newPushedNode(0)
 		}
-		front := w.client("PING\r\n")
-		w.want(t, front, "NO\r\n", "")
-		w.turn(readyBy, func() {})
-		w.bytes(front, "PING\r\n")
-		w.want(t, front, "NO\r\nPONG\r\n", "")
-		w.want(t, w.client(asks), "BUSY\r\n", "shut")
-	}
-	if readyBy >= 10*second {
+		front := w.openClient("PING\r\n")
+		w.expect(t, front, "NO\r\n", "")
+		w.run(readyWithoutListAfter, func() {})
+		w.receive(front, "PING\r\n")
+		w.expect(t, front, "NO\r\nPONG\r\n", "")
+		w.expect(t, w.openClient(openLine), "BUSY\r\n", "shut")
+	}
+	if readyWithoutListAfter >= 10*second {
 		t.Fatal("nine in ten are to be ready by then")
 	}
 }
 
 // Guards the call that is due, SIGHUP's new address and probes against idle clients that hold every descriptor.
 func TestCallsFindAPlace(t *testing.T) {
-	n, w := ready(1)
+	n, w := newNode(1)
 	var idle []uint64
 	for range 5 {
-		idle = append(idle, w.client("PING\r\n"))
+		idle = append(idle, w.openClient("PING\r\n"))
 	}
-	w.turn(idled, func() {})
+	w.run(shedAfterPing, func() {})
 	w.room = 0
-	w.turn(1, func() { n.Follow("d2") })
-	if n.Count.Shed == 0 || w.ended[idle[1]] != "part" || w.to[w.last()] != "d2" {
-		t.Fatal(n.Count.Shed, w.ended[idle[1]], w.to[w.last()])
+	w.run(1, func() { n.Follow("d2") })
+	if n.Count.Shed == 0 || w.ended[idle[1]] != "part" || w.address[w.lastConn()] != "d2" {
+		t.Fatal(n.Count.Shed, w.ended[idle[1]], w.address[w.lastConn()])
 	}
 }
 
 // Guards two nodes in one process, with settings of two customers, against each other.
 func TestNodesShareNothing(t *testing.T) {
-	n, w := ready(1)
+	n, w := newNode(1)
 	shared := &settings.Settings{Settings: balance.Settings{Types: []balance.ServiceType{{SetupTarget: 300 * ms, MessageTarget: 60 * ms},
 		{SetupTarget: 90 * ms, MessageTarget: 9 * ms}}, Nodes: 1, MaxConnects: 1, AskWithin: second, ColdTime: second}, Names: map[string]int{"toll": 1, "chat": 0},
 		Limits: []int64{0, 0}}
 	was := fmt.Sprintf("%+v", *shared)
-	w2 := &wires{to: map[uint64]string{}, in: w.in, out: w.out, sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, gone: map[uint64]bool{}, room: 100}
+	w2 := &fakeNet{address: map[uint64]string{}, in: w.in, out: w.out, sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, endedUnread: map[uint64]bool{}, room: 100}
 	other := New(shared, Config{Discovery: "d9"}, w2)
 	if fmt.Sprintf("%+v", *shared) != was {
 		t.Error("a node changed settings that were handed to it:", *shared)
 	}
-	other.Begin(begun, discovery.List{})
-	if n.set.Pushed || !other.set.Pushed || n.conf.Discovery == other.conf.Discovery || len(n.hosts) == len(other.hosts) {
+	other.Begin(startTime, discovery.List{})
+	if n.settings.Pushed || !other.settings.Pushed || n.config.Discovery == other.config.Discovery || len(n.hosts) == len(other.hosts) {
 		t.Fatal("settings or hosts of one at the other")
 	}
-	c := w.client("OPEN 1 2 c=toll,d=2000\r\n")
-	w.want(t, c, "ERR\r\n", "shut")
-	w.bytes(w.client(""), "half a line") // a ring of one's
-	if mine, _ := n.rings.Held(); mine != 1 {
+	c := w.openClient("OPEN 1 2 c=toll,d=2000\r\n")
+	w.expect(t, c, "ERR\r\n", "shut")
+	w.receive(w.openClient(""), "half a line") // a ring of one's
+	if mine, _ := n.ringBudget.Held(); mine != 1 {
 		t.Fatal(mine)
 	}
-	if theirs, _ := other.rings.Held(); theirs != 0 {
+	if theirs, _ := other.ringBudget.Held(); theirs != 0 {
 		t.Fatal("memory of one counts at the other", theirs)
 	}
-	w.turn(1, func() { n.Drain() })
-	if other.drainAt != 0 || other.stopAt != 0 || other.Count.Accepted != 0 || len(other.logs) != 0 {
+	w.run(1, func() { n.Drain() })
+	if other.drainAt != 0 || other.stopAt != 0 || other.Count.Accepted != 0 || len(other.logKinds) != 0 {
 		t.Fatal("what one was told, the other does")
 	}
 }
@@ -360,35 +360,35 @@
 // Guards hosts and discovery against the blame for descriptors that the system had none of, and a flow that was taken and a
 // call that is due against idle clients that hold them all.
 func TestNoDescriptorIsNobodysFault(t *testing.T) {
-	n, w := ready(1)
-	w.client("PING\r\n")
-	idle := w.client("PING\r\n")
-	w.turn(idled, func() {})
-	c := w.client(asks)
-	h := w.last()
-	w.turn(1, func() { n.Ended(h, syscall.EMFILE) })
-	if w.last() != h || len(w.ids) < 2 || w.ended[idle] != "part" || w.sent[c] != "" || n.links != 1 {
-		t.Fatal("not tried again with another's place", w.ended[idle], w.sent[c], n.links)
-	}
-	w.bytes(w.connect(), "UP 1\r\n")
-	w.want(t, c, "UP 1\r\n", "")
-	c = w.client(asks)
-	h = w.last()
-	for range mostRedials + 1 { // and nobody is left to be let go
-		w.turn(1, func() { n.Ended(h, syscall.ENFILE) })
-	}
-	w.want(t, c, "BUSY\r\n", "shut")
+	n, w := newNode(1)
+	w.openClient("PING\r\n")
+	idle := w.openClient("PING\r\n")
+	w.run(shedAfterPing, func() {})
+	c := w.openClient(openLine)
+	h := w.lastConn()
+	w.run(1, func() { n.Ended(h, syscall.EMFILE) })
+	if w.lastConn() != h || len(w.ids) < 2 || w.ended[idle] != "part" || w.sent[c] != "" || n.upstreamCount != 1 {
+		t.Fatal("not tried again with another's place", w.ended[idle], w.sent[c], n.upstreamCount)
+	}
+	w.receive(w.connectLast(), "UP 1\r\n")
+	w.expect(t, c, "UP 1\r\n", "")
+	c = w.openClient(openLine)
+	h = w.lastConn()
+	for range maxRedials + 1 { // and nobody is left to be let go
+		w.run(1, func() { n.Ended(h, syscall.ENFILE) })
+	}
+	w.expect(t, c, "BUSY\r\n", "shut")
 	if n.hosts["s-0"].Avoided(n.now) {
 		t.Fatal("the host is to blame")
 	}
-	w.client("PING\r\n")
-	w.turn(idled, func() {})
-	for n.out == nil {
-		w.turn(ms, func() {})
+	w.openClient("PING\r\n")
+	w.run(shedAfterPing, func() {})
+	for n.pendingCall == nil {
+		w.run(ms, func() {})
 	}
-	failed, call, shed := n.Count.CallsFailed, n.out, n.Count.Shed
-	w.turn(1, func() { n.Ended(call.id, syscall.EMFILE) })
-	if n.out != call || n.Count.CallsFailed != failed || n.Count.Shed != shed+1 {
+	failed, call, shed := n.Count.CallsFailed, n.pendingCall, n.Count.Shed
+	w.run(1, func() { n.Ended(call.id, syscall.EMFILE) })
+	if n.pendingCall != call || n.Count.CallsFailed != failed || n.Count.Shed != shed+1 {
 		t.Fatal("the call is lost for want of a descriptor", n.Count.CallsFailed, n.Count.Shed)
 	}
 }
@@ -396,17 +396,17 @@
 // Guards effects against two zones that the settings don't name being taken for one: what is known as a repeat in one is
 // not in the other.
 func TestUnnamedZonesAreTwo(t *testing.T) {
-	n, w := ready(0)
-	l := named("ready", 4)
+	n, w := newNode(0)
+	l := entries("ready", 4)
 	for i, zone := range []string{"x", "y z", "x", ""} {
 		l.Entries[i].Zone = zone
 	}
-	w.turn(1, func() { n.list(balance.Whole, l) })
+	w.run(1, func() { n.applyList(balance.Whole, l) })
 	at := func(i int) int { return n.hosts[fmt.Sprintf("s-%d", i)].Zone }
 	if at(0) == at(1) || at(0) != at(2) || at(3) == at(0) || at(0) >= 0 || at(1) >= 0 || at(3) >= 0 {
 		t.Fatal(at(0), at(1), at(2), at(3))
 	}
-	if n.entry(n.hosts["s-1"]).Zone != "y z" {
+	if n.listEntry(n.hosts["s-1"]).Zone != "y z" {
 		t.Fatal("handed on as another zone")
 	}
 }
