--- a/node/capture.go
+++ b/node/capture.go
@@ -24,44 +24,44 @@
 		return
 	}
 	n.capturedFlows++
-	o := f.request
-	f.record = &captureRecord{flow: capture.Flow{No: n.capturedFlows, At: n.now, Type: o.Class, Key: o.Key, Group: o.Group, Again: o.Again,
-		Wait: o.Wait}, end: capture.End{No: n.capturedFlows, How: capture.Severed}}
+	request := f.request
+	f.record = &captureRecord{flow: capture.Flow{No: n.capturedFlows, At: n.now, Type: request.Class, Key: request.Key, Group: request.Group, Again: request.Again,
+		Wait: request.Wait}, end: capture.End{No: n.capturedFlows, How: capture.Severed}}
 }
 
 // captureAnswer writes that a flow has its answer.
 func (n *Node) captureAnswer(f *flow, answer byte) {
-	s := f.record
-	if s == nil || s.answered {
+	record := f.record
+	if record == nil || record.answered {
 		return
 	}
-	s.answered = true
-	s.flow.Answer, s.flow.Took, s.flow.Connects = answer, n.now-s.flow.At, f.Tries
+	record.answered = true
+	record.flow.Answer, record.flow.Took, record.flow.Connects = answer, n.now-record.flow.At, f.Tries
 	if f.host != nil {
-		s.flow.Host = f.host.uid
+		record.flow.Host = f.host.uid
 	}
-	n.config.Capture.Flow(s.flow)
+	n.config.Capture.Flow(record.flow)
 }
 
 // captureEnd writes the end of an established flow, or that a client left before its answer.
 func (n *Node) captureEnd(f *flow) {
-	s := f.record
+	record := f.record
 	switch {
-	case s == nil:
-	case !s.answered:
+	case record == nil:
+	case !record.answered:
 		n.captureAnswer(f, capture.Left)
-	case s.flow.Answer == capture.Established:
-		s.end.At = n.now
-		n.config.Capture.End(s.end)
+	case record.flow.Answer == capture.Established:
+		record.end.At = n.now
+		n.config.Capture.End(record.end)
 	}
 	f.record = nil
 }
 
-func (s *captureRecord) countLines(up bool, p []byte) {
+func (s *captureRecord) countLines(up bool, chunk []byte) {
 	if s == nil {
 		return
 	}
-	if n := bytes.Count(p, []byte("\n")); up {
+	if n := bytes.Count(chunk, []byte("\n")); up {
 		s.end.Up += n
 	} else {
 		s.end.Down += n
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -43,61 +43,61 @@
 }
 
 func (n *Node) newCluster() {
-	c := n.config.Cluster
-	if !c.On {
+	config := n.config.Cluster
+	if !config.On {
 		return
 	}
-	c.Process |= 1 // 0 is nobody's
-	n.config.Cluster.Process = c.Process
-	k := &cluster{overload: overload.New(&n.settings.Settings, c.Others+1, members.Young(c.Others+1), n.config.Seed+2)}
-	if c.Others > 0 {
-		k.members = members.New(uint32(hash(c.Name)), c.Process, c.Others, n.config.Seed+3)
+	config.Process |= 1 // 0 is nobody's
+	n.config.Cluster.Process = config.Process
+	cluster := &cluster{overload: overload.New(&n.settings.Settings, config.Others+1, members.Young(config.Others+1), n.config.Seed+2)}
+	if config.Others > 0 {
+		cluster.members = members.New(uint32(hash(config.Name)), config.Process, config.Others, n.config.Seed+3)
 	}
-	if len(c.Limits) > 0 {
-		k.leases = lease.New(c.Process, 0, c.Others+1)
-		n.cluster = k
-		k.limits = n.newLimits(c.Limits, c.Process, c.Others+1)
+	if len(config.Limits) > 0 {
+		cluster.leases = lease.New(config.Process, 0, config.Others+1)
+		n.cluster = cluster
+		cluster.limits = n.newLimits(config.Limits, config.Process, config.Others+1)
 	}
-	k.timer.run = n.clusterTick
-	k.overload.Tell(uint32(hash(n.ownZoneName())), n.noteSuspended)
-	n.cluster, n.settings.Bounds = k, k.overload
-	if slices.ContainsFunc(c.Limits, func(l FleetLimit) bool { return l.Over == OverHost }) {
-		n.settings.Bounds = hostBounds{k.overload, n}
+	cluster.timer.run = n.clusterTick
+	cluster.overload.Tell(uint32(hash(n.ownZoneName())), n.noteSuspended)
+	n.cluster, n.settings.Bounds = cluster, cluster.overload
+	if slices.ContainsFunc(config.Limits, func(l FleetLimit) bool { return l.Over == OverHost }) {
+		n.settings.Bounds = hostBounds{cluster.overload, n}
 	}
 }
 
 // clusterTick does what time brings: it tells the others, and looks at its own lateness.
 func (n *Node) clusterTick() {
-	k := n.cluster
+	cluster := n.cluster
 	late := n.isStarved()
-	k.overload.Late(late)
+	cluster.overload.Late(late)
 	n.requestLeases()
 	n.findColdHosts()
 	next := n.now + clusterInterval
-	if m := k.members; m != nil {
-		m.Late(late)
+	if others := cluster.members; others != nil {
+		others.Late(late)
 		if n.stopAt > 0 && n.flows.count == 0 {
-			m.Leave(n.now)
+			others.Leave(n.now)
 		}
-		m.Due(n.now, func() []byte { return k.overload.Word(frame.MostPayload) }, n.config.Cluster.Send)
-		next = min(next, max(m.Next(), n.now+ms))
+		others.Due(n.now, func() []byte { return cluster.overload.Word(frame.MostPayload) }, n.config.Cluster.Send)
+		next = min(next, max(others.Next(), n.now+ms))
 	}
-	n.deadlines.set(&k.timer, next)
+	n.deadlines.set(&cluster.timer, next)
 }
 
 // HeardFrom takes a datagram of the so-many-th other node; under 0 it is from an address that is none of theirs.
-func (n *Node) HeardFrom(from int, p []byte) {
+func (n *Node) HeardFrom(from int, datagram []byte) {
 	defer n.recoverPanic(nil)
-	k := n.cluster
-	if k == nil || k.members == nil {
+	cluster := n.cluster
+	if cluster == nil || cluster.members == nil {
 		return
 	}
-	w, ok := k.members.Take(n.now, from, p)
-	if ok && n.receiveLimitMessage(from, w) {
+	message, ok := cluster.members.Take(n.now, from, datagram)
+	if ok && n.receiveLimitMessage(from, message) {
 		return
 	}
-	if ok && !k.overload.Told(from, w.Process, w.At, w.Late, w.Payload) {
-		k.members.Bad(frame.Nonsense)
+	if ok && !cluster.overload.Told(from, message.Process, message.At, message.Late, message.Payload) {
+		cluster.members.Bad(frame.Nonsense)
 		n.logThrottled("cluster_nonsense", "a word whose figures can't be")
 	}
 }
@@ -135,10 +135,10 @@
 }
 
 // noteSuspended is that a verdict on a host is taken over from others.
-func (n *Node) noteSuspended(s *balance.Server, v verdicts.Verdict) {
-	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", s.Name, v.Of, v.Witnesses))
+func (n *Node) noteSuspended(server *balance.Server, verdict verdicts.Verdict) {
+	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", server.Name, verdict.Of, verdict.Witnesses))
 	if n.config.Cluster.Held != nil {
-		n.config.Cluster.Held(n.now, s.Name, v)
+		n.config.Cluster.Held(n.now, server.Name, verdict)
 	}
 }
 
@@ -162,41 +162,41 @@
 	if n.cluster == nil {
 		return
 	}
-	var all []*balance.Server
+	var servers []*balance.Server
 	for _, h := range n.hostList {
 		if h.State != balance.Removed {
-			all = append(all, &h.Server)
+			servers = append(servers, &h.Server)
 		}
 	}
-	n.cluster.overload.List(all)
+	n.cluster.overload.List(servers)
 }
 
 // clusterMetrics is the cluster's figures for operators, a line each; empty where it is off.
 func (n *Node) clusterMetrics() (text string) {
-	k := n.cluster
-	if k == nil {
+	cluster := n.cluster
+	if cluster == nil {
 		return ""
 	}
-	add := func(name string, v any) { text += fmt.Sprintf("%s=%v\n", name, v) }
-	if m := k.members; m != nil {
-		add("cluster_others", m.Others())
-		add("cluster_linked", m.Linked())
-		add("cluster_oldest_ms", m.Oldest(n.now)/ms)
-		add("cluster_young_ms", m.YoungFor()/ms)
-		add("cluster_sent", m.Sent)
-		add("cluster_heard", m.Heard)
-		add("cluster_sent_bytes", m.SentBytes)
-		add("cluster_stale", m.Stale)
+	add := func(name string, value any) { text += fmt.Sprintf("%s=%v\n", name, value) }
+	if others := cluster.members; others != nil {
+		add("cluster_others", others.Others())
+		add("cluster_linked", others.Linked())
+		add("cluster_oldest_ms", others.Oldest(n.now)/ms)
+		add("cluster_young_ms", others.YoungFor()/ms)
+		add("cluster_sent", others.Sent)
+		add("cluster_heard", others.Heard)
+		add("cluster_sent_bytes", others.SentBytes)
+		add("cluster_stale", others.Stale)
 		for f := frame.None + 1; f < frame.Faults; f++ {
-			add("cluster_dropped."+f.String(), m.Faults[f])
+			add("cluster_dropped."+f.String(), others.Faults[f])
 		}
 	}
 	text += n.limitMetrics()
-	f := k.overload.Figures
+	f := cluster.overload.Figures
 	bit := map[bool]int{true: 1}
 	late := false
-	if k.members != nil {
-		late = k.members.IsLate()
+	if cluster.members != nil {
+		late = cluster.members.IsLate()
 	}
 	add("overload_late", bit[late])
 	add("overload_short", bit[f.Short])
@@ -206,8 +206,8 @@
 	add("overload_demand", fmt.Sprintf("%.0f", f.Demand))
 	add("overload_shed", f.Refused)
 	add("hosts_held_back", f.Held)
-	k.overload.Held(func(s *balance.Server, v verdicts.Verdict) {
-		add("held_back."+s.Name, fmt.Sprintf("%s:%d", v.Of, v.Witnesses))
+	cluster.overload.Held(func(s *balance.Server, value verdicts.Verdict) {
+		add("held_back."+s.Name, fmt.Sprintf("%s:%d", value.Of, value.Witnesses))
 	})
 	add("overload_cuts", f.Cuts)
 	add("overload_retries", f.Retries)
@@ -216,9 +216,9 @@
 }
 
 // worth is what a flow of a service type is worth where refusals weigh it; 0 where they don't, or the settings don't say.
-func (n *Node) worth(kind int) float64 {
-	if n.cluster != nil && kind < len(n.settings.Worth) {
-		return n.settings.Worth[kind]
+func (n *Node) worth(typeIndex int) float64 {
+	if n.cluster != nil && typeIndex < len(n.settings.Worth) {
+		return n.settings.Worth[typeIndex]
 	}
 	return 0
 }
--- a/node/cold.go
+++ b/node/cold.go
@@ -25,23 +25,23 @@
 
 // findColdHosts notes which hosts are cold.
 func (n *Node) findColdHosts() {
-	for _, l := range n.cluster.limits {
-		if l.Over != OverCold {
+	for _, limit := range n.cluster.limits {
+		if limit.Over != OverCold {
 			continue
 		}
-		l.coldHosts = l.coldHosts[:0]
+		limit.coldHosts = limit.coldHosts[:0]
 		for _, h := range n.hostList {
 			if h.State == balance.Up && n.cluster.overload.ColdRate(&h.Server) > 0 {
-				l.coldHosts = append(l.coldHosts, h)
+				limit.coldHosts = append(limit.coldHosts, h)
 			}
 		}
 	}
 }
 
 // coldLimit is what an owner grants of a host now, by how many nodes have lent it their part.
-func (n *Node) coldLimit(l *localLimit, key uint64) limits.Limit {
-	for _, h := range l.coldHosts {
-		if l.nameKey(h.uid) == key {
+func (n *Node) coldLimit(limit *localLimit, key uint64) limits.Limit {
+	for _, h := range limit.coldHosts {
+		if limit.nameKey(h.uid) == key {
 			part := coldBaseShare + coldLentShare*float64(n.cluster.leases.Voters(int(key%lease.Slots)))/float64(n.config.Cluster.Others+1)
 			return limits.Limit{Rate: part * n.cluster.overload.ColdRate(&h.Server), Burst: coldBurst, Strict: true}
 		}
@@ -50,31 +50,31 @@
 }
 
 // awaitsColdGrant asks for a grant for a cold host that this node has none for, and tells whether the flow waits for it.
-func (n *Node) awaitsColdGrant(f *flow, l *localLimit) bool {
-	if len(l.coldHosts) == 0 {
+func (n *Node) awaitsColdGrant(f *flow, limit *localLimit) bool {
+	if len(limit.coldHosts) == 0 {
 		return false
 	}
-	o := n.cluster.overload
-	if f.coldRequests++; f.coldRequests == 1 && o.Short() && !o.Draw(&f.Flow) || f.coldRequests > maxColdRequests {
+	overload := n.cluster.overload
+	if f.coldRequests++; f.coldRequests == 1 && overload.Short() && !overload.Draw(&f.Flow) || f.coldRequests > maxColdRequests {
 		return false
 	}
-	from := n.rng.Intn(len(l.coldHosts))
-	for i := range l.coldHosts {
-		h := l.coldHosts[(from+i)%len(l.coldHosts)]
-		key := l.nameKey(h.uid)
-		if h.Avoided(n.now) || !o.Takes(&h.Server, &f.Flow) {
+	start := n.rng.Intn(len(limit.coldHosts))
+	for i := range limit.coldHosts {
+		h := limit.coldHosts[(start+i)%len(limit.coldHosts)]
+		key := limit.nameKey(h.uid)
+		if h.Avoided(n.now) || !overload.Takes(&h.Server, &f.Flow) {
 			continue // it would not be sent there
 		}
-		if h.State != balance.Up || o.Granted(&h.Server) {
+		if h.State != balance.Up || overload.Granted(&h.Server) {
 			return false // one is in hand
 		}
-		if l.rate.Empty(key) || !n.cluster.leases.Lent(int(key%lease.Slots)) {
+		if limit.rate.Empty(key) || !n.cluster.leases.Lent(int(key%lease.Slots)) {
 			continue
 		}
-		q := &coldRequest{f, h}
-		yes, waits := l.rate.Take(key, q, n.limitSender(l))
-		if yes {
-			o.Grant(&h.Server, &f.Flow, n.now+l.rate.Held(key))
+		request := &coldRequest{f, h}
+		granted, waits := limit.rate.Take(key, request, n.limitSender(limit))
+		if granted {
+			overload.Grant(&h.Server, &f.Flow, n.now+limit.rate.Held(key))
 		} else if !waits {
 			continue
 		}
@@ -84,21 +84,21 @@
 }
 
 // coldAnswered takes the word on a grant. The flow that waited goes on with it or without.
-func (n *Node) coldAnswered(l *localLimit, q *coldRequest, a limits.Answer) {
-	if a.Yes {
-		if a.Until == 0 {
-			a.Until = n.now + l.rate.Held(l.nameKey(q.host.uid))
+func (n *Node) coldAnswered(limit *localLimit, request *coldRequest, answer limits.Answer) {
+	if answer.Yes {
+		if answer.Until == 0 {
+			answer.Until = n.now + limit.rate.Held(limit.nameKey(request.host.uid))
 		}
-		n.cluster.overload.Grant(&q.host.Server, &q.flow.Flow, a.Until)
+		n.cluster.overload.Grant(&request.host.Server, &request.flow.Flow, answer.Until)
 	}
-	if q.flow.ended {
-		n.cluster.overload.Forget(&q.flow.Flow)
+	if request.flow.ended {
+		n.cluster.overload.Forget(&request.flow.Flow)
 		return
 	}
-	if a.Yes {
-		q.flow.nextLimit++ // else the next cold host may have room
+	if answer.Yes {
+		request.flow.nextLimit++ // else the next cold host may have room
 	}
-	if !n.blockedByLimit(q.flow) {
-		n.decider.Demand(&q.flow.Flow)
+	if !n.blockedByLimit(request.flow) {
+		n.decider.Demand(&request.flow.Flow)
 	}
 }
--- a/node/conns.go
+++ b/node/conns.go
@@ -15,12 +15,12 @@
 )
 
 // setShedQueue puts a connection last into a queue of those that may be shed, or out of all.
-func (n *Node) setShedQueue(c *conn, q *list.List) {
+func (n *Node) setShedQueue(c *conn, queue *list.List) {
 	if c.shedQueue != nil {
 		c.shedQueue.Remove(c.queueElement)
 	}
-	if c.shedQueue = q; q != nil {
-		c.queueElement, c.queuedAt = q.PushBack(c), n.now
+	if c.shedQueue = queue; queue != nil {
+		c.queueElement, c.queuedAt = queue.PushBack(c), n.now
 	}
 }
 
@@ -73,8 +73,8 @@
 }
 
 // shedOldest closes the first of a queue, if it has been there for so long.
-func (n *Node) shedOldest(q *list.List, least int64) bool {
-	e := q.Front()
+func (n *Node) shedOldest(queue *list.List, minAge int64) bool {
+	e := queue.Front()
 	if e != nil && e.Value == n.frontConn {
 		e = e.Next()
 	}
@@ -82,7 +82,7 @@
 		return false
 	}
 	c := e.Value.(*conn)
-	if n.now-c.queuedAt < least || c.role != roleNew && c.out.Len() > 0 {
+	if n.now-c.queuedAt < minAge || c.role != roleNew && c.out.Len() > 0 {
 		return false
 	}
 	n.shedConn(c)
@@ -113,9 +113,9 @@
 	}
 	if n.admissionGate != nil {
 		c.gatePrefix = admission.Key(from.Addr())
-		if why := n.admissionGate.Come(c.gatePrefix, n.now, n.net.Room()-n.owedDescriptors()); why != admission.Taken {
+		if reason := n.admissionGate.Come(c.gatePrefix, n.now, n.net.Room()-n.owedDescriptors()); reason != admission.Taken {
 			n.Count.Refused++
-			n.logThrottled("refused", why.String())
+			n.logThrottled("refused", reason.String())
 			return 0, nil, nil, false
 		}
 	}
@@ -299,7 +299,7 @@
 
 // readFirstLine answers what a client says before it has a flow.
 func (n *Node) readFirstLine(c *conn) {
-	for asked := 0; c.role == roleNew; asked++ {
+	for pings := 0; c.role == roleNew; pings++ {
 		line := c.in.Line()
 		switch {
 		case line == nil && c.in.Len() > lines.Longest+2:
@@ -319,7 +319,7 @@
 			c.in.Drop(len(line))
 			n.acceptRequest(c, line)
 			return
-		case asked == maxPingsPerRead:
+		case pings == maxPingsPerRead:
 			n.rejectLine(c, errTooManyPings)
 			return
 		case c.out.Free() < 6:
@@ -351,9 +351,9 @@
 }
 
 // rejectLine answers a client that can't be understood. It teaches the module nothing.
-func (n *Node) rejectLine(c *conn, why error) {
+func (n *Node) rejectLine(c *conn, cause error) {
 	n.Count.Bad++
-	n.logThrottled("bad_line", why.Error())
+	n.logThrottled("bad_line", cause.Error())
 	n.sendFinalLine(c, "ERR\r\n")
 }
 
@@ -366,27 +366,27 @@
 // logThrottled writes such a line, one a second and kind at most; of those kept back it tells how many they were. Guards
 // the loop against waiting on its log.
 func (n *Node) logThrottled(msg, why string) {
-	k := n.logKinds[msg+why]
-	if k == nil {
+	kind := n.logKinds[msg+why]
+	if kind == nil {
 		if len(n.logKinds) >= maxLogKinds {
 			return
 		}
-		k = &logKind{}
-		k.run = func() {
-			if k.count == 0 {
+		kind = &logKind{}
+		kind.run = func() {
+			if kind.count == 0 {
 				delete(n.logKinds, msg+why)
 				return
 			}
-			log.Printf("msg=%s why=%q count=%d", msg, why, k.count)
-			k.count = 0
-			n.deadlines.set(&k.deadline, n.now+second)
+			log.Printf("msg=%s why=%q count=%d", msg, why, kind.count)
+			kind.count = 0
+			n.deadlines.set(&kind.deadline, n.now+second)
 		}
-		n.logKinds[msg+why] = k
-		n.deadlines.set(&k.deadline, n.now+second)
+		n.logKinds[msg+why] = kind
+		n.deadlines.set(&kind.deadline, n.now+second)
 		log.Printf("msg=%s why=%q count=1", msg, why)
 		return
 	}
-	k.count++
+	kind.count++
 }
 
 // sendFinalLine sends a client its last line.
@@ -436,8 +436,8 @@
 }
 
 // Probe asks a host whether it answers, over a connection that is kept for it.
-func (n *Node) Probe(s *balance.Server) {
-	h := n.hosts[s.Name]
+func (n *Node) Probe(server *balance.Server) {
+	h := n.hosts[server.Name]
 	n.Count.Probes++
 	h.probeSentAt, h.probeSpan, h.probeUnsent = n.now, n.startSpan(), false
 	n.activeProbes++
@@ -486,18 +486,18 @@
 			return
 		}
 		word, _ := lines.Answer(line)
-		busy, told := 0.0, false
+		busy, reported := 0.0, false
 		if n.settings.Reports {
 			if figures, ok := lines.Stats(line); ok {
 				word = lines.Pong // also without the figure: the host answered
-				busy, told = figures.At(n.settings.Report)
+				busy, reported = figures.At(n.settings.Report)
 			}
 		}
 		c.in.Drop(len(line))
 		if h.probeSentAt == 0 || word == lines.Load {
 			continue
 		}
-		if told {
+		if reported {
 			n.noteBusy(h, busy)
 			n.decider.Reported(&h.Server, busy, true)
 		}
@@ -557,29 +557,29 @@
 func (n *Node) reportMessageTimes() {
 	n.closeStalledClients()
 	n.deadlines.set(&n.messageTimeTimer, n.now+messageTimeInterval)
-	for _, s := range n.flows.entries {
-		if f := s.value; f != nil && f.unansweredSince > 0 && !f.ended {
+	for _, entry := range n.flows.entries {
+		if f := entry.value; f != nil && f.unansweredSince > 0 && !f.ended {
 			age, _ := n.elapsed(f.unansweredSpan)
 			f.host.pendingAges = append(f.host.pendingAges, age)
 		}
 	}
 	for _, h := range n.hostList {
 		slices.Sort(h.messageTimes)
-		mid := int64(0)
+		median := int64(0)
 		if len(h.messageTimes) > 0 {
-			mid = h.messageTimes[len(h.messageTimes)/2]
+			median = h.messageTimes[len(h.messageTimes)/2]
 		}
 		for _, age := range h.pendingAges {
-			if age > mid {
+			if age > median {
 				h.messageTimes = append(h.messageTimes, age)
 			}
 		}
 		if len(h.messageTimes) > 0 {
 			slices.Sort(h.messageTimes)
-			own := n.now-h.reported.lastMessageTime > hostReportValidity || h.reported.lastMessageTime == 0
-			if us := h.messageTimes[len(h.messageTimes)/2]; own && (us > n.slowMessageTime || h.slowReported) {
-				h.slowReported = us > n.slowMessageTime
-				n.decider.Slow(&h.Server, us)
+			selfMeasured := n.now-h.reported.lastMessageTime > hostReportValidity || h.reported.lastMessageTime == 0
+			if typical := h.messageTimes[len(h.messageTimes)/2]; selfMeasured && (typical > n.slowMessageTime || h.slowReported) {
+				h.slowReported = typical > n.slowMessageTime
+				n.decider.Slow(&h.Server, typical)
 			}
 		}
 		h.messageTimes, h.pendingAges = h.messageTimes[:0], h.pendingAges[:0]
--- a/node/counts.go
+++ b/node/counts.go
@@ -39,26 +39,26 @@
 
 // CountersText is the counters as key=value, the answers summed over the service types.
 func (n *Node) CountersText() string {
-	c, sum := n.Count, Tally{}
+	counts, sum := n.Count, Tally{}
 	for _, t := range n.Types {
 		sum = Tally{sum.Success + t.Success, sum.Busy + t.Busy, sum.Failure + t.Failure}
 	}
 	return fmt.Sprintf("accepted=%d taken=%d stood=%d connects=%d backend_calls=%d success=%d busy=%d failure=%d left=%d "+
 		"bad=%d crowded=%d shed=%d completed=%d severed=%d moves=%d silent=%d probes=%d probes_failed=%d calls=%d "+
 		"calls_failed=%d lists=%d reloads=%d panics=%d vanished=%d refused=%d admin_calls=%d admin_shed=%d "+
-		"handed_on=%d taken_over=%d late_turns=%d late_us=%d", c.Accepted, c.Taken, c.Stood, c.Connects, c.Asked, sum.Success, sum.Busy, sum.Failure,
-		c.Left, c.Bad, c.Crowded, c.Shed, c.Completed, c.Severed, c.Moves, c.Silent, c.Probes, c.ProbesFailed,
-		c.Calls, c.CallsFailed, c.Lists, c.Reloads, c.Panics, c.Vanished, c.Refused, c.AdminCalls, c.AdminShed, c.HandedOn, c.TakenOver,
-		c.LateTurns, c.LateUs)
+		"handed_on=%d taken_over=%d late_turns=%d late_us=%d", counts.Accepted, counts.Taken, counts.Stood, counts.Connects, counts.Asked, sum.Success, sum.Busy, sum.Failure,
+		counts.Left, counts.Bad, counts.Crowded, counts.Shed, counts.Completed, counts.Severed, counts.Moves, counts.Silent, counts.Probes, counts.ProbesFailed,
+		counts.Calls, counts.CallsFailed, counts.Lists, counts.Reloads, counts.Panics, counts.Vanished, counts.Refused, counts.AdminCalls, counts.AdminShed, counts.HandedOn, counts.TakenOver,
+		counts.LateTurns, counts.LateUs)
 }
 
 // metricsText is the figures that operators fetch, a line each.
 func (n *Node) metricsText() string {
 	names := n.typeNames()
-	var b strings.Builder
-	for kind, t := range n.Types {
-		fmt.Fprintf(&b, "success.%s=%d\nbusy.%s=%d\nfailure.%s=%d\n", names[kind], t.Success, names[kind], t.Busy,
-			names[kind], t.Failure)
+	var text strings.Builder
+	for typeIndex, t := range n.Types {
+		fmt.Fprintf(&text, "success.%s=%d\nbusy.%s=%d\nfailure.%s=%d\n", names[typeIndex], t.Success, names[typeIndex], t.Busy,
+			names[typeIndex], t.Failure)
 	}
 	listed, down := 0, 0
 	for _, h := range n.hostList {
@@ -70,7 +70,7 @@
 			down++
 		}
 	}
-	fmt.Fprintf(&b, "backend_calls=%d\ninflight=%d\nhosts_listed=%d\nhosts_down=%d\n", n.Count.Asked, n.flows.count, listed, down)
-	b.WriteString(n.clusterMetrics())
-	return b.String()
+	fmt.Fprintf(&text, "backend_calls=%d\ninflight=%d\nhosts_listed=%d\nhosts_down=%d\n", n.Count.Asked, n.flows.count, listed, down)
+	text.WriteString(n.clusterMetrics())
+	return text.String()
 }
--- a/node/ending.go
+++ b/node/ending.go
@@ -83,8 +83,8 @@
 // shortenAllDeadlines hastens the flows in hand. Guards those that came before the node was told to end or to drain, and may wait
 // for longer than it has left.
 func (n *Node) shortenAllDeadlines() {
-	for _, s := range n.flows.entries {
-		if f := s.value; f != nil && !f.ended && f.stage != Established {
+	for _, entry := range n.flows.entries {
+		if f := entry.value; f != nil && !f.ended && f.stage != Established {
 			n.shortenDeadline(f)
 		}
 	}
@@ -128,8 +128,8 @@
 		return
 	}
 	n.acceptStoppedAt = n.now
-	for _, s := range n.conns.entries {
-		if c := s.value; c != nil && c.role == roleNew {
+	for _, entry := range n.conns.entries {
+		if c := entry.value; c != nil && c.role == roleNew {
 			n.sendFinalLine(c, busyLine)
 		}
 	}
@@ -163,24 +163,24 @@
 // here or wait for a node that was stopped before and is not back yet; and clients that were served to their end, where
 // nobody has read that yet.
 func (n *Node) moveDueFlows() {
-	open := int64(0)
-	for _, s := range n.flows.entries {
-		if s.value != nil && s.value.stage == Established {
-			open++
+	established := int64(0)
+	for _, entry := range n.flows.entries {
+		if entry.value != nil && entry.value.stage == Established {
+			established++
 		}
 	}
 	left := n.lastMoveBy() - n.now
 	last := left <= moveInterval
 	left = max(left, moveInterval)
-	due := (open*moveInterval + left - 1) / left
-	for _, s := range n.flows.entries {
-		if f := s.value; f != nil && !f.ended && f.stage == Established && due > 0 && (last || n.canMove(f)) {
-			due--
+	quota := (established*moveInterval + left - 1) / left
+	for _, entry := range n.flows.entries {
+		if f := entry.value; f != nil && !f.ended && f.stage == Established && quota > 0 && (last || n.canMove(f)) {
+			quota--
 			n.moveClient(f)
 			n.endFlow(f, balance.Recalled)
 		}
 	}
-	next := max(left/max(open, 1), moveInterval)
+	next := max(left/max(established, 1), moveInterval)
 	if last && n.stopAt == 0 {
 		next = lateMoveInterval
 	}
--- a/node/figures.go
+++ b/node/figures.go
@@ -19,11 +19,11 @@
 }
 
 // receiveFigure takes in what stood behind LOAD on a flow's connection.
-func (n *Node) receiveFigure(f *flow, x float64) {
+func (n *Node) receiveFigure(f *flow, figure float64) {
 	h := f.host
 	// Clients wait no longer than Longest for anything, and no message takes no time: that is a flow without load.
-	if !n.settings.TellsTime || x > float64(n.settings.Longest/ms) || x == 0 {
-		n.receiveLoad(f, x)
+	if !n.settings.TellsTime || figure > float64(n.settings.Longest/ms) || figure == 0 {
+		n.receiveLoad(f, figure)
 		return
 	}
 	since := n.now - h.reported.lastFigure
@@ -31,21 +31,21 @@
 	series := h.reported.lastFigure > 0 && since > hostReportInterval-hostReportTolerance && since < hostReportInterval+hostReportTolerance
 	switch {
 	case f.reportedLoad == 0 && first:
-		n.receiveLoad(f, x)
+		n.receiveLoad(f, figure)
 		return
-	case series, f.reportedLoad > 0 && x < f.reportedLoad/maxLoadDrop, f.reportedLoad == 0 && n.hostsReportTimes:
+	case series, f.reportedLoad > 0 && figure < f.reportedLoad/maxLoadDrop, f.reportedLoad == 0 && n.hostsReportTimes:
 		n.hostsReportTimes = n.hostsReportTimes || series
 		h.reported.lastMessageTime = n.now
-		n.decider.Slow(&h.Server, int64(x*float64(ms)))
+		n.decider.Slow(&h.Server, int64(figure*float64(ms)))
 	}
 	h.reported.lastFigure = n.now // what can be either and has no sign teaches nothing but when it came
 }
 
-func (n *Node) receiveLoad(f *flow, x float64) {
-	f.reportedLoad = x
-	n.captureLoad(f, x)
+func (n *Node) receiveLoad(f *flow, load float64) {
+	f.reportedLoad = load
+	n.captureLoad(f, load)
 	if n.cluster != nil {
-		n.cluster.overload.Load(f.TypeNo, x)
+		n.cluster.overload.Load(f.TypeNo, load)
 	}
-	n.decider.Load(&f.Flow, x)
+	n.decider.Load(&f.Flow, load)
 }
--- a/node/flows.go
+++ b/node/flows.go
@@ -66,35 +66,35 @@
 
 // acceptRequest reads the line with which a client asks for a connection and hands the flow to the module.
 func (n *Node) acceptRequest(c *conn, line []byte) {
-	o, err := lines.ParseOpen(line)
+	request, err := lines.ParseOpen(line)
 	if err != nil {
 		n.rejectLine(c, err)
 		return
 	}
-	kind, ok := n.settings.Names[o.Class]
+	typeIndex, ok := n.settings.Names[request.Class]
 	if !ok {
 		n.rejectLine(c, errUnknownType)
 		return
 	}
 	n.Count.Taken++
 	switch {
-	case !n.recentIDs.add(hash(o.ID)): // guards the flow of that id: a host would take this one for it
-		n.Types[kind].Failure++
+	case !n.recentIDs.add(hash(request.ID)): // guards the flow of that id: a host would take this one for it
+		n.Types[typeIndex].Failure++
 		n.rejectLine(c, errDuplicateID)
 		return
 	case c.in.Len() > 0:
-		n.Types[kind].Failure++
+		n.Types[typeIndex].Failure++
 		n.rejectLine(c, errEarlyData)
 		return
 	}
-	wait := o.Wait
-	if most := n.settings.Limits[kind]; most > 0 && o.At == "" {
-		wait = min(wait, most)
+	wait := request.Wait
+	if limit := n.settings.Limits[typeIndex]; limit > 0 && request.At == "" {
+		wait = min(wait, limit)
 	}
-	f := &flow{request: o, client: c}
+	f := &flow{request: request, client: c}
 	n.startCapture(f)
-	f.Flow = balance.Flow{Type: &n.settings.Types[kind], TypeNo: kind, Hash: hash(o.Key), Again: o.Again, Hint: o.Hint,
-		Worth: n.worth(kind), Deadline: n.now + wait - answerMargin, Passed: n.settings.Passes, Ref: f}
+	f.Flow = balance.Flow{Type: &n.settings.Types[typeIndex], TypeNo: typeIndex, Hash: hash(request.Key), Again: request.Again, Hint: request.Hint,
+		Worth: n.worth(typeIndex), Deadline: n.now + wait - answerMargin, Passed: n.settings.Passes, Ref: f}
 	n.shortenDeadline(f)
 	f.timer.run = func() { n.flowTimedOut(f) }
 	c.role, c.flow = roleClient, f
@@ -109,8 +109,8 @@
 		return
 	}
 	f.id = n.flows.add(f)
-	f.joinNamedGroup(n, o.Group)
-	if o.At != "" {
+	f.joinNamedGroup(n, request.Group)
+	if request.At != "" {
 		f.rejoins = true
 		n.Count.Stood++
 		n.rejoin(f)
@@ -135,8 +135,8 @@
 	g := n.groups[id]
 	if g == nil {
 		if len(n.groups) >= n.limits.Groups { // guards the memory: groups without flows are met anew
-			for id, o := range n.groups {
-				if o.flowCount == 0 {
+			for id, other := range n.groups {
+				if other.flowCount == 0 {
 					delete(n.groups, id)
 					delete(n.groupHashes, peers.Short(id))
 				}
@@ -348,18 +348,18 @@
 // relay moves lines both ways, whole ones only, so that a word of the node's own never falls into one.
 func (n *Node) relay(f *flow) {
 	for {
-		p, ended := nextChunk(f.client, f.upstream)
-		if len(p) == 0 {
+		chunk, endsLine := nextChunk(f.client, f.upstream)
+		if len(chunk) == 0 {
 			break
 		}
-		n.relayToHost(f, p, ended)
+		n.relayToHost(f, chunk, endsLine)
 	}
 	for {
-		p, ended := nextChunk(f.upstream, f.client)
-		if len(p) == 0 {
+		chunk, endsLine := nextChunk(f.upstream, f.client)
+		if len(chunk) == 0 {
 			break
 		}
-		n.relayToClient(f, p, ended)
+		n.relayToClient(f, chunk, endsLine)
 	}
 	n.net.Touch(f.client.id)
 	n.net.Touch(f.upstream.id)
@@ -371,7 +371,7 @@
 
 // nextChunk is what goes on next from a connection to its other side: as many whole lines as lie in one piece and find
 // room, or what is left when no end of line will come. It stays in the ring.
-func nextChunk(from, to *conn) (p []byte, ended bool) {
+func nextChunk(from, to *conn) (chunk []byte, endsLine bool) {
 	head := from.in.Head()
 	if room := to.out.Free(); len(head) > room {
 		head = head[:room]
@@ -395,37 +395,37 @@
 }
 
 // enqueue gives bytes to a connection. What carries bulk gets a wide ring: each turn then moves more for the same calls.
-func enqueue(to *conn, p []byte) {
-	if len(p) > lines.RingSize/2 {
+func enqueue(to *conn, chunk []byte) {
+	if len(chunk) > lines.RingSize/2 {
 		to.out.Widen()
 	}
-	to.out.Put(p)
+	to.out.Put(chunk)
 }
 
 // relayToHost passes on what a client sent.
-func (n *Node) relayToHost(f *flow, p []byte, ended bool) {
+func (n *Node) relayToHost(f *flow, chunk []byte, endsLine bool) {
 	to := f.upstream
-	asks := ended && (!to.midLine || bytes.IndexByte(p, '\n') < len(p)-1) // a line of which no part went before
-	f.record.countLines(true, p)
-	enqueue(to, p)
-	to.midLine = !ended
-	f.client.in.Drop(len(p))
-	if asks && f.unansweredSince == 0 {
+	startsLine := endsLine && (!to.midLine || bytes.IndexByte(chunk, '\n') < len(chunk)-1) // a line of which no part went before
+	f.record.countLines(true, chunk)
+	enqueue(to, chunk)
+	to.midLine = !endsLine
+	f.client.in.Drop(len(chunk))
+	if startsLine && f.unansweredSince == 0 {
 		f.unansweredSince, f.unansweredSpan = n.now, n.startSpan()
 		n.deadlines.set(&f.timer, n.now+hostSilenceTimeout)
 	}
 }
 
 // relayToClient passes on what a host sent, and reads what of it is meant for the node as well.
-func (n *Node) relayToClient(f *flow, p []byte, ended bool) {
+func (n *Node) relayToClient(f *flow, chunk []byte, endsLine bool) {
 	to, answered := f.client, false
-	for rest := p; len(rest) > 0; {
+	for rest := chunk; len(rest) > 0; {
 		end := bytes.IndexByte(rest, '\n') + 1
 		if end == 0 {
 			end = len(rest)
 		}
-		switch c := rest[0]; {
-		case to.midLine || !ended || c != 'L' && c != 'B' && c != 'M':
+		switch first := rest[0]; {
+		case to.midLine || !endsLine || first != 'L' && first != 'B' && first != 'M':
 			answered = true
 		default:
 			word, load := lines.Answer(rest[:end])
@@ -440,13 +440,13 @@
 		rest = rest[end:]
 		to.midLine = false
 	}
-	f.record.countLines(false, p)
+	f.record.countLines(false, chunk)
 	if to.out.Len() == 0 {
 		to.sentAt = n.now
 	}
-	enqueue(to, p)
-	to.midLine = !ended
-	f.upstream.in.Drop(len(p))
+	enqueue(to, chunk)
+	to.midLine = !endsLine
+	f.upstream.in.Drop(len(chunk))
 	if answered && f.unansweredSince > 0 {
 		took, _ := n.elapsed(f.unansweredSpan)
 		f.host.messageTimes = append(f.host.messageTimes, took)
@@ -457,9 +457,9 @@
 
 // finishIfEnded ends an open flow once one side has ended and its last bytes are passed on.
 func (n *Node) finishIfEnded(f *flow) {
-	c, h := f.client, f.upstream
+	client, upstream := f.client, f.upstream
 	switch {
-	case h.inputEnded && (h.in.Len() == 0 || h.err != nil):
+	case upstream.inputEnded && (upstream.in.Len() == 0 || upstream.err != nil):
 		end := balance.Severed
 		switch f.lastWord {
 		case lines.Bye:
@@ -468,13 +468,13 @@
 			end = balance.Recalled
 		}
 		f.record.setEnd(hostEndKinds[end])
-		n.closeLikeOtherSide(c, h.err)
-		n.close(h)
+		n.closeLikeOtherSide(client, upstream.err)
+		n.close(upstream)
 		n.endFlow(f, end)
-	case c.inputEnded && (c.in.Len() == 0 || c.err != nil):
+	case client.inputEnded && (client.in.Len() == 0 || client.err != nil):
 		f.record.setEnd(capture.Gone)
-		n.closeLikeOtherSide(h, c.err)
-		n.close(c)
+		n.closeLikeOtherSide(upstream, client.err)
+		n.close(client)
 		n.endFlow(f, balance.Recalled)
 	}
 }
@@ -572,12 +572,12 @@
 
 // The Writer of the module.
 
-func (n *Node) Connect(bf *balance.Flow, s *balance.Server, timeout int64) {
-	n.dial(bf.Ref.(*flow), n.hosts[s.Name], timeout)
+func (n *Node) Connect(decided *balance.Flow, server *balance.Server, timeout int64) {
+	n.dial(decided.Ref.(*flow), n.hosts[server.Name], timeout)
 }
 
-func (n *Node) Reject(bf *balance.Flow, wait int64) {
-	f := bf.Ref.(*flow)
+func (n *Node) Reject(decided *balance.Flow, wait int64) {
+	f := decided.Ref.(*flow)
 	n.countAnswer(f, capture.Rejected)
 	n.removeFlow(f)
 	if wait > 0 {
@@ -587,16 +587,16 @@
 	n.sendFinalLine(f.client, "BUSY\r\n")
 }
 
-func (n *Node) Abort(bf *balance.Flow) {
-	f := bf.Ref.(*flow)
+func (n *Node) Abort(decided *balance.Flow) {
+	f := decided.Ref.(*flow)
 	n.countAnswer(f, capture.Aborted)
 	n.removeFlow(f)
 	n.sendFinalLine(f.client, "ERR\r\n")
 }
 
 // Move ends an open flow at once; the module hears of its end in the next turn.
-func (n *Node) Move(bf *balance.Flow) {
-	f := bf.Ref.(*flow)
+func (n *Node) Move(decided *balance.Flow) {
+	f := decided.Ref.(*flow)
 	if f.ended || f.stage != Established {
 		return
 	}
--- a/node/handover.go
+++ b/node/handover.go
@@ -53,25 +53,25 @@
 }
 
 // Heir is told when a new process calls: it gets what this one knows. It is refused while another is at it.
-func (n *Node) Heir(o Other) (*handover.State, bool) {
+func (n *Node) Heir(peer Other) (*handover.State, bool) {
 	if n.handover.peer != nil {
 		return nil, false
 	}
-	n.handover.peer, n.handover.idsAtState, n.handover.stateSent = o, n.recentIDs.added, false
-	s := &handover.State{Drained: n.drainAt > 0, From: n.listAddr, Hosts: map[string]balance.ServerMemory{},
+	n.handover.peer, n.handover.idsAtState, n.handover.stateSent = peer, n.recentIDs.added, false
+	state := &handover.State{Drained: n.drainAt > 0, From: n.listAddr, Hosts: map[string]balance.ServerMemory{},
 		List: discovery.List{Rev: n.listRev, All: true}, IDs: n.recentIDs.newest(n.limits.IDs)}
 	for _, h := range n.hostList {
 		if h.State != balance.Removed {
-			s.List.Entries = append(s.List.Entries, n.listEntry(h))
+			state.List.Entries = append(state.List.Entries, n.listEntry(h))
 		}
 	}
-	if m, ok := n.decider.(balancerMemory); ok {
-		s.Types, s.Node = n.typeNames(), m.Memory()
+	if memory, ok := n.decider.(balancerMemory); ok {
+		state.Types, state.Node = n.typeNames(), memory.Memory()
 		for _, h := range n.hostList {
-			s.Hosts[h.uid] = m.MemoryOf(&h.Server)
+			state.Hosts[h.uid] = memory.MemoryOf(&h.Server)
 		}
 	}
-	return s, true
+	return state, true
 }
 
 // HeirKnows is told when the state has been sent.
@@ -82,8 +82,8 @@
 
 // announceStop tells a new process that this one has been told to end before it took.
 func (n *Node) announceStop() {
-	if t := &n.handover; t.stateSent && !t.yielded && n.stopAt > 0 {
-		t.peer.Tell(&handover.Message{Leave: true})
+	if state := &n.handover; state.stateSent && !state.yielded && n.stopAt > 0 {
+		state.peer.Tell(&handover.Message{Leave: true})
 	}
 }
 
@@ -95,52 +95,52 @@
 
 // Yield is told when the new process takes connections. It gives the ids that came since it was told the state.
 func (n *Node) Yield() []uint64 {
-	t := &n.handover
-	t.yielded = true
+	state := &n.handover
+	state.yielded = true
 	n.yieldLimits()
 	log.Printf("msg=yielded flows=%d", n.flows.count)
 	if n.stopAt > 0 {
-		n.deadlines.set(&t.timer, n.now)
+		n.deadlines.set(&state.timer, n.now)
 	}
-	return n.recentIDs.newest(min(n.recentIDs.added-t.idsAtState, maxLateIDs))
+	return n.recentIDs.newest(min(n.recentIDs.added-state.idsAtState, maxLateIDs))
 }
 
 // OtherGone is told when the other process has ended, or its link has. It tells whether connections are to be taken
 // here again, or for the first time.
 func (n *Node) OtherGone() (take bool) {
-	t := &n.handover
-	take = t.yielded || t.joining
-	log.Printf("msg=other_process_gone yielded=%t joining=%t", t.yielded, t.joining)
-	n.deadlines.cancel(&t.timer)
-	t.peer, t.joining, t.stateSent, t.yielded = nil, false, false, false
+	state := &n.handover
+	take = state.yielded || state.joining
+	log.Printf("msg=other_process_gone yielded=%t joining=%t", state.yielded, state.joining)
+	n.deadlines.cancel(&state.timer)
+	state.peer, state.joining, state.stateSent, state.yielded = nil, false, false, false
 	return take
 }
 
 // Inherit is told before Begin what the old process knew.
-func (n *Node) Inherit(o Other, s *handover.State) {
-	n.handover.peer, n.handover.inherited, n.handover.joining, n.handover.isSuccessor = o, s, true, true
+func (n *Node) Inherit(peer Other, state *handover.State) {
+	n.handover.peer, n.handover.inherited, n.handover.joining, n.handover.isSuccessor = peer, state, true, true
 }
 
 // restoreState takes in what was handed on, in the first turn.
 func (n *Node) restoreState() {
-	s := n.handover.inherited
+	state := n.handover.inherited
 	n.handover.inherited = nil
-	n.listRev, n.listAddr = s.List.Rev, s.From
-	n.applyList(balance.Remembered, s.List)
-	n.TakeIDs(s.IDs)
-	if m, ok := n.decider.(balancerMemory); ok {
-		m.Recall(n.now, s.Node.By(s.Types, n.typeNames()))
+	n.listRev, n.listAddr = state.List.Rev, state.From
+	n.applyList(balance.Remembered, state.List)
+	n.TakeIDs(state.IDs)
+	if memory, ok := n.decider.(balancerMemory); ok {
+		memory.Recall(n.now, state.Node.By(state.Types, n.typeNames()))
 		for _, h := range n.hostList {
-			if was, ok := s.Hosts[h.uid]; ok {
-				m.RecallOf(&h.Server, was)
+			if known, ok := state.Hosts[h.uid]; ok {
+				memory.RecallOf(&h.Server, known)
 			}
 		}
 	}
-	if s.Drained {
+	if state.Drained {
 		n.Drain() // an operator's word outlives the process that heard it
 	}
 	n.deadlines.set(&n.handover.timer, n.now+joinTimeout)
-	log.Printf("msg=joining hosts=%d rev=%d ids=%d drained=%t", len(s.List.Entries), s.List.Rev, len(s.IDs), s.Drained)
+	log.Printf("msg=joining hosts=%d rev=%d ids=%d drained=%t", len(state.List.Entries), state.List.Rev, len(state.IDs), state.Drained)
 }
 
 // OldLeaves is told when the old process ends and waits for this one to take.
@@ -148,14 +148,14 @@
 
 // finishJoining ends the joining: from now on this process takes connections.
 func (n *Node) finishJoining() {
-	t := &n.handover
-	if !t.joining {
+	state := &n.handover
+	if !state.joining {
 		return
 	}
-	t.joining = false
-	n.deadlines.cancel(&t.timer)
+	state.joining = false
+	n.deadlines.cancel(&state.timer)
 	log.Printf("msg=took_over hosts=%d rev=%d", len(n.hostList), n.listRev)
-	t.peer.Take()
+	state.peer.Take()
 }
 
 // TakeIDs notes ids that clients gave to the old process.
@@ -175,62 +175,62 @@
 }
 
 // announceDrains tells the other process which hosts take nothing new, so that it holds there as well.
-func (n *Node) announceDrains(l discovery.List) {
+func (n *Node) announceDrains(update discovery.List) {
 	if n.handover.peer == nil {
 		return
 	}
 	var uids []string
-	for _, e := range l.Entries {
+	for _, e := range update.Entries {
 		if e.State == "draining" || e.State == "gone" && !n.settings.DrainsAlone { // else gone alone does not bind
 			uids = append(uids, e.UID)
 		}
 	}
-	for part := range slices.Chunk(uids, maxDrainsPerMessage) {
-		n.handover.peer.Tell(&handover.Message{Drains: part})
+	for batch := range slices.Chunk(uids, maxDrainsPerMessage) {
+		n.handover.peer.Tell(&handover.Message{Drains: batch})
 	}
 }
 
 // HearDrains takes in which hosts the other process was told to be leaving. Its own list says when one is back.
 func (n *Node) HearDrains(uids []string) {
-	var l discovery.List
+	var update discovery.List
 	for _, uid := range uids {
 		if h := n.hosts[uid]; h != nil && h.State == balance.Up {
-			e := n.listEntry(h)
-			e.State = "draining"
-			l.Entries = append(l.Entries, e)
+			entry := n.listEntry(h)
+			entry.State = "draining"
+			update.Entries = append(update.Entries, entry)
 		}
 	}
-	if len(l.Entries) > 0 {
-		n.applyList(balance.Remembered, l)
+	if len(update.Entries) > 0 {
+		n.applyList(balance.Remembered, update)
 	}
 }
 
 // handOverStep hands on what can be: clients that have asked for nothing, and established flows whose bytes on their way are
 // few. The rest follows at a later step, or is moved.
 func (n *Node) handOverStep() {
-	t := &n.handover
-	if t.peer == nil || !t.yielded {
+	state := &n.handover
+	if state.peer == nil || !state.yielded {
 		return
 	}
-	left := maxHandedPerStep
-	for _, q := range []*list.List{&n.pingedConns, &n.silentConns} {
-		for e := q.Front(); e != nil && left > 0; {
+	budget := maxHandedPerStep
+	for _, queue := range []*list.List{&n.pingedConns, &n.silentConns} {
+		for e := queue.Front(); e != nil && budget > 0; {
 			c := e.Value.(*conn)
 			e = e.Next()
 			if !c.inputEnded && n.handOverClient(c) {
-				left--
+				budget--
 			}
 		}
 	}
-	for _, s := range n.flows.entries {
-		if left == 0 {
+	for _, entry := range n.flows.entries {
+		if budget == 0 {
 			break
 		}
-		if f := s.value; f != nil && n.handOverFlow(f) {
-			left--
+		if f := entry.value; f != nil && n.handOverFlow(f) {
+			budget--
 		}
 	}
-	n.deadlines.set(&t.timer, n.now+handOverInterval)
+	n.deadlines.set(&state.timer, n.now+handOverInterval)
 }
 
 func bytesIn(r *lines.Ring) []byte { return append([]byte(nil), r.Peek(r.Len())...) }
@@ -239,9 +239,9 @@
 	if max(c.in.Len(), c.out.Len()) > lines.RingSize {
 		return false
 	}
-	m := &handover.Message{Client: &handover.Client{In: bytesIn(&c.in), Out: bytesIn(&c.out), Front: c.shedQueue == &n.pingedConns,
+	message := &handover.Message{Client: &handover.Client{In: bytesIn(&c.in), Out: bytesIn(&c.out), Front: c.shedQueue == &n.pingedConns,
 		Age: n.now - (c.timer.at - firstLineTimeout)}}
-	if !n.handover.peer.Give(m, c.id) {
+	if !n.handover.peer.Give(message, c.id) {
 		return false
 	}
 	n.Count.HandedOn++
@@ -250,27 +250,27 @@
 }
 
 func (n *Node) handOverFlow(f *flow) bool {
-	c, h := f.client, f.upstream
-	if f.ended || f.stage != Established || c.inputEnded || h.inputEnded || f.lastWord != lines.Other ||
-		max(c.in.Len(), c.out.Len(), h.in.Len(), h.out.Len()) > lines.RingSize {
+	client, upstream := f.client, f.upstream
+	if f.ended || f.stage != Established || client.inputEnded || upstream.inputEnded || f.lastWord != lines.Other ||
+		max(client.in.Len(), client.out.Len(), upstream.in.Len(), upstream.out.Len()) > lines.RingSize {
 		return false
 	}
-	m := &handover.Flow{Type: n.typeNames()[f.TypeNo], Key: f.Hash, Again: f.Again, Hint: f.Hint, Load: f.reportedLoad, Age: n.now - f.establishedAt,
-		Host: n.listEntry(f.host), ClientIn: bytesIn(&c.in), ClientOut: bytesIn(&c.out), HostIn: bytesIn(&h.in),
-		HostOut: bytesIn(&h.out), ClientMid: c.midLine, HostMid: h.midLine}
+	message := &handover.Flow{Type: n.typeNames()[f.TypeNo], Key: f.Hash, Again: f.Again, Hint: f.Hint, Load: f.reportedLoad, Age: n.now - f.establishedAt,
+		Host: n.listEntry(f.host), ClientIn: bytesIn(&client.in), ClientOut: bytesIn(&client.out), HostIn: bytesIn(&upstream.in),
+		HostOut: bytesIn(&upstream.out), ClientMid: client.midLine, HostMid: upstream.midLine}
 	if f.group != nil {
-		m.Group, m.Grouped = f.group.Hash, true
+		message.Group, message.Grouped = f.group.Hash, true
 	}
 	if left := n.permitTimeLeft(f); left > 0 {
-		m.Process, m.Left = n.config.Cluster.Process, left
+		message.Process, message.Left = n.config.Cluster.Process, left
 	}
-	if !n.handover.peer.Give(&handover.Message{Flow: m}, c.id, h.id) {
+	if !n.handover.peer.Give(&handover.Message{Flow: message}, client.id, upstream.id) {
 		return false
 	}
 	n.Count.HandedOn++
 	f.record.setEnd(capture.Moved)
-	n.close(c)
-	n.close(h)
+	n.close(client)
+	n.close(upstream)
 	n.endFlow(f, balance.Recalled)
 	return true
 }
@@ -278,8 +278,8 @@
 // typeNames are the service types' names, in order.
 func (n *Node) typeNames() []string {
 	names := make([]string, len(n.settings.Types))
-	for name, kind := range n.settings.Names {
-		names[kind] = name
+	for name, typeIndex := range n.settings.Names {
+		names[typeIndex] = name
 	}
 	return names
 }
@@ -302,53 +302,53 @@
 }
 
 // TakeClient takes in a client's connection that has asked for nothing yet.
-func (n *Node) TakeClient(m *handover.Client, from netip.AddrPort) Adopted {
+func (n *Node) TakeClient(handed *handover.Client, from netip.AddrPort) Adopted {
 	c := &conn{role: roleNew, up: true}
 	c.timer.run = func() { n.firstLineTimedOut(c) }
 	c.id = n.register(c)
 	n.countHandedOver(c, from)
-	c.in.Put(m.In)
-	c.out.Put(m.Out)
-	if m.Front {
+	c.in.Put(handed.In)
+	c.out.Put(handed.Out)
+	if handed.Front {
 		n.setShedQueue(c, &n.pingedConns)
 	} else {
 		n.setShedQueue(c, &n.silentConns)
-		n.deadlines.set(&c.timer, n.now+max(firstLineTimeout-m.Age, 0))
+		n.deadlines.set(&c.timer, n.now+max(firstLineTimeout-handed.Age, 0))
 	}
 	n.Count.TakenOver++
 	return Adopted{c.id, &c.in, &c.out}
 }
 
 // TakeFlow takes in an established flow.
-func (n *Node) TakeFlow(m *handover.Flow, from netip.AddrPort) (front, back Adopted) {
-	kind, known := n.settings.Names[m.Type] // one that this file has no more is moved, as soon as its client can be told
-	h := n.hosts[m.Host.UID]
+func (n *Node) TakeFlow(handed *handover.Flow, from netip.AddrPort) (front, back Adopted) {
+	typeIndex, known := n.settings.Names[handed.Type] // one that this file has no more is moved, as soon as its client can be told
+	h := n.hosts[handed.Host.UID]
 	if h == nil { // it has left the list and serves what it holds
-		h = &host{uid: m.Host.UID, addr: m.Host.Endpoint, zoneName: m.Host.Zone, Server: balance.Server{Name: m.Host.UID,
-			Hash: hash(m.Host.UID), Size: max(m.Host.Size, 0.001), State: balance.Removed, Zone: n.zoneNumber(m.Host.Zone), Cell: m.Host.Cell}}
+		h = &host{uid: handed.Host.UID, addr: handed.Host.Endpoint, zoneName: handed.Host.Zone, Server: balance.Server{Name: handed.Host.UID,
+			Hash: hash(handed.Host.UID), Size: max(handed.Host.Size, 0.001), State: balance.Removed, Zone: n.zoneNumber(handed.Host.Zone), Cell: handed.Host.Cell}}
 		h.probeDeadline.run = func() {}
 		n.hosts[h.uid] = h
 		n.hostList = append(n.hostList, h)
 	}
-	c, up := &conn{role: roleClient, up: true, midLine: m.ClientMid}, &conn{role: roleUpstream, up: true, midLine: m.HostMid, host: h}
-	f := &flow{client: c, upstream: up, host: h, stage: Established, establishedAt: n.now - m.Age, connectAt: n.now - m.Age, reportedLoad: m.Load}
+	client, upstream := &conn{role: roleClient, up: true, midLine: handed.ClientMid}, &conn{role: roleUpstream, up: true, midLine: handed.HostMid, host: h}
+	f := &flow{client: client, upstream: upstream, host: h, stage: Established, establishedAt: n.now - handed.Age, connectAt: n.now - handed.Age, reportedLoad: handed.Load}
 	f.movePending = !known
-	f.Flow = balance.Flow{Type: &n.settings.Types[kind], TypeNo: kind, Worth: n.worth(kind), Hash: m.Key, Again: m.Again, Hint: m.Hint,
+	f.Flow = balance.Flow{Type: &n.settings.Types[typeIndex], TypeNo: typeIndex, Worth: n.worth(typeIndex), Hash: handed.Key, Again: handed.Again, Hint: handed.Hint,
 		Passed: n.settings.Passes, Deadline: n.now, Ref: f}
 	f.timer.run = func() { n.flowTimedOut(f) }
-	c.flow, up.flow = f, f
-	c.id, up.id = n.register(c), n.register(up)
-	c.receivedAt, c.sentAt = n.now, n.now
-	if n.countHandedOver(c, from); c.gatePrefix.IsValid() {
-		n.admissionGate.Stood(c.gatePrefix, n.now)
-	}
-	c.in.Put(m.ClientIn)
-	c.out.Put(m.ClientOut)
-	up.in.Put(m.HostIn)
-	up.out.Put(m.HostOut)
+	client.flow, upstream.flow = f, f
+	client.id, upstream.id = n.register(client), n.register(upstream)
+	client.receivedAt, client.sentAt = n.now, n.now
+	if n.countHandedOver(client, from); client.gatePrefix.IsValid() {
+		n.admissionGate.Stood(client.gatePrefix, n.now)
+	}
+	client.in.Put(handed.ClientIn)
+	client.out.Put(handed.ClientOut)
+	upstream.in.Put(handed.HostIn)
+	upstream.out.Put(handed.HostOut)
 	f.id = n.flows.add(f)
-	if m.Grouped && n.settings.Groups {
-		f.joinGroup(n, m.Group)
+	if handed.Grouped && n.settings.Groups {
+		f.joinGroup(n, handed.Group)
 		f.group.established = true
 	}
 	h.flowCount++
@@ -356,14 +356,14 @@
 	n.establishedCount++
 	n.Count.TakenOver++
 	if n.limitsByAddress() {
-		c.limitPrefix = admission.Key(from.Addr())
+		client.limitPrefix = admission.Key(from.Addr())
 	}
-	n.adoptPermits(f, m.Process, m.Left)
+	n.adoptPermits(f, handed.Process, handed.Left)
 	n.decider.Opened(&f.Flow, &h.Server)
-	if m.Load > 0 {
-		n.decider.Load(&f.Flow, m.Load)
+	if handed.Load > 0 {
+		n.decider.Load(&f.Flow, handed.Load)
 	}
-	return Adopted{c.id, &c.in, &c.out}, Adopted{up.id, &up.in, &up.out}
+	return Adopted{client.id, &client.in, &client.out}, Adopted{upstream.id, &upstream.in, &upstream.out}
 }
 
 // Resumed is told when a connection handed on is in the loop: what its rings hold goes on.
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -34,15 +34,15 @@
 // request, not for each turn.
 func (n *Node) Holdings() []Hold {
 	roles := map[role]int{}
-	for _, s := range n.conns.entries {
-		if s.value != nil {
-			roles[s.value.role]++
+	for _, entry := range n.conns.entries {
+		if entry.value != nil {
+			roles[entry.value.role]++
 		}
 	}
-	var asked int // text of lines that wait for an answer
-	for _, s := range n.flows.entries {
-		if s.value != nil && s.value.request != nil {
-			asked += int(unsafe.Sizeof(*s.value.request)) + lines.Longest/8
+	var requestBytes int // text of lines that wait for an answer
+	for _, entry := range n.flows.entries {
+		if entry.value != nil && entry.value.request != nil {
+			requestBytes += int(unsafe.Sizeof(*entry.value.request)) + lines.Longest/8
 		}
 	}
 	known, strangers := 0, 0
@@ -50,15 +50,15 @@
 		known, strangers = n.admissionGate.Held()
 	}
 	logs := 0
-	for what := range n.logKinds {
-		logs += len(what) + int(unsafe.Sizeof(logKind{}))
+	for key := range n.logKinds {
+		logs += len(key) + int(unsafe.Sizeof(logKind{}))
 	}
 	buffers, wide := n.ringBudget.Held()
 	return []Hold{
 		{"fd_new", roles[roleNew], 0, 0}, {"fd_client", roles[roleClient], 0, 0}, {"fd_connect", roles[roleUpstream], 0, 0},
 		{"fd_probe", roles[roleProbe], 0, 0}, {"fd_watch", roles[roleWatch], 0, 0}, {"fd_leaving", roles[roleClosing], 0, 0},
 		{"fd_operator", roles[roleOperator], 0, CallPlaces},
-		{"connections", n.conns.count, n.conns.count*int(unsafe.Sizeof(conn{})) + n.flows.count*int(unsafe.Sizeof(flow{})) + asked, 0},
+		{"connections", n.conns.count, n.conns.count*int(unsafe.Sizeof(conn{})) + n.flows.count*int(unsafe.Sizeof(flow{})) + requestBytes, 0},
 		{"hosts", len(n.hosts), len(n.hosts) * int(unsafe.Sizeof(host{})+64), n.limits.Hosts},
 		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.limits.Groups},
 		{"ids", len(n.recentIDs.ring), len(n.recentIDs.ring) * 32, n.limits.IDs},
@@ -71,20 +71,20 @@
 
 // HoldingsText is that as key=value, count and bytes and, where there is one, the cap.
 func (n *Node) HoldingsText() string {
-	var b strings.Builder
+	var text strings.Builder
 	for i, h := range n.Holdings() {
 		if i > 0 {
-			b.WriteByte(' ')
+			text.WriteByte(' ')
 		}
-		fmt.Fprintf(&b, "%s=%d", h.Purpose, h.Count)
+		fmt.Fprintf(&text, "%s=%d", h.Purpose, h.Count)
 		if h.Bytes > 0 {
-			fmt.Fprintf(&b, "/%dB", h.Bytes)
+			fmt.Fprintf(&text, "/%dB", h.Bytes)
 		}
 		if h.Cap > 0 {
-			fmt.Fprintf(&b, "/cap%d", h.Cap)
+			fmt.Fprintf(&text, "/cap%d", h.Cap)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
 // closeStalledClients ends what holds on without use: clients that vanished or take nothing. Once a second.
@@ -92,8 +92,8 @@
 	if n.limits.Idle == 0 && n.limits.Stalled == 0 {
 		return
 	}
-	for _, s := range n.flows.entries {
-		f := s.value
+	for _, entry := range n.flows.entries {
+		f := entry.value
 		if f == nil || f.ended || f.stage != Established {
 			continue
 		}
@@ -114,17 +114,17 @@
 		if held, _ := n.ringBudget.Held(); held <= n.limits.Buffers {
 			return
 		}
-		var worst *conn
+		var oldest *conn
 		for e := n.silentConns.Front(); e != nil; e = e.Next() {
 			if c := e.Value.(*conn); c.role == roleNew && c.in.Len() > 0 {
-				worst = c
+				oldest = c
 				break
 			}
 		}
-		if worst == nil {
+		if oldest == nil {
 			return
 		}
 		n.Count.Shed++
-		n.detach(worst)
+		n.detach(oldest)
 	}
 }
--- a/node/late.go
+++ b/node/late.go
@@ -26,18 +26,18 @@
 
 // Late is told by the loop before a turn: how long what comes in it may have waited, and how long the turn before it
 // took. Microseconds.
-func (n *Node) Late(late, before int64) {
-	n.lateness.current = max(late, 0)
-	n.adjustQuota(n.lateness.current, before)
+func (n *Node) Late(lateness, lastLength int64) {
+	n.lateness.current = max(lateness, 0)
+	n.adjustQuota(n.lateness.current, lastLength)
 	n.lateness.recent = n.lateness.recent*math.Exp(-float64(max(n.now-n.lateness.updatedAt, 0))/float64(second)) + float64(n.lateness.current)
 	n.lateness.updatedAt = n.now
-	before = min(max(before, 0), second)
-	n.lateness.lengths[n.lateness.iteration%keptIterations] = int32(before)
+	lastLength = min(max(lastLength, 0), second)
+	n.lateness.lengths[n.lateness.iteration%keptIterations] = int32(lastLength)
 	n.lateness.iteration++
 	n.lateness.lengths[n.lateness.iteration%keptIterations] = 0
-	if late > 0 {
+	if lateness > 0 {
 		n.Count.LateTurns++
-		n.Count.LateUs += late
+		n.Count.LateUs += lateness
 	}
 }
 
@@ -56,9 +56,9 @@
 func (n *Node) startSpan() span { return span{since: n.now, iteration: n.lateness.iteration} }
 
 // nextLeg ends a leg of a measurement and begins the next.
-func (n *Node) nextLeg(s *span) {
-	s.lateness += n.latenessSince(s.iteration)
-	s.iteration = n.lateness.iteration
+func (n *Node) nextLeg(measured *span) {
+	measured.lateness += n.latenessSince(measured.iteration)
+	measured.iteration = n.lateness.iteration
 }
 
 // latenessSince is how much of a leg that began in a turn and ends now can be the node's own lateness.
@@ -71,10 +71,10 @@
 
 // elapsed is how long a measurement has taken, less what of it may have been the node's own lateness. It is sure where that
 // is little.
-func (n *Node) elapsed(s span) (us int64, sure bool) {
-	off := s.lateness + n.latenessSince(s.iteration)
-	us = n.now - s.since
-	return max(us-off, 1), off <= max(us/8, measurementSlack)
+func (n *Node) elapsed(measured span) (took int64, sure bool) {
+	own := measured.lateness + n.latenessSince(measured.iteration)
+	took = n.now - measured.since
+	return max(took-own, 1), own <= max(took/8, measurementSlack)
 }
 
 // Measuring tells whether an answer is awaited whose time will be taught. The loop then waits in short steps, so that
--- a/node/limits.go
+++ b/node/limits.go
@@ -64,7 +64,7 @@
 }
 
 // Same tells whether two limits are for one thing.
-func (l FleetLimit) Same(o FleetLimit) bool { return l.name() == o.name() }
+func (l FleetLimit) Same(other FleetLimit) bool { return l.name() == other.name() }
 
 func (l FleetLimit) name() string {
 	kind := "rate"
@@ -95,23 +95,25 @@
 	key   uint64
 }
 
-func (n *Node) newLimits(of []FleetLimit, process uint64, nodes int) (all []*localLimit) {
-	for _, l := range of {
-		k := &localLimit{FleetLimit: l, name: l.name(), id: uint32(hash(l.name()))}
-		if l.Over == OverCold {
-			k.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(k, key) }, process, nodes, keyOwner{n})
-			n.cluster.overload.ColdByGrant(func(s *balance.Server) bool { return n.cluster.leases.Lent(int(k.nameKey(s.Name) % lease.Slots)) })
-		} else if l.AtOnce.Most > 0 {
-			k.concurrent, k.exhaustedAt = permits.New(l.AtOnce, process, nodes, keyOwner{n}), map[*host]int64{}
+func (n *Node) newLimits(given []FleetLimit, process uint64, nodes int) (all []*localLimit) {
+	for _, limit := range given {
+		local := &localLimit{FleetLimit: limit, name: limit.name(), id: uint32(hash(limit.name()))}
+		if limit.Over == OverCold {
+			local.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(local, key) }, process, nodes, keyOwner{n})
+			n.cluster.overload.ColdByGrant(func(server *balance.Server) bool {
+				return n.cluster.leases.Lent(int(local.nameKey(server.Name) % lease.Slots))
+			})
+		} else if limit.AtOnce.Most > 0 {
+			local.concurrent, local.exhaustedAt = permits.New(limit.AtOnce, process, nodes, keyOwner{n}), map[*host]int64{}
 		} else {
-			k.rate = limits.New(l.Rate, process, nodes, keyOwner{n})
+			local.rate = limits.New(limit.Rate, process, nodes, keyOwner{n})
 		}
-		all = append(all, k)
+		all = append(all, local)
 	}
 	// What can be given back comes first, so that a rate is not used up by flows that are refused after all.
 	// And cold hosts last: a flow that is refused takes nothing of theirs.
-	rank := func(l *localLimit) int {
-		return map[bool]int{true: 2}[l.Over == OverCold] + map[bool]int{true: 1}[l.AtOnce.Most == 0]
+	rank := func(limit *localLimit) int {
+		return map[bool]int{true: 2}[limit.Over == OverCold] + map[bool]int{true: 1}[limit.AtOnce.Most == 0]
 	}
 	slices.SortStableFunc(all, func(x, y *localLimit) int { return cmp.Compare(rank(x), rank(y)) })
 	return all
@@ -123,17 +125,17 @@
 		return len(all) == 0
 	}
 	known = len(all) == len(n.cluster.limits)
-	for _, l := range all {
-		i := slices.IndexFunc(n.cluster.limits, func(k *localLimit) bool { return k.name == l.name() })
+	for _, limit := range all {
+		i := slices.IndexFunc(n.cluster.limits, func(local *localLimit) bool { return local.name == limit.name() })
 		if i < 0 {
 			known = false
 			continue
 		}
-		k := n.cluster.limits[i]
-		if k.FleetLimit = l; k.concurrent != nil {
-			k.concurrent.Set(l.AtOnce)
+		local := n.cluster.limits[i]
+		if local.FleetLimit = limit; local.concurrent != nil {
+			local.concurrent.Set(limit.AtOnce)
 		} else {
-			k.rate.Set(l.Rate)
+			local.rate.Set(limit.Rate)
 		}
 	}
 	return known
@@ -180,84 +182,84 @@
 type keyOwner struct{ n *Node }
 
 func (o keyOwner) Mine(key uint64) (since, until int64, ok bool) {
-	l, s := o.n.cluster.leases, int(key%lease.Slots)
-	since, ok = l.Owned(s)
-	return since, l.Until(s), ok
+	leases, slot := o.n.cluster.leases, int(key%lease.Slots)
+	since, ok = leases.Owned(slot)
+	return since, leases.Until(slot), ok
 }
 
 func (o keyOwner) Who(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
 // believedOwner is the node that should own a slot: of this one and those that are linked, the first by hash of slot and name.
 // Under 0 it is this one. A belief, and nothing but who asks whom rests on it.
-func (n *Node) believedOwner(slot int) (no int) {
+func (n *Node) believedOwner(slot int) (index int) {
 	rank := func(name uint32) uint64 {
 		x := (uint64(slot)<<32 | uint64(name)) * 0x9e3779b97f4a7c15
 		x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 		return x ^ x>>32
 	}
-	no = -1
+	index = -1
 	best := rank(uint32(hash(n.config.Cluster.Name)))
-	m := n.cluster.members
+	others := n.cluster.members
 	for i := range n.config.Cluster.Others {
-		name, ok := m.Name(i)
-		if !ok || m.Standing(i) != members.Linked {
+		name, ok := others.Name(i)
+		if !ok || others.Standing(i) != members.Linked {
 			continue
 		}
-		if r := rank(name); r > best {
-			no, best = i, r
+		if score := rank(name); score > best {
+			index, best = i, score
 		}
 	}
-	return no
+	return index
 }
 
 // updateCluster begins a turn for what belongs to the fleet: what has run out ends before anything else is done.
 func (n *Node) updateCluster() {
-	k := n.cluster
-	if k == nil {
+	cluster := n.cluster
+	if cluster == nil {
 		return
 	}
-	k.overload.Turn(n.now)
-	if k.leases == nil {
+	cluster.overload.Turn(n.now)
+	if cluster.leases == nil {
 		return
 	}
-	k.leases.Turn(n.now)
-	for _, l := range k.limits {
-		if l.rate != nil {
-			n.settleRate(l, l.rate.Turn(n.now, n.limitSender(l)))
+	cluster.leases.Turn(n.now)
+	for _, limit := range cluster.limits {
+		if limit.rate != nil {
+			n.settleRate(limit, limit.rate.Turn(n.now, n.limitSender(limit)))
 			continue
 		}
-		if l.Over == OverHost && l.concurrent.Due(n.now) {
-			n.keepHostPermits(l)
+		if limit.Over == OverHost && limit.concurrent.Due(n.now) {
+			n.keepHostPermits(limit)
 		}
-		done, over := l.concurrent.Turn(n.now, n.limitSender(l))
-		n.settleConcurrent(l, done)
-		for _, e := range over {
-			n.endExcessFlows(l, e)
+		answers, excesses := limit.concurrent.Turn(n.now, n.limitSender(limit))
+		n.settleConcurrent(limit, answers)
+		for _, excess := range excesses {
+			n.endExcessFlows(limit, excess)
 		}
 	}
 }
 
 // requestLeases asks for the slots that are this node's.
 func (n *Node) requestLeases() {
-	k := n.cluster
-	if k.leases == nil {
+	cluster := n.cluster
+	if cluster.leases == nil {
 		return
 	}
-	if k.desiredSlots = k.desiredSlots[:0]; n.config.Cluster.Others > 0 {
-		for s := range lease.Slots {
-			k.desiredSlots = append(k.desiredSlots, n.believedOwner(s) < 0)
+	if cluster.desiredSlots = cluster.desiredSlots[:0]; n.config.Cluster.Others > 0 {
+		for slot := range lease.Slots {
+			cluster.desiredSlots = append(cluster.desiredSlots, n.believedOwner(slot) < 0)
 		}
 	}
-	k.leases.Ask(func(s int) bool { return len(k.desiredSlots) == 0 || k.desiredSlots[s] }, func(p []byte) {
+	cluster.leases.Ask(func(slot int) bool { return len(cluster.desiredSlots) == 0 || cluster.desiredSlots[slot] }, func(payload []byte) {
 		for to := range n.config.Cluster.Others {
-			n.sendToNode(to, p)
+			n.sendToNode(to, payload)
 		}
 	})
 }
 
-func (n *Node) sendToNode(to int, p []byte) {
-	if m := n.cluster.members; m != nil {
-		m.Send(n.now, to, p, n.config.Cluster.Send)
+func (n *Node) sendToNode(to int, payload []byte) {
+	if members := n.cluster.members; members != nil {
+		members.Send(n.now, to, payload, n.config.Cluster.Send)
 	}
 }
 
@@ -266,57 +268,57 @@
 	limitHeaderSize  = 1 + 4 // bytes
 )
 
-func (l *localLimit) encode(p []byte) []byte {
-	return append(binary.LittleEndian.AppendUint32([]byte{limitMessageKind}, l.id), p...)
+func (l *localLimit) encode(payload []byte) []byte {
+	return append(binary.LittleEndian.AppendUint32([]byte{limitMessageKind}, l.id), payload...)
 }
 
-func (n *Node) limitSender(l *localLimit) func(to int, p []byte) {
-	return func(to int, p []byte) { n.sendToNode(to, l.encode(p)) }
+func (n *Node) limitSender(limit *localLimit) func(to int, payload []byte) {
+	return func(to int, payload []byte) { n.sendToNode(to, limit.encode(payload)) }
 }
 
 // blockedByLimit tells whether a flow waits for the fleet's word, or has been refused by it.
 func (n *Node) blockedByLimit(f *flow) bool {
-	k := n.cluster
-	if k == nil || f.rejoins {
+	cluster := n.cluster
+	if cluster == nil || f.rejoins {
 		return false
 	}
-	for f.nextLimit < len(k.limits) {
-		l := k.limits[f.nextLimit]
-		if l.Over == OverCold {
-			if n.awaitsColdGrant(f, l) {
+	for f.nextLimit < len(cluster.limits) {
+		limit := cluster.limits[f.nextLimit]
+		if limit.Over == OverCold {
+			if n.awaitsColdGrant(f, limit) {
 				return true
 			}
 			f.nextLimit++
 			continue
 		}
-		key, ok := l.flowKey(n, f)
+		key, ok := limit.flowKey(n, f)
 		if !ok {
 			f.nextLimit++
 			continue
 		}
-		var yes, waits bool
-		if l.concurrent != nil {
-			yes, waits = l.concurrent.Take(key, f, n.limitSender(l))
+		var granted, waits bool
+		if limit.concurrent != nil {
+			granted, waits = limit.concurrent.Take(key, f, n.limitSender(limit))
 		} else {
-			yes, waits = l.rate.Take(key, f, n.limitSender(l))
+			granted, waits = limit.rate.Take(key, f, n.limitSender(limit))
 		}
 		if waits {
 			f.pendingKey = key
 			return true
 		}
-		if !yes {
-			n.refuseFlow(f, l)
+		if !granted {
+			n.refuseFlow(f, limit)
 			return true
 		}
-		f.passLimit(l, key)
+		f.passLimit(limit, key)
 	}
 	return false
 }
 
 // passLimit is that a flow is let pass by a limit.
-func (f *flow) passLimit(l *localLimit, key uint64) {
-	if f.nextLimit++; l.concurrent != nil {
-		f.permits = append(f.permits, permit{l, key})
+func (f *flow) passLimit(limit *localLimit, key uint64) {
+	if f.nextLimit++; limit.concurrent != nil {
+		f.permits = append(f.permits, permit{limit, key})
 	}
 }
 
@@ -329,8 +331,8 @@
 }
 
 // refuseFlow rejects a flow that the module has not heard of.
-func (n *Node) refuseFlow(f *flow, l *localLimit) {
-	n.logThrottled("limited", l.name)
+func (n *Node) refuseFlow(f *flow, limit *localLimit) {
+	n.logThrottled("limited", limit.name)
 	n.countAnswer(f, capture.Rejected)
 	n.removeFlow(f)
 	n.sendFinalLine(f.client, n.busyAnswer())
@@ -343,105 +345,105 @@
 	return "BUSY\r\n"
 }
 
-func (n *Node) settleRate(l *localLimit, done []limits.Answer) {
-	for _, a := range done {
-		if q, ok := a.Waiter.(*coldRequest); ok {
-			n.coldAnswered(l, q, a)
+func (n *Node) settleRate(limit *localLimit, answers []limits.Answer) {
+	for _, answer := range answers {
+		if request, ok := answer.Waiter.(*coldRequest); ok {
+			n.coldAnswered(limit, request, answer)
 			continue
 		}
-		n.settleFlow(l, a.Waiter.(*flow), a.Yes)
+		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
 	}
 }
 
-func (n *Node) settleConcurrent(l *localLimit, done []permits.Answer) {
-	for _, a := range done {
-		n.settleFlow(l, a.Waiter.(*flow), a.Yes)
+func (n *Node) settleConcurrent(limit *localLimit, answers []permits.Answer) {
+	for _, answer := range answers {
+		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
 	}
 }
 
 // pendingLimit gives the limit for whose word a flow waits; nil where the module has heard of it.
 func (n *Node) pendingLimit(f *flow) *localLimit {
-	if k := n.cluster; k != nil && f.nextLimit < len(k.limits) {
-		return k.limits[f.nextLimit]
+	if cluster := n.cluster; cluster != nil && f.nextLimit < len(cluster.limits) {
+		return cluster.limits[f.nextLimit]
 	}
 	return nil
 }
 
 // settleFlow lets a flow go on that waited, or refuses it.
-func (n *Node) settleFlow(l *localLimit, f *flow, yes bool) {
+func (n *Node) settleFlow(limit *localLimit, f *flow, granted bool) {
 	key := f.pendingKey // one that is over has no group any more
 	switch {
-	case f.ended && yes && l.concurrent != nil:
-		l.concurrent.Done(key) // it did not wait for its answer
+	case f.ended && granted && limit.concurrent != nil:
+		limit.concurrent.Done(key) // it did not wait for its answer
 	case f.ended:
-	case yes:
-		if f.passLimit(l, key); !n.blockedByLimit(f) {
+	case granted:
+		if f.passLimit(limit, key); !n.blockedByLimit(f) {
 			n.decider.Demand(&f.Flow)
 		}
 	default:
-		n.refuseFlow(f, l)
+		n.refuseFlow(f, limit)
 	}
 }
 
 // endExcessFlows ends flows that have no permit any more: those that wait, then the newest of the established, then set-ups.
-func (n *Node) endExcessFlows(l *localLimit, e permits.Excess) {
-	var all []*flow
-	for _, s := range n.flows.entries {
-		f := s.value
+func (n *Node) endExcessFlows(limit *localLimit, excess permits.Excess) {
+	var flows []*flow
+	for _, entry := range n.flows.entries {
+		f := entry.value
 		if f == nil || f.ended {
 			continue
 		}
-		if key, ok := uint64(0), false; f.host != nil && l.Over == OverHost {
-			if key, ok = l.hostKey(f.host); ok && key == e.Key {
-				all = append(all, f)
+		if key, ok := uint64(0), false; f.host != nil && limit.Over == OverHost {
+			if key, ok = limit.hostKey(f.host); ok && key == excess.Key {
+				flows = append(flows, f)
 			}
-		} else if slices.Contains(f.permits, permit{l, e.Key}) {
-			all = append(all, f)
+		} else if slices.Contains(f.permits, permit{limit, excess.Key}) {
+			flows = append(flows, f)
 		}
 	}
 	order := map[Stage]int{Waiting: 0, Established: 1, Dialing: 2, Asked: 3}
-	slices.SortStableFunc(all, func(x, y *flow) int {
+	slices.SortStableFunc(flows, func(x, y *flow) int {
 		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.establishedAt, x.establishedAt))
 	})
-	for _, f := range all[:min(e.N, len(all))] {
-		n.logThrottled("permit_ran_out", l.name)
+	for _, f := range flows[:min(excess.N, len(flows))] {
+		n.logThrottled("permit_ran_out", limit.name)
 		f.releasePermits()
 		if f.stage == Established {
 			n.Move(&f.Flow)
 			continue
 		}
-		c, answer, line := f.client, byte(capture.Rejected), n.busyAnswer()
+		client, answer, line := f.client, byte(capture.Rejected), n.busyAnswer()
 		if f.stage == Asked {
 			answer, line = capture.Aborted, "ERR\r\n" // it may have run
 		}
 		n.countAnswer(f, answer)
 		n.withdraw(f)
-		n.sendFinalLine(c, line)
+		n.sendFinalLine(client, line)
 	}
 }
 
 const exhaustedFor = 2 * second // after it had none left for a flow, more permits for a host are kept in hand
 
 // keepHostPermits says what this node has at hosts, and how much more it wants to have in hand.
-func (n *Node) keepHostPermits(l *localLimit) {
+func (n *Node) keepHostPermits(limit *localLimit) {
 	nodes := n.config.Cluster.Others + 1
 	for _, h := range n.hostList {
-		key, ok := l.hostKey(h)
+		key, ok := limit.hostKey(h)
 		if !ok {
 			continue
 		}
 		use, spare := h.Flows(), 0
-		switch at, asked := l.exhaustedAt[h]; {
+		switch at, asked := limit.exhaustedAt[h]; {
 		case h.State != balance.Up:
 		case asked && n.now-at < exhaustedFor:
 			spare = 1 + use/4
-		case use == 0 || l.AtOnce.Most >= 4*nodes:
+		case use == 0 || limit.AtOnce.Most >= 4*nodes:
 			spare = 1
 		}
-		if asked := l.exhaustedAt[h]; n.now-asked >= exhaustedFor {
-			delete(l.exhaustedAt, h)
+		if asked := limit.exhaustedAt[h]; n.now-asked >= exhaustedFor {
+			delete(limit.exhaustedAt, h)
 		}
-		l.concurrent.Keep(key, use, spare)
+		limit.concurrent.Keep(key, use, spare)
 	}
 }
 
@@ -452,12 +454,12 @@
 }
 
 // Room is none at a host for which no permit is in hand.
-func (b hostBounds) Room(s *balance.Server, f *balance.Flow) float64 {
-	room := b.Bounds.Room(s, f)
-	if h := b.n.hosts[s.Name]; room > 0 && h != nil {
-		for _, l := range b.n.cluster.limits {
-			if key, ok := l.hostKey(h); ok && h.Flows() >= l.concurrent.May(key) {
-				l.exhaustedAt[h] = b.n.now
+func (b hostBounds) Room(server *balance.Server, f *balance.Flow) float64 {
+	room := b.Bounds.Room(server, f)
+	if h := b.n.hosts[server.Name]; room > 0 && h != nil {
+		for _, limit := range b.n.cluster.limits {
+			if key, ok := limit.hostKey(h); ok && h.Flows() >= limit.concurrent.May(key) {
+				limit.exhaustedAt[h] = b.n.now
 				return 0
 			}
 		}
@@ -466,21 +468,21 @@
 }
 
 // adoptPermits counts a flow that the process before hands over, with what it had: for so many microseconds still.
-func (n *Node) adoptPermits(f *flow, before uint64, left int64) {
-	k := n.cluster
-	if k == nil || before == 0 {
+func (n *Node) adoptPermits(f *flow, predecessor uint64, left int64) {
+	cluster := n.cluster
+	if cluster == nil || predecessor == 0 {
 		return
 	}
-	f.nextLimit = len(k.limits)
-	for _, l := range k.limits {
-		if l.concurrent == nil {
+	f.nextLimit = len(cluster.limits)
+	for _, limit := range cluster.limits {
+		if limit.concurrent == nil {
 			continue
 		}
-		if key, ok := l.flowKey(n, f); ok {
-			l.concurrent.TakeOver(key, before, left)
-			f.permits = append(f.permits, permit{l, key})
-		} else if key, ok := l.hostKey(f.host); ok {
-			l.concurrent.TakeOver(key, before, left)
+		if key, ok := limit.flowKey(n, f); ok {
+			limit.concurrent.TakeOver(key, predecessor, left)
+			f.permits = append(f.permits, permit{limit, key})
+		} else if key, ok := limit.hostKey(f.host); ok {
+			limit.concurrent.TakeOver(key, predecessor, left)
 		}
 	}
 }
@@ -491,12 +493,12 @@
 		return 0
 	}
 	left = permits.Use
-	for _, p := range f.permits {
-		left = min(left, p.limit.concurrent.Left(p.key))
+	for _, held := range f.permits {
+		left = min(left, held.limit.concurrent.Left(held.key))
 	}
-	for _, l := range n.cluster.limits {
-		if key, ok := l.hostKey(f.host); ok {
-			left = min(left, l.concurrent.Left(key))
+	for _, limit := range n.cluster.limits {
+		if key, ok := limit.hostKey(f.host); ok {
+			left = min(left, limit.concurrent.Left(key))
 		}
 	}
 	return left
@@ -507,89 +509,89 @@
 	if n.cluster == nil {
 		return
 	}
-	for _, l := range n.cluster.limits {
-		if l.concurrent != nil {
-			l.concurrent.Yield()
+	for _, limit := range n.cluster.limits {
+		if limit.concurrent != nil {
+			limit.concurrent.Yield()
 		}
 	}
 }
 
 // receiveLimitMessage takes what another node says of leases and limits; false for what is about neither.
-func (n *Node) receiveLimitMessage(from int, w members.Word) bool {
-	k := n.cluster
-	if k.leases == nil {
+func (n *Node) receiveLimitMessage(from int, message members.Word) bool {
+	cluster := n.cluster
+	if cluster.leases == nil {
 		return false
 	}
-	p := w.Payload
-	if k.leases.Take(from+1, w.Process, p, func(p []byte) { n.sendToNode(from, p) }) {
+	payload := message.Payload
+	if cluster.leases.Take(from+1, message.Process, payload, func(payload []byte) { n.sendToNode(from, payload) }) {
 		return true
 	}
-	if len(p) <= limitHeaderSize || p[0] != limitMessageKind {
+	if len(payload) <= limitHeaderSize || payload[0] != limitMessageKind {
 		return false
 	}
-	id := binary.LittleEndian.Uint32(p[1:])
-	i := slices.IndexFunc(k.limits, func(l *localLimit) bool { return l.id == id })
-	if i < 0 {
-		k.unknownLimits++ // the files of two nodes differ
+	id := binary.LittleEndian.Uint32(payload[1:])
+	index := slices.IndexFunc(cluster.limits, func(limit *localLimit) bool { return limit.id == id })
+	if index < 0 {
+		cluster.unknownLimits++ // the files of two nodes differ
 		return true
 	}
-	l, p := k.limits[i], p[limitHeaderSize:]
-	answer := func(p []byte) { n.sendToNode(from, l.encode(p)) }
-	if l.concurrent != nil {
-		if l.concurrent.TakeAsk(w.Process, p, answer) {
+	limit, payload := cluster.limits[index], payload[limitHeaderSize:]
+	answer := func(payload []byte) { n.sendToNode(from, limit.encode(payload)) }
+	if limit.concurrent != nil {
+		if limit.concurrent.TakeAsk(message.Process, payload, answer) {
 			return true
 		}
-		done, ok := l.concurrent.Told(from, p)
-		n.settleConcurrent(l, done)
+		answers, ok := limit.concurrent.Told(from, payload)
+		n.settleConcurrent(limit, answers)
 		return ok
 	}
-	if l.rate.TakeAsk(p, answer) {
+	if limit.rate.TakeAsk(payload, answer) {
 		return true
 	}
-	done, ok := l.rate.Told(from, p, n.limitSender(l))
-	n.settleRate(l, done)
+	answers, ok := limit.rate.Told(from, payload, n.limitSender(limit))
+	n.settleRate(limit, answers)
 	return ok
 }
 
 // limitMetrics is the limits' figures for operators; empty where there are none.
 func (n *Node) limitMetrics() string {
-	k := n.cluster
-	if k.leases == nil {
+	cluster := n.cluster
+	if cluster.leases == nil {
 		return ""
 	}
-	var b strings.Builder
+	var text strings.Builder
 	owned := 0
-	for s := range lease.Slots {
-		if _, ok := k.leases.Owned(s); ok {
+	for slot := range lease.Slots {
+		if _, ok := cluster.leases.Owned(slot); ok {
 			owned++
 		}
 	}
-	fmt.Fprintf(&b, "limit_slots_owned=%d\nlimit_unknown=%d\n", owned, k.unknownLimits)
-	for _, l := range k.limits {
-		add := func(name string, v int64) { fmt.Fprintf(&b, "limit.%s.%s=%d\n", l.name, name, v) }
-		if o := l.concurrent; o != nil {
-			used, books := o.Keys()
-			add("held", int64(o.Used()))
-			add("granted", o.Granted)
-			add("refused", o.Refused)
-			add("over", o.Ended)
-			add("asked", o.Asked)
-			add("alone", o.Alone)
-			add("stray", o.Stray)
-			add("keys", int64(used+books))
-			add("word_ms", o.Oldest()/ms)
+	fmt.Fprintf(&text, "limit_slots_owned=%d\nlimit_unknown=%d\n", owned, cluster.unknownLimits)
+	for _, limit := range cluster.limits {
+		add := func(name string, v int64) { fmt.Fprintf(&text, "limit.%s.%s=%d\n", limit.name, name, v) }
+		if concurrent := limit.concurrent; concurrent != nil {
+			used, ledgers := concurrent.Keys()
+			add("held", int64(concurrent.Used()))
+			add("granted", concurrent.Granted)
+			add("refused", concurrent.Refused)
+			add("over", concurrent.Ended)
+			add("asked", concurrent.Asked)
+			add("alone", concurrent.Alone)
+			add("stray", concurrent.Stray)
+			add("keys", int64(used+ledgers))
+			add("word_ms", concurrent.Oldest()/ms)
 			continue
 		}
-		r := l.rate
-		add("granted", r.Granted)
-		add("refused", r.Refused)
-		add("asked", r.Asked)
-		add("alone", r.Alone)
-		add("stray", r.Stray)
-		add("keys", int64(r.Keys()))
-		add("word_ms", r.Oldest()/ms)
+		rate := limit.rate
+		add("granted", rate.Granted)
+		add("refused", rate.Refused)
+		add("asked", rate.Asked)
+		add("alone", rate.Alone)
+		add("stray", rate.Stray)
+		add("keys", int64(rate.Keys()))
+		add("word_ms", rate.Oldest()/ms)
 	}
-	return b.String()
+	return text.String()
 }
 
 // limitsByAddress tells whether a limit is over clients' addresses.
--- a/node/node.go
+++ b/node/node.go
@@ -257,19 +257,19 @@
 }
 
 // New makes a node that knows the list it had last.
-func New(told *settings.Settings, conf Config, net Net) *Node {
-	own := *told
-	set := &own         // what is changed here belongs to this node
-	if !set.OnRequest { // over HTTP a list that is pushed on the wire must be asked for as well, and counts as told at once
-		set.Pushed, set.OnRequest, set.AskWithin, set.AskSpread = true, true, defaultAskWithin, 1
-		set.AskMost = max(set.Grace/2, 10*ms)
+func New(given *settings.Settings, conf Config, net Net) *Node {
+	copied := *given
+	nodeSettings := &copied      // what is changed here belongs to this node
+	if !nodeSettings.OnRequest { // over HTTP a list that is pushed on the wire must be asked for as well, and counts as told at once
+		nodeSettings.Pushed, nodeSettings.OnRequest, nodeSettings.AskWithin, nodeSettings.AskSpread = true, true, defaultAskWithin, 1
+		nodeSettings.AskMost = max(nodeSettings.Grace/2, 10*ms)
 	}
-	set.Peers = set.Peers && conf.Tell != nil
-	set.Untold = true // no line of the protocol tells how long messages take
-	n := &Node{settings: set, config: conf, net: net,
+	nodeSettings.Peers = nodeSettings.Peers && conf.Tell != nil
+	nodeSettings.Untold = true // no line of the protocol tells how long messages take
+	n := &Node{settings: nodeSettings, config: conf, net: net,
 		rng: rand.New(rand.NewSource(conf.Seed + 1)), hosts: map[string]*host{}, hostsByShortHash: map[uint32]*host{}, peerHeldGroups: map[uint32]*host{}, groupHashes: map[uint32]uint64{}, groups: map[uint64]*group{},
 		logKinds: map[string]*logKind{}, listAddr: conf.Discovery}
-	n.Types = make([]Tally, len(set.Types))
+	n.Types = make([]Tally, len(nodeSettings.Types))
 	n.limits = conf.Limits
 	n.limits.Hosts, n.limits.Groups, n.limits.IDs = cmp.Or(n.limits.Hosts, defaultMaxHosts), cmp.Or(n.limits.Groups, defaultMaxGroups), cmp.Or(n.limits.IDs, defaultMaxIDs)
 	n.recentIDs.limit = n.limits.IDs
@@ -278,11 +278,11 @@
 		n.admissionGate = admission.New(conf.Admission)
 	}
 	n.newCluster()
-	if n.decider = (module{balance.New(&set.Settings, conf.Seed)}); conf.Decide != nil {
-		n.decider = conf.Decide(set, conf.Seed)
+	if n.decider = (module{balance.New(&nodeSettings.Settings, conf.Seed)}); conf.Decide != nil {
+		n.decider = conf.Decide(nodeSettings, conf.Seed)
 	}
-	n.slowMessageTime = set.Types[0].MessageTarget / 3
-	for _, t := range set.Types {
+	n.slowMessageTime = nodeSettings.Types[0].MessageTarget / 3
+	for _, t := range nodeSettings.Types {
 		n.slowMessageTime = min(n.slowMessageTime, t.MessageTarget/3)
 	}
 	n.tickAlarm.run = n.decider.Tick
@@ -306,14 +306,14 @@
 			n.applyList(balance.Remembered, known)
 		}
 		n.deadlines.set(&n.messageTimeTimer, now+messageTimeInterval)
-		if k := n.cluster; k != nil {
-			if k.members != nil {
-				k.members.Begin(now)
+		if cluster := n.cluster; cluster != nil {
+			if cluster.members != nil {
+				cluster.members.Begin(now)
 			}
-			if k.leases != nil {
-				k.leases.Begin(now)
+			if cluster.leases != nil {
+				cluster.leases.Begin(now)
 			}
-			n.deadlines.set(&k.timer, now+clusterInterval)
+			n.deadlines.set(&cluster.timer, now+clusterInterval)
 		}
 	})
 }
@@ -363,16 +363,16 @@
 func (n *Node) Next() (at int64, ok bool) { return n.deadlines.next() }
 
 // applyList takes in a list of hosts.
-func (n *Node) applyList(kind balance.ListKind, l discovery.List) {
+func (n *Node) applyList(kind balance.ListKind, update discovery.List) {
 	n.decider.List(kind)
-	for _, e := range l.Entries {
-		h := n.hosts[e.UID]
+	for _, entry := range update.Entries {
+		h := n.hosts[entry.UID]
 		if h == nil && len(n.hosts) >= n.limits.Hosts {
 			n.logThrottled("list_cut", "more hosts than are kept")
 			continue
 		}
 		if h == nil {
-			h = &host{uid: e.UID, Server: balance.Server{Name: e.UID, Hash: hash(e.UID)}}
+			h = &host{uid: entry.UID, Server: balance.Server{Name: entry.UID, Hash: hash(entry.UID)}}
 			h.probeDeadline.run = func() {
 				if h.probeUnsent {
 					n.probeFailed(h, balance.Saturated) // says nothing of the host
@@ -380,25 +380,25 @@
 				}
 				n.probeFailed(h, balance.Overdue)
 			}
-			n.hosts[e.UID] = h
+			n.hosts[entry.UID] = h
 			n.hostsByShortHash[peers.Short(h.Hash)] = h
 			n.hostList = append(n.hostList, h)
 		}
-		if e.Endpoint != "" && e.Endpoint != h.addr {
-			h.addr = e.Endpoint
+		if entry.Endpoint != "" && entry.Endpoint != h.addr {
+			h.addr = entry.Endpoint
 			n.closeProbe(h)
 		}
-		h.zoneName, h.Zone, h.Cell = e.Zone, n.zoneNumber(e.Zone), e.Cell
-		size := e.Size
+		h.zoneName, h.Zone, h.Cell = entry.Zone, n.zoneNumber(entry.Zone), entry.Cell
+		size := entry.Size
 		if size <= 0 {
 			size = 1
 		}
-		state := map[string]balance.State{"ready": balance.Up, "draining": balance.Draining}
-		to, ok := state[e.State]
+		states := map[string]balance.State{"ready": balance.Up, "draining": balance.Draining}
+		state, ok := states[entry.State]
 		if !ok {
-			to = balance.Removed
+			state = balance.Removed
 		}
-		n.decider.Entry(&h.Server, to, size, e.BootMs*ms)
+		n.decider.Entry(&h.Server, state, size, entry.BootMs*ms)
 	}
 	n.decider.ListEnd(kind)
 	n.forgetRemovedHosts()
--- a/node/operators.go
+++ b/node/operators.go
@@ -27,28 +27,28 @@
 // Call takes a connection on the admin address. When all places are taken, a caller that has its answer goes, then the
 // one that has waited longest with nothing whole. Guards whole calls against those who never finish one.
 func (n *Node) Call() (id uint64, in, out *lines.Ring, ok bool) {
-	q := &n.operatorCalls
-	for q.count >= CallPlaces {
-		old := q.incomplete.Front()
-		for e := q.answered.Front(); e != nil; e = e.Next() {
+	queues := &n.operatorCalls
+	for queues.count >= CallPlaces {
+		evicted := queues.incomplete.Front()
+		for e := queues.answered.Front(); e != nil; e = e.Next() {
 			if e.Value.(*conn).out.Len() == 0 {
-				old = e
+				evicted = e
 				break
 			}
 		}
-		if old == nil {
+		if evicted == nil {
 			return 0, nil, nil, false
 		}
-		if old.Value.(*conn).shedQueue == &q.incomplete {
+		if evicted.Value.(*conn).shedQueue == &queues.incomplete {
 			n.Count.AdminShed++
 		}
-		n.close(old.Value.(*conn))
+		n.close(evicted.Value.(*conn))
 	}
 	c := &conn{role: roleOperator, up: true}
 	c.timer.run = func() { n.close(c) }
 	c.id = n.register(c)
-	q.count++
-	n.setShedQueue(c, &q.incomplete)
+	queues.count++
+	n.setShedQueue(c, &queues.incomplete)
 	n.deadlines.set(&c.timer, n.now+operatorCallTimeout)
 	return c.id, &c.in, &c.out, true
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -8,16 +8,16 @@
 const maxPeerHeldGroups = 4096 // groups that peers alone have named
 
 // Tell passes what the module has for the other nodes on to the sockets; without peers nobody hears it.
-func (n *Node) Tell(servers []*balance.Server, homes []balance.Home) {
+func (n *Node) Tell(servers []*balance.Server, holders []balance.Home) {
 	if n.config.Tell != nil {
-		peers.Write(servers, homes, n.config.Tell)
+		peers.Write(servers, holders, n.config.Tell)
 	}
 }
 
 // Heard takes a datagram of another node. What makes no sense, or names hosts that the list doesn't, is dropped.
-func (n *Node) Heard(p []byte) {
+func (n *Node) Heard(datagram []byte) {
 	defer n.recoverPanic(nil)
-	if !peers.Read(p, func(host uint32, busy float64) {
+	if !peers.Read(datagram, func(host uint32, busy float64) {
 		if h := n.hostsByShortHash[host]; h != nil {
 			n.decider.Reported(&h.Server, busy, false)
 		}
--- a/node/quota.go
+++ b/node/quota.go
@@ -21,38 +21,38 @@
 
 // adjustQuota sets the quota by the turn before. It halves when that was long and had taken its fill, and grows by an eighth
 // else.
-func (n *Node) adjustQuota(late, before int64) {
-	q := &n.acceptQuota
-	if q.accepts == 0 {
-		q.accepts = maxAccepts
+func (n *Node) adjustQuota(lateness, lastLength int64) {
+	quota := &n.acceptQuota
+	if quota.accepts == 0 {
+		quota.accepts = maxAccepts
 	}
 	switch {
-	case before > longIteration && q.accepted > 0:
-		q.accepts = max(min(q.accepts, q.accepted)/2, 1)
-	case before < longIteration/2:
-		q.accepts = min(q.accepts+q.accepts/8+1, maxAccepts)
+	case lastLength > longIteration && quota.accepted > 0:
+		quota.accepts = max(min(quota.accepts, quota.accepted)/2, 1)
+	case lastLength < longIteration/2:
+		quota.accepts = min(quota.accepts+quota.accepts/8+1, maxAccepts)
 	}
-	q.accepted = 0
-	if late == 0 {
-		q.busySince = 0
-	} else if q.busySince == 0 {
-		q.busySince = n.now
+	quota.accepted = 0
+	if lateness == 0 {
+		quota.busySince = 0
+	} else if quota.busySince == 0 {
+		quota.busySince = n.now
 	}
 }
 
 // Quota is how many new connections this turn may take, and how many after these it may turn away.
 func (n *Node) Quota() (take, refuse int) {
-	q := &n.acceptQuota
+	quota := &n.acceptQuota
 	if n.acceptStoppedAt > 0 {
 		return 0, maxAccepts
 	}
-	if q.accepts == 0 {
+	if quota.accepts == 0 {
 		return maxAccepts, 0
 	}
-	if q.busySince > 0 && n.now-q.busySince > saturatedAfter && q.accepts < maxAccepts {
-		refuse = max(q.accepts*refusalsPerFlow/refusalShareDivisor, 1)
+	if quota.busySince > 0 && n.now-quota.busySince > saturatedAfter && quota.accepts < maxAccepts {
+		refuse = max(quota.accepts*refusalsPerFlow/refusalShareDivisor, 1)
 	}
-	return q.accepts, refuse
+	return quota.accepts, refuse
 }
 
 // Refused is that the loop has turned a connection away.
--- a/node/tables.go
+++ b/node/tables.go
@@ -15,28 +15,28 @@
 	value      *T
 }
 
-func (t *slots[T]) add(v *T) uint64 {
-	var no uint32
+func (t *slots[T]) add(value *T) uint64 {
+	var index uint32
 	if n := len(t.free); n > 0 {
-		no = t.free[n-1]
+		index = t.free[n-1]
 		t.free = t.free[:n-1]
 	} else {
-		no = uint32(len(t.entries))
+		index = uint32(len(t.entries))
 		t.entries = append(t.entries, slot[T]{})
 	}
-	s := &t.entries[no]
-	s.generation = (s.generation + 1) & 0x7fffffff
-	s.value = v
+	entry := &t.entries[index]
+	entry.generation = (entry.generation + 1) & 0x7fffffff
+	entry.value = value
 	t.count++
-	return uint64(s.generation)<<32 | uint64(no)
+	return uint64(entry.generation)<<32 | uint64(index)
 }
 
 func (t *slots[T]) get(id uint64) *T {
-	no := uint32(id)
-	if int(no) >= len(t.entries) || t.entries[no].generation != uint32(id>>32) {
+	index := uint32(id)
+	if int(index) >= len(t.entries) || t.entries[index].generation != uint32(id>>32) {
 		return nil
 	}
-	return t.entries[no].value
+	return t.entries[index].value
 }
 
 func (t *slots[T]) remove(id uint64) {
@@ -77,13 +77,13 @@
 }
 
 // newest is the last so many ids, the newest last.
-func (r *recentIDs) newest(most int) []uint64 {
-	var all []uint64
-	for i := range min(most, len(r.ring)) {
-		all = append(all, r.ring[(r.next-1-i+2*len(r.ring))%len(r.ring)])
+func (r *recentIDs) newest(count int) []uint64 {
+	var newest []uint64
+	for i := range min(count, len(r.ring)) {
+		newest = append(newest, r.ring[(r.next-1-i+2*len(r.ring))%len(r.ring)])
 	}
-	slices.Reverse(all)
-	return all
+	slices.Reverse(newest)
+	return newest
 }
 
 // deadline is one moment at which something is done unless it is called off. It is set and called off through the
--- a/node/watch.go
+++ b/node/watch.go
@@ -64,11 +64,11 @@
 }
 
 func (n *Node) readWatch(c *conn) {
-	whole := c.reader.Whole
+	wholeBefore := c.reader.Whole
 	for c.in.Len() > 0 {
-		p := c.in.Head()
-		size := len(p)
-		err := c.reader.Feed(p, func(l discovery.List) { n.receiveList(c, l) })
+		chunk := c.in.Head()
+		size := len(chunk)
+		err := c.reader.Feed(chunk, func(update discovery.List) { n.receiveList(c, update) })
 		if n.conns.get(c.id) != c {
 			return // what it told has ended it
 		}
@@ -78,7 +78,7 @@
 			return
 		}
 	}
-	if c == n.watch && c.reader.Whole > whole { // guards against one that trickles and never ends a line
+	if c == n.watch && c.reader.Whole > wholeBefore { // guards against one that trickles and never ends a line
 		c.stale = false
 		n.deadlines.set(&c.timer, n.now+watchSilenceTimeout)
 	}
@@ -86,9 +86,9 @@
 }
 
 // receiveList takes in a list. The first of a call makes it the one that is watched.
-func (n *Node) receiveList(c *conn, l discovery.List) {
+func (n *Node) receiveList(c *conn, update discovery.List) {
 	if c == n.pendingCall {
-		if c.requestedRev >= 0 && l.Rev < c.requestedRev && !l.All {
+		if c.requestedRev >= 0 && update.Rev < c.requestedRev && !update.All {
 			n.listRev = -1 // it began anew, and its versions are others: the whole list is asked for
 			n.watchLost(c, "began anew")
 			n.callDiscovery()
@@ -100,35 +100,35 @@
 		n.pendingCall, n.watch, n.callRefused = nil, c, false
 		c.timer.run = func() { n.watchSilent(c) }
 		n.deadlines.set(&c.timer, n.now+watchSilenceTimeout)
-		log.Printf("msg=watching discovery=%s rev=%d all=%t hosts=%d", c.discoveryAddr, l.Rev, l.All, len(l.Entries))
+		log.Printf("msg=watching discovery=%s rev=%d all=%t hosts=%d", c.discoveryAddr, update.Rev, update.All, len(update.Entries))
 	}
 	kind := balance.Changes
-	if l.All {
+	if update.All {
 		kind = balance.Whole
 	}
-	n.listAddr, n.listRev = c.discoveryAddr, l.Rev
+	n.listAddr, n.listRev = c.discoveryAddr, update.Rev
 	n.Count.Lists++
-	n.applyList(kind, l)
-	n.announceDrains(l)
+	n.applyList(kind, update)
+	n.announceDrains(update)
 	n.finishJoining()
 	n.releaseHeldFlows()
 }
 
 // watchLost is that a watch or call is broken, silent for too long or makes no sense.
-func (n *Node) watchLost(c *conn, why string) {
+func (n *Node) watchLost(c *conn, reason string) {
 	n.close(c)
 	if c == n.pendingCall {
-		n.pendingCall, n.callRefused = nil, n.callRefused || why != reasonSilent
+		n.pendingCall, n.callRefused = nil, n.callRefused || reason != reasonSilent
 	} else if n.watch = nil; c.stale {
 		return // said when it fell silent
 	}
-	n.callFailed(c, why)
+	n.callFailed(c, reason)
 }
 
 // callFailed counts it; the module asks again, unless another call is out.
-func (n *Node) callFailed(c *conn, why string) {
+func (n *Node) callFailed(c *conn, reason string) {
 	n.Count.CallsFailed++
-	log.Printf("msg=watch_lost why=%q discovery=%s rev=%d", why, c.discoveryAddr, n.listRev)
+	log.Printf("msg=watch_lost why=%q discovery=%s rev=%d", reason, c.discoveryAddr, n.listRev)
 	if n.pendingCall == nil {
 		n.decider.List(balance.Refused)
 		n.decider.ListEnd(balance.Refused)
@@ -136,17 +136,17 @@
 }
 
 // Follow watches discovery at another address, beside the one watched now until the new one speaks.
-func (n *Node) Follow(discovery string) {
+func (n *Node) Follow(addr string) {
 	n.Count.Reloads++
-	if discovery == n.config.Discovery {
+	if addr == n.config.Discovery {
 		return
 	}
-	n.config.Discovery, n.callRefused = discovery, false
+	n.config.Discovery, n.callRefused = addr, false
 	if n.pendingCall != nil {
 		n.close(n.pendingCall)
 		n.pendingCall = nil
 	}
-	if n.watch == nil || n.watch.discoveryAddr != discovery || n.watch.stale {
+	if n.watch == nil || n.watch.discoveryAddr != addr || n.watch.stale {
 		n.callDiscovery()
 	}
 }
