--- a/node/node.go
+++ b/node/node.go
@@ -1,5 +1,8 @@
-// Package node is one node of the balancer without its sockets and its clock: it is given bytes, ends and times,
-// keeps flows, connections, probes and the watch on discovery, and carries out what package balance decides.
+// Package node implements one node of the balancer without its sockets and its clock. The event loop passes in received
+// bytes, closed connections and the current time. The node keeps flows, connections, probes and the discovery watch, and
+// carries out the decisions of package balance.
+//
+// All times and durations are in microseconds unless a name or comment says otherwise.
 package node
 
 import (
@@ -18,60 +21,78 @@
 	"coursewinch/settings"
 )
 
-// Net is what a node asks of the sockets. Nothing is told back within a call.
+// Net is the socket layer that a node uses. No method calls back into the node before it returns.
 type Net interface {
+	// Dial opens a connection to an address and sends and receives through the two rings.
 	Dial(id uint64, to string, in, out *lines.Ring)
-	Touch(id uint64) // the rings have changed: send, and read on
-	Shut(id uint64)  // send what the ring holds, then end the sending
+	// Touch reports that the rings have changed: there may be bytes to send and room to read.
+	Touch(id uint64)
+	// Shut sends what the output ring holds and then closes the sending side.
+	Shut(id uint64)
+	// Close closes the connection at once.
 	Close(id uint64)
+	// Reset aborts the connection so that the other side sees an error.
 	Reset(id uint64)
-	Part(id uint64)      // send what the ring holds and end in order, without the node: it forgets the id
-	Gone(id uint64) bool // whether the other side has ended, also where that has not been told yet
-	Room() int           // connections that may still be opened
+	// Part sends what the output ring holds and closes the connection in order without involving the node, which
+	// forgets the id.
+	Part(id uint64)
+	// Gone reports whether the other side has closed the connection, even if Ended has not been called for it yet.
+	Gone(id uint64) bool
+	// Room returns how many more connections may be opened.
+	Room() int
 }
 
+// Units of time, in microseconds.
 const (
-	ms                  = int64(1000)
-	second              = 1000 * ms
-	answerMargin        = 5 * ms      // kept back from a client's time, for the way to it
-	firstLineTimeout    = 2500 * ms   // for a new connection to say what it wants, and for a line to come to its end
-	maxPingsPerRead     = 16          // lines of one read that are answered before a flow
-	lingerTimeout       = 2 * second  // for the other side to take the last bytes
-	maxDrainedBytes     = 64 << 10    // bytes that a connection which has its last line may still send
-	hostSilenceTimeout  = 5 * second  // a host that brings no line back for so long has lost its flow
-	defaultAskWithin    = 10 * second // where the settings state no time
-	messageTimeInterval = second      // how long messages take is told so often
-	rejoinInterval      = 300 * ms    // a connection that stood before is tried so often
-	reservedDescriptors = 8           // descriptors kept besides those that are owed to hosts
-	shedAfterSilence    = 100 * ms    // a connection that has said nothing for so long may be shed
-	shedAfterPing       = second      // one that asked PING and then nothing for so long
-	defaultMaxGroups    = 4096        // where the limits say nothing
-	defaultMaxIDs       = 8192
-	maxLogKinds         = 64 // of log lines
-	maxRedials          = 3  // where no descriptor was left: what others of the machine hold is not to be had by letting go
+	ms     = int64(1000)
+	second = 1000 * ms
 )
 
-// Config is what a node is told at its start, besides the settings.
+// Timeouts, margins and intervals.
+const (
+	answerMargin        = 5 * ms      // kept back from a client's connect timeout for the answer's way to the client
+	firstLineTimeout    = 2500 * ms   // for a new client to send its first line, and for a started line to be completed
+	lingerTimeout       = 2 * second  // for the other side to read the last bytes
+	hostSilenceTimeout  = 5 * second  // a host that answers a line with nothing for this long has lost its flow
+	defaultAskWithin    = 10 * second // used where the settings give no polling period for discovery
+	messageTimeInterval = second      // between two reports of message times to the decision module
+	rejoinInterval      = 300 * ms    // between two connects of a rejoining flow
+	shedAfterSilence    = 100 * ms    // a client that has sent no whole line may be shed after this time
+	shedAfterPing       = second      // a client that has sent nothing since its PING may be shed after this time
+)
+
+// Limits and defaults of counts.
+const (
+	maxPingsPerRead     = 16       // PING lines answered in one read
+	maxDrainedBytes     = 64 << 10 // bytes discarded from a connection that has been sent its last line
+	reservedDescriptors = 8        // descriptors kept free besides those owed to flows and probes
+	defaultMaxGroups    = 4096     // where Limits.Groups is 0
+	defaultMaxIDs       = 8192     // where Limits.IDs is 0
+	maxLogKinds         = 64       // kinds of throttled log lines
+	maxRedials          = 3        // shedding frees no descriptors that other processes of the machine hold
+)
+
+// Config configures a node besides its settings.
 type Config struct {
-	Discovery string
-	Seed      int64
-	Decide    func(*settings.Settings, int64) Decider // nil: the decision module
-	Capture   Capture                                 // nil: none
-	Admission admission.Limits                        // zero: every connection is taken
+	Discovery string                                  // address of discovery
+	Seed      int64                                   // of all random sources of the node
+	Decide    func(*settings.Settings, int64) Decider // makes the decider; nil selects the decision module
+	Capture   Capture                                 // records flows; nil records nothing
+	Admission admission.Limits                        // zero accepts every connection
 	Limits    Limits
-	Tell      func([]byte) // sends a datagram to all other nodes; nil where they hear nothing
+	Tell      func([]byte) // sends a datagram to all other nodes; nil where they receive nothing
 	Cluster   Cluster
 }
 
-// Capture takes what became of flows; it must not wait for anything.
+// Capture records the outcomes of flows. Its methods must not block.
 type Capture interface {
 	Flow(capture.Flow)
 	End(capture.End)
 	Load(capture.Load)
 }
 
-// Decider takes what comes in and writes its decisions to the writer given to Round, as package balance does. Another
-// than the module serves comparison in rehearsals and nothing else.
+// Decider receives what happens at the node and writes its decisions to the writer given to Round, as package balance
+// does. Other implementations exist only for comparison in rehearsals.
 type Decider interface {
 	Round(now int64, in func(), out balance.Writer)
 	List(balance.ListKind)
@@ -90,53 +111,55 @@
 	Tick()
 }
 
-// module is the decision module.
+// module adapts the decision module to Decider.
 type module struct{ *balance.Balancer }
 
 func (m module) Round(now int64, in func(), out balance.Writer) {
 	m.Balancer.Round(now, func(*balance.Balancer) { in() }, out)
 }
 
-// Expired: the module keeps nothing for a flow whose client left.
+// Expired does nothing: the module keeps no state for a flow whose client has left.
 func (module) Expired(*balance.Flow) {}
 
-// host is one server and what is connected to it besides flows.
+// host is one server of the list and this node's probe connection to it.
 type host struct {
 	balance.Server
 	uid           string
 	addr          string
-	zoneName      string // as its list names it
-	flowCount     int    // with a connection to it
-	probe         *conn
-	probeSpan     span     // of the probe that is out
-	probeSentAt   int64    // when the probe that is out was sent; 0 when none is
-	probeDeadline deadline // when it is given up
-	probeUnsent   bool     // for want of a descriptor
-	messageTimes  []int64  // by messages, since they were last told
+	zoneName      string // as named in the list
+	flowCount     int    // flows with a connection to it
+	probe         *conn  // kept open between probes
+	probeSpan     span   // measures the outstanding probe
+	probeSentAt   int64  // when the outstanding probe was sent; 0 for none
+	probeDeadline deadline
+	probeUnsent   bool    // the outstanding probe was not sent because no descriptor was free
+	messageTimes  []int64 // measured since the last report
 	reported      messageReports
-	pendingAges   []int64
-	slowReported  bool
+	pendingAges   []int64 // ages of lines still without an answer
+	slowReported  bool    // the last report to the decision module was over the threshold
 }
 
+// group is a group of flows as this node knows it.
 type group struct {
 	balance.Group
 	flowCount   int
-	established bool // one of its flows was established
+	established bool // one of its flows has been established
 }
 
+// role says what a connection is used for.
 type role uint8
 
 const (
-	roleNew      role = iota // a client that has not said what it wants
-	roleClient               // of a flow
-	roleUpstream             // to the host of a flow
+	roleNew      role = iota // a client that has not sent its request
+	roleClient               // the client of a flow
+	roleUpstream             // the connection of a flow to its host
 	roleProbe
-	roleWatch
+	roleWatch    // the watch on discovery, or a call to it
 	roleClosing  // closed once the other side has the last bytes
-	roleOperator // calls on the admin address
+	roleOperator // a call on the admin address
 )
 
-// conn is one connection, whichever side opened it.
+// conn is one connection, opened by either side.
 type conn struct {
 	id            uint64
 	role          role
@@ -145,56 +168,56 @@
 	host          *host
 	up            bool
 	midLine       bool // the last byte put into out does not end a line
-	inputEnded    bool // the other side sends no more, and what it sent last may still be held here
+	inputEnded    bool // the other side sends no more; its last bytes may still be in the ring
 	err           error
 	timer         deadline
-	shedQueue     *list.List // among those that may be shed
+	shedQueue     *list.List // the queue of connections that may be shed; nil when in none
 	queueElement  *list.Element
-	queuedAt      int64 // when it came into that
+	queuedAt      int64 // when it was put into shedQueue
 	drainedBytes  int
 	redials       int
 	reader        discovery.Reader
-	discoveryAddr string       // the address of discovery
-	receivedAt    int64        // when it last sent something
-	sentAt        int64        // when it last took something of what waits for it
-	limitPrefix   netip.Prefix // its address, as limits of the fleet count it; invalid without one
-	gatePrefix    netip.Prefix // its address, as the gate counts it; invalid without one
-	requestedRev  int64        // told by it last
-	stale         bool         // a watch that has missed a line
+	discoveryAddr string
+	receivedAt    int64        // when the other side last sent something
+	sentAt        int64        // when the other side last read something
+	limitPrefix   netip.Prefix // client address as counted by fleet limits; invalid where none needs it
+	gatePrefix    netip.Prefix // client address as counted by the admission gate; invalid where it is not counted
+	requestedRev  int64        // list version that a call to discovery asks to continue from; -1 for the whole list
+	stale         bool         // a watch that missed a line
 }
 
-// flow is one client's wish for a connection.
+// flow is one client's request for a connection and, once established, that connection.
 type flow struct {
 	balance.Flow
 	id              uint64
-	request         *lines.Open // until it is established
+	request         *lines.Open // nil once established
 	client          *conn
 	upstream        *conn // to the host
 	host            *host
 	group           *group
-	connectAt       int64 // when the connect was made
+	connectAt       int64 // when the current connect was made
 	setupSpan       span
-	connectTimeout  int64 // how long it may take
+	connectTimeout  int64 // of the current connect
 	stage           Stage
-	rejoins         bool // came with its connection open: it goes to its host and through no choice
+	rejoins         bool // its connection was open before: it goes back to its host without a decision
 	ended           bool
 	awaitsList      bool       // waits for the first list
-	movePending     bool       // is to be moved as soon as a word of the node's own can go to its client
-	lastWord        lines.Word // the host's word of parting
-	unansweredSince int64      // the first line passed to the host that nothing came back for; 0 for none
-	unansweredSpan  span       // of the first line that nothing came back for
+	movePending     bool       // is moved as soon as its client can be sent the MOVE line
+	lastWord        lines.Word // BYE or MOVE from its host; Other before
+	unansweredSince int64      // when the oldest line without an answer was passed to the host; 0 for none
+	unansweredSpan  span       // measures that line
 	timer           deadline
-	establishedAt   int64          // when it was established
-	reportedLoad    float64        // its load by its host's last word
-	record          *captureRecord // for the capture; nil without one
-	nextLimit       int            // of the fleet's limits, that it has to pass next
-	pendingKey      uint64         // the key of that limit for which it waits
+	establishedAt   int64
+	reportedLoad    float64        // its load as last reported by its host
+	record          *captureRecord // nil without a capture
+	nextLimit       int            // index of the next fleet limit that it has to pass
+	pendingKey      uint64         // key of the fleet limit whose answer it waits for
 	permits         []permit
 
-	coldRequests int // grants for cold hosts that it has asked for
+	coldRequests int // grants for cold hosts that it has requested
 }
 
-// Node is one node.
+// Node is one node of the balancer. Its methods must be called from one goroutine.
 type Node struct {
 	settings         *settings.Settings
 	config           Config
@@ -206,72 +229,79 @@
 	ringBudget       *lines.Budget
 	flows            slots[flow]
 	hosts            map[string]*host
-	hostsByShortHash map[uint32]*host  // by what peers call them
-	peerHeldGroups   map[uint32]*host  // where others hold groups, by what they call these
-	groupHashes      map[uint32]uint64 // groups met, by what peers call them
-	hostList         []*host           // in the order in which they were first named
-	recentIDs        recentIDs         // that clients gave
+	hostsByShortHash map[uint32]*host  // by the short hash that datagrams of other nodes use
+	peerHeldGroups   map[uint32]*host  // hosts that hold groups for other nodes, by the group's short hash
+	groupHashes      map[uint32]uint64 // full hashes of known groups, by short hash
+	hostList         []*host           // in the order in which they were first listed
+	recentIDs        recentIDs         // request ids given by clients
 	groups           map[uint64]*group
-	upstreamCount    int // connections to hosts for flows
+	upstreamCount    int // connections of flows to hosts
 	deadlines        deadlines
 	dueNow           []*deadline
 	tickAlarm        deadline
 	messageTimeTimer deadline
 
-	frontConn                              *conn     // the first that asked PING, of those that are here
-	silentConns, pingedConns, closingConns list.List // clients that ask nothing: without a whole line, after PONG, after the last line
-	roomTimer                              deadline
-	logKinds                               map[string]*logKind
-	lateness                               lateness
-	acceptQuota                            acceptQuota
-	limits                                 Limits
-	admissionGate                          *admission.Gate // nil: every connection is taken
-	activeProbes                           int             // probes out
-	establishedCount                       int             // established flows
-	capturedFlows                          uint64          // flows, for the capture
-
-	pendingCall *conn // a call to discovery without a list yet
-	callRefused bool  // a call was, since the last list
-	watch       *conn // brings lists
+	frontConn        *conn     // of the open connections, the first that sent PING
+	silentConns      list.List // clients without a whole line
+	pingedConns      list.List // clients that have been sent PONG and asked for nothing else
+	closingConns     list.List // clients that have been sent their last line
+	roomTimer        deadline
+	logKinds         map[string]*logKind
+	lateness         lateness
+	acceptQuota      acceptQuota
+	limits           Limits
+	admissionGate    *admission.Gate // nil accepts every connection
+	activeProbes     int
+	establishedCount int
+	capturedFlows    uint64
+
+	pendingCall *conn // a call to discovery that has not brought a list yet
+	callRefused bool  // discovery refused a call since the last list
+	watch       *conn // the connection that brings lists
 	listAddr    string
-	listRev     int64   // of the list held, as this address counts
-	heldFlows   []*flow // that wait for the first list
+	listRev     int64   // version of the current list, valid for listAddr only
+	heldFlows   []*flow // waiting for the first list
 	heldTimer   deadline
 	startedAt   int64
 
-	slowMessageTime  int64 // messages that take longer are told
-	hostsReportTimes bool  // a host told how long messages take
+	slowMessageTime  int64 // longer message times are reported to the decision module
+	hostsReportTimes bool  // a host has reported a message time
 
-	stopAt          int64 // when the node was told to stop; 0 before
+	stopAt          int64 // when Stop was called; 0 before
 	stopDeadline    int64
-	drainAt         int64 // when it was told to drain; 0 when it isn't
+	drainAt         int64 // when Drain was called; 0 while not drained
 	moveTimer       deadline
-	stopAcceptTimer deadline // when it is next looked whether the door can be shut
-	acceptStoppedAt int64    // when it was shut: nothing new is taken any more; 0 before
+	stopAcceptTimer deadline // next check whether accepting can stop
+	acceptStoppedAt int64    // since when no connection is accepted; 0 before
 	operatorCalls   operatorQueues
 	handover        handoverState
-	cluster         *cluster // nil where the node goes by itself
+	cluster         *cluster // nil where the node works alone
 
 	Count Counters
-	Types []Tally // by service type
+	Types []Tally // answers by service type
 }
 
-// New makes a node that knows the list it had last.
+// New returns a node for the given settings, which it copies.
 func New(given *settings.Settings, conf Config, net Net) *Node {
-	copied := *given
-	nodeSettings := &copied      // what is changed here belongs to this node
-	if !nodeSettings.OnRequest { // over HTTP a list that is pushed on the wire must be asked for as well, and counts as told at once
-		nodeSettings.Pushed, nodeSettings.OnRequest, nodeSettings.AskWithin, nodeSettings.AskSpread = true, true, defaultAskWithin, 1
-		nodeSettings.AskMost = max(nodeSettings.Grace/2, 10*ms)
+	nodeSettings := ownSettings(given, conf)
+	n := &Node{
+		settings:         nodeSettings,
+		config:           conf,
+		net:              net,
+		rng:              rand.New(rand.NewSource(conf.Seed + 1)),
+		hosts:            map[string]*host{},
+		hostsByShortHash: map[uint32]*host{},
+		peerHeldGroups:   map[uint32]*host{},
+		groupHashes:      map[uint32]uint64{},
+		groups:           map[uint64]*group{},
+		logKinds:         map[string]*logKind{},
+		listAddr:         conf.Discovery,
 	}
-	nodeSettings.Peers = nodeSettings.Peers && conf.Tell != nil
-	nodeSettings.Untold = true // no line of the protocol tells how long messages take
-	n := &Node{settings: nodeSettings, config: conf, net: net,
-		rng: rand.New(rand.NewSource(conf.Seed + 1)), hosts: map[string]*host{}, hostsByShortHash: map[uint32]*host{}, peerHeldGroups: map[uint32]*host{}, groupHashes: map[uint32]uint64{}, groups: map[uint64]*group{},
-		logKinds: map[string]*logKind{}, listAddr: conf.Discovery}
 	n.Types = make([]Tally, len(nodeSettings.Types))
 	n.limits = conf.Limits
-	n.limits.Hosts, n.limits.Groups, n.limits.IDs = cmp.Or(n.limits.Hosts, defaultMaxHosts), cmp.Or(n.limits.Groups, defaultMaxGroups), cmp.Or(n.limits.IDs, defaultMaxIDs)
+	n.limits.Hosts = cmp.Or(n.limits.Hosts, defaultMaxHosts)
+	n.limits.Groups = cmp.Or(n.limits.Groups, defaultMaxGroups)
+	n.limits.IDs = cmp.Or(n.limits.IDs, defaultMaxIDs)
 	n.recentIDs.limit = n.limits.IDs
 	n.ringBudget = lines.NewBudget(n.limits.Wide)
 	if conf.Admission.On() {
@@ -295,7 +325,25 @@
 	return n
 }
 
-// Begin is the first turn.
+// ownSettings returns a copy of the settings, adjusted to what the wire protocol can carry.
+func ownSettings(given *settings.Settings, conf Config) *settings.Settings {
+	copied := *given
+	s := &copied
+	if !s.OnRequest {
+		// Over HTTP a list that is pushed has to be requested as well. A change counts as known at once.
+		s.Pushed = true
+		s.OnRequest = true
+		s.AskWithin = defaultAskWithin
+		s.AskSpread = 1
+		s.AskMost = max(s.Grace/2, 10*ms)
+	}
+	s.Peers = s.Peers && conf.Tell != nil
+	s.Untold = true // no line of the protocol carries message times
+	return s
+}
+
+// Begin runs the first loop iteration. known is the list that the node last had; a successor process starts from the
+// state handed over instead.
 func (n *Node) Begin(now int64, known discovery.List) {
 	n.startedAt = now
 	n.Turn(now, func() {
@@ -318,8 +366,8 @@
 	})
 }
 
-// Turn is one turn of the loop: in brings what came, then what is due is done, and the module decides. What its
-// decisions lead to reaches it in the next turn, never within its own call.
+// Turn runs one loop iteration: in delivers the events that have arrived, then due deadlines run, and the module decides.
+// Consequences of its decisions reach the module in the next iteration, never within its own call.
 func (n *Node) Turn(now int64, in func()) {
 	n.now = now
 	defer n.recoverPanic(nil)
@@ -328,7 +376,7 @@
 	n.decider.Round(now, func() {
 		in()
 		for _, d := range n.dueNow {
-			if d.position == positionTaken { // neither called off nor set anew meanwhile
+			if d.position == positionTaken { // neither cancelled nor set again meanwhile
 				d.position = 0
 				n.runDeadline(d)
 			}
@@ -341,7 +389,8 @@
 	d.run()
 }
 
-// recoverPanic ends a panic at the connection that met it.
+// recoverPanic is deferred around the handling of one event. It confines a panic to the connection that caused it, which it
+// closes; c is nil where no connection is involved.
 func (n *Node) recoverPanic(c *conn) {
 	p := recover()
 	if p == nil {
@@ -352,17 +401,18 @@
 	if c == nil {
 		return
 	}
-	defer func() { recover() }() // what the panic left behind may not be sound
+	defer func() { recover() }() // the panic may have left inconsistent state
 	if f := c.flow; f != nil {
 		n.endFlow(f, balance.Severed)
 	}
 	n.close(c)
 }
 
-// Next is when the next turn is due at the latest; ok is false when only events matter.
+// Next returns the time of the earliest deadline, when the next iteration must run at the latest. ok is false when there
+// is none.
 func (n *Node) Next() (at int64, ok bool) { return n.deadlines.next() }
 
-// applyList takes in a list of hosts.
+// applyList updates the hosts from a list and passes it to the module.
 func (n *Node) applyList(kind balance.ListKind, update discovery.List) {
 	n.decider.List(kind)
 	for _, entry := range update.Entries {
@@ -372,17 +422,7 @@
 			continue
 		}
 		if h == nil {
-			h = &host{uid: entry.UID, Server: balance.Server{Name: entry.UID, Hash: hash(entry.UID)}}
-			h.probeDeadline.run = func() {
-				if h.probeUnsent {
-					n.probeFailed(h, balance.Saturated) // says nothing of the host
-					return
-				}
-				n.probeFailed(h, balance.Overdue)
-			}
-			n.hosts[entry.UID] = h
-			n.hostsByShortHash[peers.Short(h.Hash)] = h
-			n.hostList = append(n.hostList, h)
+			h = n.addHost(entry.UID)
 		}
 		if entry.Endpoint != "" && entry.Endpoint != h.addr {
 			h.addr = entry.Endpoint
@@ -405,15 +445,31 @@
 	n.updateClusterHosts()
 }
 
-// register puts a connection into the table; its rings count as this node's.
+// addHost adds a host of the list that was not known.
+func (n *Node) addHost(uid string) *host {
+	h := &host{uid: uid, Server: balance.Server{Name: uid, Hash: hash(uid)}}
+	h.probeDeadline.run = func() {
+		if h.probeUnsent {
+			n.probeFailed(h, balance.Saturated) // says nothing about the host
+			return
+		}
+		n.probeFailed(h, balance.Overdue)
+	}
+	n.hosts[uid] = h
+	n.hostsByShortHash[peers.Short(h.Hash)] = h
+	n.hostList = append(n.hostList, h)
+	return h
+}
+
+// register adds a connection to the table and counts its rings against this node's budget. It returns the id.
 func (n *Node) register(c *conn) uint64 {
 	c.in.Of(n.ringBudget)
 	c.out.Of(n.ringBudget)
 	return n.conns.add(c)
 }
 
-// zoneNumber is the number of a zone. Those that the settings don't name are told apart as well, under 0: a repeat that is known
-// within a zone only must not go to another of these.
+// zoneNumber returns the number of a zone. Zones that the settings don't name get distinct negative numbers: a repeat that
+// is recognised only within its zone must not go to another unnamed zone.
 func (n *Node) zoneNumber(name string) int {
 	if no, ok := n.settings.Zones[name]; ok {
 		return no
@@ -421,7 +477,7 @@
 	return -1 - int(hash(name)>>2)
 }
 
-// forgetRemovedHosts forgets hosts that have left the list and hold nothing of this node.
+// forgetRemovedHosts removes hosts that have left the list and have no flow and no outstanding probe of this node.
 func (n *Node) forgetRemovedHosts() {
 	kept := n.hostList[:0]
 	for _, h := range n.hostList {
@@ -436,7 +492,7 @@
 	n.hostList = kept
 }
 
-// hash is FNV-1a, of what is named alike at every node.
+// hash returns the FNV-1a hash of a name. All nodes must compute the same one.
 func hash(text string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := range len(text) {
