--- a/node/conns.go
+++ b/node/conns.go
@@ -14,17 +14,18 @@
 	"coursewinch/lines"
 )
 
-// setShedQueue puts a connection last into a queue of those that may be shed, or out of all.
+// setShedQueue moves a connection to the back of a queue of connections that may be shed, or out of all queues for nil.
 func (n *Node) setShedQueue(c *conn, queue *list.List) {
 	if c.shedQueue != nil {
 		c.shedQueue.Remove(c.queueElement)
 	}
-	if c.shedQueue = queue; queue != nil {
+	c.shedQueue = queue
+	if queue != nil {
 		c.queueElement, c.queuedAt = queue.PushBack(c), n.now
 	}
 }
 
-// owedDescriptors is how many descriptors are kept for connects of flows taken, for probes and for discovery.
+// owedDescriptors returns how many descriptors are kept for connects of accepted flows, for probes and for discovery.
 func (n *Node) owedDescriptors() int {
 	owed := reservedDescriptors + n.flows.count - n.upstreamCount
 	for _, h := range n.hostList {
@@ -35,19 +36,20 @@
 	return owed
 }
 
-// Spare tells whether one more client can be taken. Room is made for it: each that may yet ask is owed a second
-// descriptor. Guards usual clients, connects, probes and the watch against crowds that ask nothing.
+// Spare reports whether one more client can be accepted, and sheds idle connections to make room. Each client that may
+// still send a request is owed a second descriptor. This keeps descriptors for ordinary clients, connects, probes and the
+// watch when a crowd of clients connects and requests nothing.
 func (n *Node) Spare() bool {
 	for n.net.Room() <= n.owedDescriptors()+n.silentConns.Len() && n.shedOne() {
 	}
-	if n.net.Room() > n.owedDescriptors()-reservedDescriptors/2 { // half of the reserve is for being told BUSY
+	if n.net.Room() > n.owedDescriptors()-reservedDescriptors/2 { // half of the reserve serves to answer BUSY
 		return true
 	}
 	n.deadlines.set(&n.roomTimer, n.now+shedAfterSilence)
 	return false
 }
 
-// retryShedding tries again when nobody could be shed.
+// retryShedding sheds connections until the reserve is free. It runs again later while none can be shed yet.
 func (n *Node) retryShedding() {
 	for n.net.Room() <= n.owedDescriptors() {
 		if !n.shedOne() {
@@ -57,10 +59,11 @@
 	}
 }
 
-// shedOne closes the connection that is missed least: the one that had its last line first, then those that asked PING
-// and have been idle since, then of those that owe a line the one that sent nothing for longest, then the last of those
-// that asked PING. Guards clients that take seconds over their line against a crowd that asks once and stays, and the
-// front, which is the first that asked, or asks again and again.
+// shedOne closes the connection that is needed least and reports whether there was one. The order is: connections that
+// have been sent their last line, oldest first; clients idle since their PING; the client that has owed its first line for
+// longest; the latest of the clients that sent PING. Clients that take seconds over their first line so outlast a crowd
+// that sends one PING and stays. The front-end load balancer outlasts it too: it is the first that sent PING, or sends
+// PING repeatedly.
 func (n *Node) shedOne() bool {
 	if n.shedOldest(&n.closingConns, shedAfterSilence) || n.shedOldest(&n.pingedConns, shedAfterPing) || n.shedOldest(&n.silentConns, shedAfterSilence) {
 		return true
@@ -72,7 +75,7 @@
 	return false
 }
 
-// shedOldest closes the first of a queue, if it has been there for so long.
+// shedOldest closes the first connection of a queue if it has been there for at least minAge and has no bytes to send.
 func (n *Node) shedOldest(queue *list.List, minAge int64) bool {
 	e := queue.Front()
 	if e != nil && e.Value == n.frontConn {
@@ -89,13 +92,14 @@
 	return true
 }
 
+// shedConn counts and closes a client's connection.
 func (n *Node) shedConn(c *conn) {
 	n.Count.Shed++
 	n.detach(c)
 }
 
-// detach lets a client's connection go in order. One without a flow is told so: its line may be on its way, and that is
-// then its answer.
+// detach closes a client's connection in order without waiting for it. A client without a flow is sent BUSY, because its
+// request may be on its way and then needs an answer.
 func (n *Node) detach(c *conn) {
 	if c.role == roleNew {
 		c.out.Put([]byte(busyLine))
@@ -104,7 +108,8 @@
 	n.forgetConn(c)
 }
 
-// Accept takes a new connection of a client; ok is false where its address may have no more, and the loop refuses it.
+// Accept adds a new connection of a client. ok is false where the admission gate refuses its address; the loop then closes
+// the connection.
 func (n *Node) Accept(from netip.AddrPort) (id uint64, in, out *lines.Ring, ok bool) {
 	n.acceptQuota.accepted++
 	c := &conn{role: roleNew, up: true}
@@ -127,7 +132,7 @@
 	return c.id, &c.in, &c.out, true
 }
 
-// Connected is told when a connection that the node asked for is up.
+// Connected handles a connection dialled by the node that is now up.
 func (n *Node) Connected(id uint64) {
 	c := n.conns.get(id)
 	if c == nil {
@@ -148,7 +153,7 @@
 	}
 }
 
-// Received is told when bytes have come.
+// Received handles new bytes in a connection's input ring.
 func (n *Node) Received(id uint64) {
 	c := n.conns.get(id)
 	if c == nil {
@@ -185,12 +190,12 @@
 		c.drainedBytes += c.in.Len()
 		c.in.Drop(c.in.Len())
 		if c.drainedBytes > maxDrainedBytes {
-			n.close(c) // guards the loop against those who send on for ever
+			n.close(c) // the other side may go on sending for ever
 		}
 	}
 }
 
-// Sent is told when bytes have gone and there is room again.
+// Sent handles a connection whose output ring has been sent in part or whole and has room again.
 func (n *Node) Sent(id uint64) {
 	c := n.conns.get(id)
 	if c == nil {
@@ -200,7 +205,7 @@
 	c.sentAt = n.now
 	switch c.role {
 	case roleNew:
-		n.readFirstLine(c) // what was held back for want of room in its ring
+		n.readFirstLine(c) // lines that waited for room for their answer
 	case roleOperator:
 		n.callSent(c)
 	case roleClosing:
@@ -220,7 +225,8 @@
 	}
 }
 
-// Ended is told when the other side sends no more; with an error, when the connection is broken or never came up.
+// Ended handles the end of a connection: with a nil error the other side sends no more, otherwise the connection is broken
+// or never came up.
 func (n *Node) Ended(id uint64, err error) {
 	c := n.conns.get(id)
 	if c == nil {
@@ -262,14 +268,14 @@
 	case roleNew:
 		n.closeAfterSending(c)
 	default:
-		if err != nil || c.out.Len() == 0 { // else its last word is still to go
+		if err != nil || c.out.Len() == 0 { // otherwise its last line is still to be sent
 			n.close(c)
 		}
 	}
 }
 
-// redial tries again what found no descriptor, of the system or within the own limit, once a connection that is missed
-// least has been let go for it. No host and no discovery is to blame for that.
+// redial repeats a dial that failed for want of a descriptor, of the system or of the process, after shedding a connection.
+// When it gives up, neither the host nor discovery is charged with the failure. It reports whether it handled the failure.
 func (n *Node) redial(c *conn) bool {
 	to := c.discoveryAddr
 	if c.host != nil {
@@ -292,12 +298,13 @@
 
 const busyLine = "BUSY\r\n"
 
+// Faults of clients before they have a flow.
 var (
 	errLineTimeout  = errors.New("no whole line in time")
 	errTooManyPings = errors.New("too many lines at once")
 )
 
-// readFirstLine answers what a client says before it has a flow.
+// readFirstLine answers what a client sends before it has a flow: PING lines and its request.
 func (n *Node) readFirstLine(c *conn) {
 	for pings := 0; c.role == roleNew; pings++ {
 		line := c.in.Line()
@@ -307,10 +314,10 @@
 			return
 		case line == nil:
 			if c.in.Len() > 0 {
-				if c.shedQueue == &n.pingedConns { // guards descriptors against lines that never end
+				if c.shedQueue == &n.pingedConns { // a line that never ends must not hold the descriptor
 					n.deadlines.set(&c.timer, n.now+firstLineTimeout)
 				}
-				n.setShedQueue(c, &n.silentConns) // last: what comes slowly may yet be whole
+				n.setShedQueue(c, &n.silentConns) // at the back: a slow line may still be completed
 			}
 			n.relieveBuffers()
 			return
@@ -322,8 +329,8 @@
 		case pings == maxPingsPerRead:
 			n.rejectLine(c, errTooManyPings)
 			return
-		case c.out.Free() < 6:
-			return // it asks and does not listen
+		case c.out.Free() < len("PONG\r\n"):
+			return // it sends and does not read
 		}
 		c.in.Drop(len(line))
 		if n.answersFront() {
@@ -331,7 +338,7 @@
 		} else {
 			c.out.Put([]byte("NO\r\n"))
 		}
-		n.deadlines.cancel(&c.timer) // the front may keep it
+		n.deadlines.cancel(&c.timer) // the front-end load balancer may keep its connection
 		if n.pingedConns.Len() == 0 {
 			n.frontConn = c
 		}
@@ -340,7 +347,8 @@
 	}
 }
 
-// firstLineTimedOut ends a connection of which no whole line came in time. Where nothing came, its line may be on its way.
+// firstLineTimedOut closes a connection that sent no whole line in time. Where it sent nothing, its request may be on its
+// way, and BUSY answers that.
 func (n *Node) firstLineTimedOut(c *conn) {
 	if c.in.Len() == 0 {
 		n.Count.Bad++
@@ -350,21 +358,21 @@
 	n.rejectLine(c, errLineTimeout)
 }
 
-// rejectLine answers a client that can't be understood. It teaches the module nothing.
+// rejectLine answers ERR to a client whose line is invalid. The module learns nothing from it.
 func (n *Node) rejectLine(c *conn, cause error) {
 	n.Count.Bad++
 	n.logThrottled("bad_line", cause.Error())
 	n.sendFinalLine(c, "ERR\r\n")
 }
 
-// logKind is one kind of log line that others can cause.
+// logKind is one kind of log line that clients or other nodes can cause.
 type logKind struct {
 	deadline
-	count int
+	count int // lines not written since the last one
 }
 
-// logThrottled writes such a line, one a second and kind at most; of those kept back it tells how many they were. Guards
-// the loop against waiting on its log.
+// logThrottled writes a log line that others can cause, at most one per second and kind, with a count of the lines left out.
+// This keeps the loop from blocking on its log.
 func (n *Node) logThrottled(msg, why string) {
 	kind := n.logKinds[msg+why]
 	if kind == nil {
@@ -389,13 +397,13 @@
 	kind.count++
 }
 
-// sendFinalLine sends a client its last line.
+// sendFinalLine sends a client its last line and closes the connection.
 func (n *Node) sendFinalLine(c *conn, line string) {
 	c.out.Put([]byte(line))
 	n.closeAfterSending(c)
 }
 
-// closeAfterSending sends what is left and closes in order: cut off at once, the last bytes could be lost on their way.
+// closeAfterSending sends what is left and closes the connection in order. Closing at once could lose the last bytes.
 func (n *Node) closeAfterSending(c *conn) {
 	if c.role == roleClosing {
 		return
@@ -413,11 +421,13 @@
 	n.net.Shut(c.id)
 }
 
+// close closes a connection at once.
 func (n *Node) close(c *conn) {
 	n.net.Close(c.id)
 	n.forgetConn(c)
 }
 
+// forgetConn removes a connection from all tables, without closing it.
 func (n *Node) forgetConn(c *conn) {
 	if c.gatePrefix.IsValid() {
 		n.admissionGate.Gone(c.gatePrefix)
@@ -435,11 +445,13 @@
 	n.conns.remove(c.id)
 }
 
-// Probe asks a host whether it answers, over a connection that is kept for it.
+// Probe sends a probe to a host over a connection that is kept open for it.
 func (n *Node) Probe(server *balance.Server) {
 	h := n.hosts[server.Name]
 	n.Count.Probes++
-	h.probeSentAt, h.probeSpan, h.probeUnsent = n.now, n.startSpan(), false
+	h.probeSentAt = n.now
+	h.probeSpan = n.startSpan()
+	h.probeUnsent = false
 	n.activeProbes++
 	n.deadlines.set(&h.probeDeadline, n.now+n.probeTimeout())
 	if h.probe == nil && n.net.Room() < 1 && !n.shedOne() {
@@ -458,7 +470,7 @@
 	n.net.Dial(c.id, h.addr, &c.in, &c.out)
 }
 
-// probeLine is the line of a probe: with a report where hosts have one.
+// probeLine returns the line of a probe: STATS, which asks for a load report, where the settings say that hosts give one.
 func (n *Node) probeLine() []byte {
 	if n.settings.Reports {
 		return []byte("STATS\r\n")
@@ -466,7 +478,8 @@
 	return []byte("PING\r\n")
 }
 
-// probeTimeout is the tightest setup target: a host that takes longer for a probe is of no use for any flow.
+// probeTimeout returns the shortest setup target of all service types: a host that takes longer for a probe can't serve
+// any flow in time.
 func (n *Node) probeTimeout() int64 {
 	wait := n.settings.Types[0].SetupTarget
 	for _, t := range n.settings.Types {
@@ -475,6 +488,7 @@
 	return max(wait, 50*ms)
 }
 
+// readProbeAnswer reads the lines on a probe connection, one of which may answer the outstanding probe.
 func (n *Node) readProbeAnswer(c *conn) {
 	h := c.host
 	for {
@@ -489,7 +503,7 @@
 		busy, reported := 0.0, false
 		if n.settings.Reports {
 			if figures, ok := lines.Stats(line); ok {
-				word = lines.Pong // also without the figure: the host answered
+				word = lines.Pong // the host answered, even if its report lacks the figure
 				busy, reported = figures.At(n.settings.Report)
 			}
 		}
@@ -508,7 +522,7 @@
 		end := balance.Completed
 		took, sure := n.elapsed(h.probeSpan)
 		if !sure {
-			end = balance.Recalled // answered, and it took so long at least
+			end = balance.Recalled // answered, but the measured time is only a lower bound
 		} else {
 			n.noteProbe(h, took)
 		}
@@ -519,11 +533,12 @@
 	}
 }
 
+// probeEnded handles the end of a probe connection.
 func (n *Node) probeEnded(c *conn) {
 	h := c.host
 	switch {
 	case h.probeSentAt == 0:
-		n.closeProbe(h) // kept and unused, it was the host's to close
+		n.closeProbe(h) // hosts may close an idle connection
 	case c.up:
 		n.probeFailed(h, balance.Severed)
 	default:
@@ -531,6 +546,7 @@
 	}
 }
 
+// probeFailed ends the outstanding probe of a host as failed.
 func (n *Node) probeFailed(h *host, end balance.Outcome) {
 	took := n.now - h.probeSentAt
 	h.probeSentAt = 0
@@ -544,7 +560,7 @@
 	n.decider.Probed(&h.Server, end, took)
 }
 
-// closeProbe closes the connection kept for probes; a probe that is out is then given up in time.
+// closeProbe closes the connection kept for probes. An outstanding probe then fails at its deadline.
 func (n *Node) closeProbe(h *host) {
 	if h.probe != nil {
 		n.close(h.probe)
@@ -552,8 +568,9 @@
 	}
 }
 
-// reportMessageTimes tells the module how long messages take at each host while that is over a third of the shortest target,
-// and once more after: the median of what came back since, and of what is still out and older than that.
+// reportMessageTimes reports to the module how long messages take at each host, while that is over a third of the shortest
+// target and once more after. The figure is the median of the times measured since the last report, together with the ages
+// of unanswered lines that are older than that median.
 func (n *Node) reportMessageTimes() {
 	n.closeStalledClients()
 	n.deadlines.set(&n.messageTimeTimer, n.now+messageTimeInterval)
--- a/node/flows.go
+++ b/node/flows.go
@@ -12,36 +12,42 @@
 	"coursewinch/lines"
 )
 
-// Stage is how far a flow's connect has come.
+// Stage is the progress of a flow's connect.
 type Stage uint8
 
+// The stages of a flow, in order.
 const (
-	Waiting     Stage = iota // no connect is out
-	Dialing                  // the connection is not up, or not all of the line is written
-	Asked                    // the host has the whole line
-	Established              // the host said so
+	Waiting     Stage = iota // no connect is in progress
+	Dialing                  // the connection is not up, or part of the request is still unsent
+	Asked                    // the host has been sent the whole request
+	Established              // the host has accepted the flow
 )
 
+// Causes of failed connects.
 var (
 	errTimeout      = errors.New("timed out")
-	errEnded        = errors.New("ended without an answer")
-	errBusy         = errors.New("turned away")
-	errAnswer       = errors.New("answered with an error")
-	errHostLeaving  = errors.New("host leaves")
-	errRepeatWindow = errors.New("repeats are known no longer")
+	errEnded        = errors.New("host closed the connection without an answer")
+	errBusy         = errors.New("host answered BUSY")
+	errAnswer       = errors.New("host answered with an error")
+	errHostLeaving  = errors.New("host takes no new flows")
+	errRepeatWindow = errors.New("host no longer recognises a repeat")
 	errNoDescriptor = errors.New("no descriptor left")
 )
 
-// ConnectError is why a connect failed, with how far it had come.
+// ConnectError is a failed connect: its cause and the stage that it had reached.
 type ConnectError struct {
 	Stage Stage
 	Cause error
 }
 
+// Error returns the stage and the cause.
 func (e *ConnectError) Error() string { return fmt.Sprintf("stage %d: %v", e.Stage, e.Cause) }
+
+// Unwrap returns the cause.
 func (e *ConnectError) Unwrap() error { return e.Cause }
 
-// Outcome is what the module is told: before the last byte was written the flow can't have run.
+// Outcome returns the outcome to report to the module. Until the last byte of the request is written, the host can't have
+// run the flow.
 func (e *ConnectError) Outcome() balance.Outcome {
 	switch {
 	case errors.Is(e.Cause, errNoDescriptor):
@@ -58,13 +64,14 @@
 	return balance.Severed
 }
 
+// Faults of requests.
 var (
 	errUnknownType = errors.New("unknown service type")
-	errDuplicateID = errors.New("id of another flow")
-	errEarlyData   = errors.New("more than a line before the answer")
+	errDuplicateID = errors.New("request id was used before")
+	errEarlyData   = errors.New("data after the request before its answer")
 )
 
-// acceptRequest reads the line with which a client asks for a connection and hands the flow to the module.
+// acceptRequest parses the line with which a client requests a connection and starts its flow.
 func (n *Node) acceptRequest(c *conn, line []byte) {
 	request, err := lines.ParseOpen(line)
 	if err != nil {
@@ -78,7 +85,7 @@
 	}
 	n.Count.Taken++
 	switch {
-	case !n.recentIDs.add(hash(request.ID)): // guards the flow of that id: a host would take this one for it
+	case !n.recentIDs.add(hash(request.ID)): // a host would take this flow for the earlier one with that id
 		n.Types[typeIndex].Failure++
 		n.rejectLine(c, errDuplicateID)
 		return
@@ -91,12 +98,7 @@
 	if limit := n.settings.Limits[typeIndex]; limit > 0 && request.At == "" {
 		wait = min(wait, limit)
 	}
-	f := &flow{request: request, client: c}
-	n.startCapture(f)
-	f.Flow = balance.Flow{Type: &n.settings.Types[typeIndex], TypeNo: typeIndex, Hash: hash(request.Key), Again: request.Again, Hint: request.Hint,
-		Worth: n.worth(typeIndex), Deadline: n.now + wait - answerMargin, Passed: n.settings.Passes, Ref: f}
-	n.shortenDeadline(f)
-	f.timer.run = func() { n.flowTimedOut(f) }
+	f := n.newFlow(c, request, typeIndex, wait)
 	c.role, c.flow = roleClient, f
 	n.setShedQueue(c, nil)
 	n.deadlines.cancel(&c.timer)
@@ -123,7 +125,27 @@
 	}
 }
 
-// joinNamedGroup finds the flow's group.
+// newFlow returns the flow of a request; wait is its connect timeout.
+func (n *Node) newFlow(c *conn, request *lines.Open, typeIndex int, wait int64) *flow {
+	f := &flow{request: request, client: c}
+	n.startCapture(f)
+	f.Flow = balance.Flow{
+		Type:     &n.settings.Types[typeIndex],
+		TypeNo:   typeIndex,
+		Hash:     hash(request.Key),
+		Again:    request.Again,
+		Hint:     request.Hint,
+		Worth:    n.worth(typeIndex),
+		Deadline: n.now + wait - answerMargin,
+		Passed:   n.settings.Passes,
+		Ref:      f,
+	}
+	n.shortenDeadline(f)
+	f.timer.run = func() { n.flowTimedOut(f) }
+	return f
+}
+
+// joinNamedGroup adds the flow to the group of that name, if it has one and the settings use groups.
 func (f *flow) joinNamedGroup(n *Node, name string) {
 	if name == "" || !n.settings.Groups {
 		return
@@ -131,16 +153,12 @@
 	f.joinGroup(n, hash(name))
 }
 
+// joinGroup adds the flow to the group with that hash, which it creates if needed.
 func (f *flow) joinGroup(n *Node, id uint64) {
 	g := n.groups[id]
 	if g == nil {
-		if len(n.groups) >= n.limits.Groups { // guards the memory: groups without flows are met anew
-			for id, other := range n.groups {
-				if other.flowCount == 0 {
-					delete(n.groups, id)
-					delete(n.groupHashes, peers.Short(id))
-				}
-			}
+		if len(n.groups) >= n.limits.Groups {
+			n.forgetIdleGroups()
 		}
 		g = &group{Group: balance.Group{Hash: id}}
 		n.groups[id] = g
@@ -150,7 +168,17 @@
 	f.group, f.Group = g, &g.Group
 }
 
-// rejoin sends a flow to the host that held its connection before the run.
+// forgetIdleGroups removes groups without flows, to bound memory. A removed group starts again as a new one.
+func (n *Node) forgetIdleGroups() {
+	for id, g := range n.groups {
+		if g.flowCount == 0 {
+			delete(n.groups, id)
+			delete(n.groupHashes, peers.Short(id))
+		}
+	}
+}
+
+// rejoin connects a flow to the host that had its connection before. While that host is not listed it retries.
 func (n *Node) rejoin(f *flow) {
 	if f.Deadline+answerMargin <= n.now {
 		n.countAnswer(f, capture.Rejected)
@@ -165,18 +193,24 @@
 	n.deadlines.set(&f.timer, n.now+rejoinInterval)
 }
 
-// dial opens the connection for a flow's connect.
+// dial starts a connect of a flow to a host. wait is the connect's timeout. Where nothing can be sent, the connect fails in
+// the next iteration, because the module must not be called from within its own decision.
 func (n *Node) dial(f *flow, h *host, wait int64) {
 	c := &conn{role: roleUpstream, flow: f, host: h}
 	c.timer.run = func() { n.connectFailed(f, errTimeout) }
 	c.id = n.register(c)
-	f.upstream, f.host, f.connectAt, f.setupSpan, f.connectTimeout, f.stage = c, h, n.now, n.startSpan(), wait, Dialing
+	f.upstream = c
+	f.host = h
+	f.connectAt = n.now
+	f.setupSpan = n.startSpan()
+	f.connectTimeout = wait
+	f.stage = Dialing
 	h.flowCount++
 	n.upstreamCount++
 	for n.net.Room() < 1 && n.shedOne() {
 	}
 	switch {
-	case n.net.Gone(f.client.id): // guards hosts against flows whose client's end nobody has read yet
+	case n.net.Gone(f.client.id): // the client has left, although its end has not been read yet
 		c.timer.run = func() { n.clientGone(f) }
 	case n.net.Room() < 1:
 		c.timer.run = func() { n.connectFailed(f, errNoDescriptor) }
@@ -184,9 +218,10 @@
 		n.startDial(f, c, wait)
 		return
 	}
-	n.deadlines.set(&c.timer, n.now) // the module is told in the next turn
+	n.deadlines.set(&c.timer, n.now)
 }
 
+// startDial opens the connection and sets the connect's timeouts.
 func (n *Node) startDial(f *flow, c *conn, wait int64) {
 	h := f.host
 	n.Count.Connects++
@@ -200,11 +235,11 @@
 	n.net.Dial(c.id, h.addr, &c.in, &c.out)
 }
 
-// upstreamConnected writes the client's line to a host whose connection is up.
+// upstreamConnected sends the client's request to a host whose connection is up. The connection may have come up late, so
+// the conditions under which the connect was decided are checked again.
 func (n *Node) upstreamConnected(c *conn) {
 	f, left := c.flow, c.flow.connectAt+c.flow.connectTimeout-n.now
 	n.deadlines.cancel(&c.timer)
-	// Guards against sending what was right when the connect was decided and no longer is: it may have come up late.
 	switch {
 	case n.net.Gone(f.client.id):
 		n.clientGone(f)
@@ -226,22 +261,23 @@
 	n.checkRequestSent(c)
 }
 
+// checkRequestSent moves a dialing flow to the next stage once its whole request is written.
 func (n *Node) checkRequestSent(c *conn) {
 	if f := c.flow; f.stage == Dialing && c.up && c.out.Len() == 0 {
 		n.requestSent(f)
 	}
 }
 
-// requestSent is that a host has a flow's whole line.
+// requestSent records that a flow's whole request has been sent to its host.
 func (n *Node) requestSent(f *flow) {
 	f.stage = Asked
 	n.Count.Asked++
 }
 
-// flowTimedOut is called when a connect has taken its time, or when a flow without one has come to its end.
+// flowTimedOut handles a flow's timer. What it stands for depends on the flow's state.
 func (n *Node) flowTimedOut(f *flow) {
 	switch {
-	case f.ended: // its end was called for in the turn before
+	case f.ended: // moved in the previous iteration; see Move
 		n.reportEnd(f, balance.Recalled)
 	case f.stage == Established:
 		n.Count.Silent++
@@ -253,15 +289,15 @@
 		n.rejoin(f)
 	case f.awaitsList:
 		n.Reject(&f.Flow, n.settings.MaxWait/2)
-	case n.pendingLimit(f) != nil: // it went nowhere: trying again is harmless
+	case n.pendingLimit(f) != nil: // no host has seen it, so a retry is harmless
 		n.refuseFlow(f, n.pendingLimit(f))
-	default: // guards the promise of one answer against a flow that the module has not answered
+	default: // the module has not answered, and every flow gets an answer
 		n.decider.Expired(&f.Flow)
 		n.Abort(&f.Flow)
 	}
 }
 
-// connectFailed ends a connect that brought no connection.
+// connectFailed ends a failed connect and reports it to the module, which decides how the flow goes on.
 func (n *Node) connectFailed(f *flow, cause error) {
 	end := &ConnectError{f.stage, cause}
 	h, took := f.host, n.now-f.connectAt
@@ -283,6 +319,7 @@
 	n.decider.Ended(&f.Flow, &h.Server, end.Outcome(), took, false)
 }
 
+// detachHost removes the flow's connect from the counts and cancels the flow's timer.
 func (n *Node) detachHost(f *flow) {
 	if f.host != nil {
 		f.host.flowCount--
@@ -295,7 +332,7 @@
 	n.deadlines.cancel(&f.timer)
 }
 
-// readHostAnswer reads the first line that a host sent back.
+// readHostAnswer reads the first line that a host sent back, which accepts or refuses the flow.
 func (n *Node) readHostAnswer(c *conn) {
 	f := c.flow
 	line := c.in.Line()
@@ -315,11 +352,16 @@
 		return
 	default:
 		if f.stage == Dialing {
-			n.requestSent(f) // it answers, so it has the line
+			n.requestSent(f) // a host that answers has the request
 		}
 		n.connectFailed(f, errAnswer)
 		return
 	}
+	n.established(f, c, line)
+}
+
+// established passes the host's accepting line to the client and begins to relay.
+func (n *Node) established(f *flow, c *conn, line []byte) {
 	f.client.out.Put(line)
 	c.in.Drop(len(line))
 	n.countAnswer(f, capture.Established)
@@ -345,7 +387,7 @@
 	n.relay(f)
 }
 
-// relay moves lines both ways, whole ones only, so that a word of the node's own never falls into one.
+// relay passes lines on in both directions. It passes whole lines so that a line of the node's own never falls into one.
 func (n *Node) relay(f *flow) {
 	for {
 		chunk, endsLine := nextChunk(f.client, f.upstream)
@@ -369,8 +411,8 @@
 	}
 }
 
-// nextChunk is what goes on next from a connection to its other side: as many whole lines as lie in one piece and find
-// room, or what is left when no end of line will come. It stays in the ring.
+// nextChunk returns what can be passed on next: as many whole lines as are contiguous in the ring and fit into the output
+// ring, or the rest where no end of line will come. endsLine reports whether it ends with a line. The bytes stay in the ring.
 func nextChunk(from, to *conn) (chunk []byte, endsLine bool) {
 	head := from.in.Head()
 	if room := to.out.Free(); len(head) > room {
@@ -394,7 +436,8 @@
 	return nil, false
 }
 
-// enqueue gives bytes to a connection. What carries bulk gets a wide ring: each turn then moves more for the same calls.
+// enqueue puts bytes into a connection's output ring. Connections with bulk traffic get a wide ring, which moves more
+// bytes for the same number of system calls.
 func enqueue(to *conn, chunk []byte) {
 	if len(chunk) > lines.RingSize/2 {
 		to.out.Widen()
@@ -402,10 +445,11 @@
 	to.out.Put(chunk)
 }
 
-// relayToHost passes on what a client sent.
+// relayToHost passes on what a client sent, and starts the silence timeout for a line that the host has to answer.
 func (n *Node) relayToHost(f *flow, chunk []byte, endsLine bool) {
 	to := f.upstream
-	startsLine := endsLine && (!to.midLine || bytes.IndexByte(chunk, '\n') < len(chunk)-1) // a line of which no part went before
+	// Whether the chunk holds a complete line of which no part was sent before.
+	startsLine := endsLine && (!to.midLine || bytes.IndexByte(chunk, '\n') < len(chunk)-1)
 	f.record.countLines(true, chunk)
 	enqueue(to, chunk)
 	to.midLine = !endsLine
@@ -416,7 +460,7 @@
 	}
 }
 
-// relayToClient passes on what a host sent, and reads what of it is meant for the node as well.
+// relayToClient passes on what a host sent. It also reads the lines that concern the node: LOAD, BYE and MOVE.
 func (n *Node) relayToClient(f *flow, chunk []byte, endsLine bool) {
 	to, answered := f.client, false
 	for rest := chunk; len(rest) > 0; {
@@ -455,7 +499,7 @@
 	}
 }
 
-// finishIfEnded ends an open flow once one side has ended and its last bytes are passed on.
+// finishIfEnded ends an established flow once one side has closed its connection and its last bytes are passed on.
 func (n *Node) finishIfEnded(f *flow) {
 	client, upstream := f.client, f.upstream
 	switch {
@@ -479,7 +523,7 @@
 	}
 }
 
-// closeLikeOtherSide ends a connection in the way its other side ended: in order, or as broken.
+// closeLikeOtherSide closes a connection as the flow's other connection ended: in order, or with a reset.
 func (n *Node) closeLikeOtherSide(c *conn, err error) {
 	if err != nil && c.out.Len() == 0 {
 		n.net.Reset(c.id)
@@ -489,18 +533,18 @@
 	n.closeAfterSending(c)
 }
 
-// moveClient tells a client to come again and ends both sides.
+// moveClient sends a client the MOVE line, which asks it to reconnect, and closes both connections.
 func (n *Node) moveClient(f *flow) {
 	n.Count.Moves++
 	f.record.setEnd(capture.Moved)
 	if !f.client.midLine {
-		f.client.out.Put([]byte(moveLine)) // at the last moment it may find no room: then the client takes nothing anyway
+		f.client.out.Put([]byte(moveLine)) // may not fit at the last moment, but then the client reads nothing anyway
 	}
 	n.closeAfterSending(f.client)
 	n.closeAfterSending(f.upstream)
 }
 
-// endFlow tells the module that an open flow has ended.
+// endFlow reports the end of a flow to the module, once.
 func (n *Node) endFlow(f *flow, end balance.Outcome) {
 	if f.ended {
 		return
@@ -509,6 +553,7 @@
 	n.reportEnd(f, end)
 }
 
+// reportEnd counts and removes a flow and reports its end to the module.
 func (n *Node) reportEnd(f *flow, end balance.Outcome) {
 	h, took := f.host, n.now-f.connectAt
 	switch end {
@@ -525,7 +570,7 @@
 	}
 }
 
-// removeFlow takes a flow out of the tables.
+// removeFlow removes a flow from all tables and releases what it holds.
 func (n *Node) removeFlow(f *flow) {
 	f.ended = true
 	f.releasePermits()
@@ -536,28 +581,28 @@
 	n.detachHost(f)
 	if g := f.group; g != nil {
 		if g.flowCount--; g.flowCount == 0 && !g.established {
-			delete(n.groups, g.Hash) // guards the memory against names that never led anywhere
+			delete(n.groups, g.Hash) // bounds memory against group names that never led to a connection
 		}
 		f.group = nil
 	}
 	n.flows.remove(f.id)
 }
 
-// rejectEarlyData is called when a client goes on before its answer, though it must wait.
+// rejectEarlyData handles a client that sends data before its answer, which the protocol forbids.
 func (n *Node) rejectEarlyData(f *flow) {
 	n.Types[f.TypeNo].Failure++
 	n.rejectLine(f.client, errEarlyData)
 	n.withdraw(f)
 }
 
-// clientGone is called when a client has left before it had an answer.
+// clientGone handles a client that left before its answer.
 func (n *Node) clientGone(f *flow) {
 	n.Count.Left++
 	n.close(f.client)
 	n.withdraw(f)
 }
 
-// withdraw takes back a flow that has no answer yet.
+// withdraw ends a flow that is not established.
 func (n *Node) withdraw(f *flow) {
 	if f.upstream != nil {
 		n.close(f.upstream)
@@ -570,12 +615,13 @@
 	n.endFlow(f, balance.Recalled)
 }
 
-// The Writer of the module.
-
+// Connect starts a connect that the module decided. It implements balance.Writer, as do Reject, Abort, Move, Probe, Tell,
+// Watch, Alarm and Trace.
 func (n *Node) Connect(decided *balance.Flow, server *balance.Server, timeout int64) {
 	n.dial(decided.Ref.(*flow), n.hosts[server.Name], timeout)
 }
 
+// Reject answers a flow BUSY: no host has run it. wait is the time after which the client is asked to retry, 0 for none.
 func (n *Node) Reject(decided *balance.Flow, wait int64) {
 	f := decided.Ref.(*flow)
 	n.countAnswer(f, capture.Rejected)
@@ -587,6 +633,7 @@
 	n.sendFinalLine(f.client, "BUSY\r\n")
 }
 
+// Abort answers a flow ERR: a host may have run it, and it must not be repeated.
 func (n *Node) Abort(decided *balance.Flow) {
 	f := decided.Ref.(*flow)
 	n.countAnswer(f, capture.Aborted)
@@ -594,14 +641,16 @@
 	n.sendFinalLine(f.client, "ERR\r\n")
 }
 
-// Move ends an open flow at once; the module hears of its end in the next turn.
+// Move asks an established flow's client to reconnect and closes the flow. The module is told of the end in the next
+// iteration.
 func (n *Node) Move(decided *balance.Flow) {
 	f := decided.Ref.(*flow)
 	if f.ended || f.stage != Established {
 		return
 	}
-	if f.movePending = true; !n.canMove(f) {
-		return // goes after the line that is under way, or with what its host said at its end
+	f.movePending = true
+	if !n.canMove(f) {
+		return // moved after the line in transit, or ended by what the host sent last
 	}
 	f.ended = true
 	n.moveClient(f)
