--- a/node/handover.go
+++ b/node/handover.go
@@ -14,37 +14,40 @@
 	"coursewinch/lines"
 )
 
-// Two processes are one node while a new version takes over: docs/design/operations.md has the sequence. The old one
-// hands on what it holds, connection by connection; the new one takes it in as it would take what stood before.
+// While a new version is rolled out, two processes serve one node. The predecessor hands its state and then its connections
+// over to the successor, one connection at a time. docs/design/operations.md describes the sequence.
 
 const (
-	joinTimeout         = 1500 * ms // after which a new process goes on with the list handed on
-	handOverInterval    = 10 * ms
-	maxHandedPerStep    = 64 // connections handed on a step
-	maxLateIDs          = 2000
-	maxDrainsPerMessage = 500 // hosts a message
+	joinTimeout         = 1500 * ms // after this time a successor goes on with the list handed over
+	handOverInterval    = 10 * ms   // between two steps of handing connections over
+	maxHandedPerStep    = 64        // connections per step
+	maxLateIDs          = 2000      // request ids sent when yielding
+	maxDrainsPerMessage = 500       // hosts
 )
 
-// Other is the other process of this node, as the node reaches it. Nothing waits.
+// Other is the peer process of this node during a handover. Its methods must not block.
 type Other interface {
+	// Tell sends a message.
 	Tell(m *handover.Message)
-	Give(m *handover.Message, conns ...uint64) bool // false: not now
-	Take()                                          // new: connections come here from now on
+	// Give hands connections over with a message about them. It returns false if that is not possible at the moment.
+	Give(m *handover.Message, conns ...uint64) bool
+	// Take is called at the successor: from now on it accepts the node's connections.
+	Take()
 }
 
-// handoverState is what a node knows of its other process.
+// handoverState is the state of a handover between two processes of this node.
 type handoverState struct {
 	peer        Other
-	joining     bool // new, and has not taken yet
-	isSuccessor bool // new, or was: its list is the one that the process before went by
-	stateSent   bool // old: the other has its state
-	yielded     bool // old: the other has taken
-	idsAtState  int  // ids before the state was told
+	joining     bool // successor that has not taken over yet
+	isSuccessor bool // this process started as a successor, so its first list is the one its predecessor used
+	stateSent   bool // predecessor that has sent its state
+	yielded     bool // predecessor whose successor has taken over
+	idsAtState  int  // request ids added before the state was sent
 	inherited   *handover.State
 	timer       deadline
 }
 
-// balancerMemory is what the module can hand on.
+// balancerMemory is implemented by deciders whose knowledge can be handed over.
 type balancerMemory interface {
 	Memory() balance.Memory
 	MemoryOf(*balance.Server) balance.ServerMemory
@@ -52,14 +55,22 @@
 	RecallOf(*balance.Server, balance.ServerMemory)
 }
 
-// Heir is told when a new process calls: it gets what this one knows. It is refused while another is at it.
+// Heir begins a handover to a successor process and returns the state to send to it. It returns false while another
+// handover is in progress.
 func (n *Node) Heir(peer Other) (*handover.State, bool) {
 	if n.handover.peer != nil {
 		return nil, false
 	}
-	n.handover.peer, n.handover.idsAtState, n.handover.stateSent = peer, n.recentIDs.added, false
-	state := &handover.State{Drained: n.drainAt > 0, From: n.listAddr, Hosts: map[string]balance.ServerMemory{},
-		List: discovery.List{Rev: n.listRev, All: true}, IDs: n.recentIDs.newest(n.limits.IDs)}
+	n.handover.peer = peer
+	n.handover.idsAtState = n.recentIDs.added
+	n.handover.stateSent = false
+	state := &handover.State{
+		Drained: n.drainAt > 0,
+		From:    n.listAddr,
+		Hosts:   map[string]balance.ServerMemory{},
+		List:    discovery.List{Rev: n.listRev, All: true},
+		IDs:     n.recentIDs.newest(n.limits.IDs),
+	}
 	for _, h := range n.hostList {
 		if h.State != balance.Removed {
 			state.List.Entries = append(state.List.Entries, n.listEntry(h))
@@ -74,26 +85,27 @@
 	return state, true
 }
 
-// HeirKnows is told when the state has been sent.
+// HeirKnows is called at the predecessor once the whole state has been sent.
 func (n *Node) HeirKnows() {
 	n.handover.stateSent = n.handover.peer != nil
 	n.announceStop()
 }
 
-// announceStop tells a new process that this one has been told to end before it took.
+// announceStop tells a successor that has not taken over yet that this process is stopping.
 func (n *Node) announceStop() {
 	if state := &n.handover; state.stateSent && !state.yielded && n.stopAt > 0 {
 		state.peer.Tell(&handover.Message{Leave: true})
 	}
 }
 
-// listEntry is a host in discovery's form.
+// listEntry returns a host as an entry of a list.
 func (n *Node) listEntry(h *host) discovery.Entry {
 	return discovery.Entry{UID: h.uid, Endpoint: h.addr, Zone: h.zoneName, Cell: h.Cell, Size: h.Size, BootMs: h.Started / ms,
 		State: map[balance.State]string{balance.Up: "ready", balance.Draining: "draining", balance.Removed: "gone"}[h.State]}
 }
 
-// Yield is told when the new process takes connections. It gives the ids that came since it was told the state.
+// Yield is called at the predecessor when the successor accepts connections. It returns the request ids added since the
+// state was sent.
 func (n *Node) Yield() []uint64 {
 	state := &n.handover
 	state.yielded = true
@@ -105,8 +117,8 @@
 	return n.recentIDs.newest(min(n.recentIDs.added-state.idsAtState, maxLateIDs))
 }
 
-// OtherGone is told when the other process has ended, or its link has. It tells whether connections are to be taken
-// here again, or for the first time.
+// OtherGone is called when the peer process or the link to it has ended. It reports whether this process has to accept
+// connections from now on.
 func (n *Node) OtherGone() (take bool) {
 	state := &n.handover
 	take = state.yielded || state.joining
@@ -116,12 +128,12 @@
 	return take
 }
 
-// Inherit is told before Begin what the old process knew.
+// Inherit is called at a successor before Begin, with the state that its predecessor sent.
 func (n *Node) Inherit(peer Other, state *handover.State) {
 	n.handover.peer, n.handover.inherited, n.handover.joining, n.handover.isSuccessor = peer, state, true, true
 }
 
-// restoreState takes in what was handed on, in the first turn.
+// restoreState applies the state handed over, in the first loop iteration.
 func (n *Node) restoreState() {
 	state := n.handover.inherited
 	n.handover.inherited = nil
@@ -137,16 +149,16 @@
 		}
 	}
 	if state.Drained {
-		n.Drain() // an operator's word outlives the process that heard it
+		n.Drain() // an operator's command holds beyond the process that received it
 	}
 	n.deadlines.set(&n.handover.timer, n.now+joinTimeout)
 	log.Printf("msg=joining hosts=%d rev=%d ids=%d drained=%t", len(state.List.Entries), state.List.Rev, len(state.IDs), state.Drained)
 }
 
-// OldLeaves is told when the old process ends and waits for this one to take.
+// OldLeaves is called at a successor when its predecessor is stopping and waits for it to take over.
 func (n *Node) OldLeaves() { n.finishJoining() }
 
-// finishJoining ends the joining: from now on this process takes connections.
+// finishJoining makes a successor take over: from now on it accepts connections.
 func (n *Node) finishJoining() {
 	state := &n.handover
 	if !state.joining {
@@ -158,14 +170,15 @@
 	state.peer.Take()
 }
 
-// TakeIDs notes ids that clients gave to the old process.
+// TakeIDs adds request ids that clients gave to the predecessor.
 func (n *Node) TakeIDs(ids []uint64) {
 	for _, id := range ids[max(len(ids)-n.limits.IDs, 0):] {
 		n.recentIDs.add(id)
 	}
 }
 
-// handoverDue is called while something is due between the two: the end of joining, or the next step of handing on.
+// handoverDue handles the handover's timer: the end of joining at the successor, the next step of handing connections over
+// at the predecessor.
 func (n *Node) handoverDue() {
 	if n.handover.joining {
 		n.finishJoining()
@@ -174,14 +187,15 @@
 	n.handOverStep()
 }
 
-// announceDrains tells the other process which hosts take nothing new, so that it holds there as well.
+// announceDrains tells the peer process which hosts of a list take no new flows, so that it sends them none either.
 func (n *Node) announceDrains(update discovery.List) {
 	if n.handover.peer == nil {
 		return
 	}
 	var uids []string
 	for _, e := range update.Entries {
-		if e.State == "draining" || e.State == "gone" && !n.settings.DrainsAlone { // else gone alone does not bind
+		// Where only draining binds, a host that is gone from the list without having drained does not bind the peer.
+		if e.State == "draining" || e.State == "gone" && !n.settings.DrainsAlone {
 			uids = append(uids, e.UID)
 		}
 	}
@@ -190,7 +204,8 @@
 	}
 }
 
-// HearDrains takes in which hosts the other process was told to be leaving. Its own list says when one is back.
+// HearDrains marks hosts as draining that the peer process was told to drain. This process's own list decides when they take
+// flows again.
 func (n *Node) HearDrains(uids []string) {
 	var update discovery.List
 	for _, uid := range uids {
@@ -205,8 +220,8 @@
 	}
 }
 
-// handOverStep hands on what can be: clients that have asked for nothing, and established flows whose bytes on their way are
-// few. The rest follows at a later step, or is moved.
+// handOverStep hands over clients without a request and established flows with few bytes in transit, up to a number per step.
+// The rest follows in a later step, or is moved.
 func (n *Node) handOverStep() {
 	state := &n.handover
 	if state.peer == nil || !state.yielded {
@@ -233,14 +248,20 @@
 	n.deadlines.set(&state.timer, n.now+handOverInterval)
 }
 
+// bytesIn returns a copy of a ring's content.
 func bytesIn(r *lines.Ring) []byte { return append([]byte(nil), r.Peek(r.Len())...) }
 
+// handOverClient hands over a client without a request and reports whether it did.
 func (n *Node) handOverClient(c *conn) bool {
 	if max(c.in.Len(), c.out.Len()) > lines.RingSize {
 		return false
 	}
-	message := &handover.Message{Client: &handover.Client{In: bytesIn(&c.in), Out: bytesIn(&c.out), Front: c.shedQueue == &n.pingedConns,
-		Age: n.now - (c.timer.at - firstLineTimeout)}}
+	message := &handover.Message{Client: &handover.Client{
+		In:    bytesIn(&c.in),
+		Out:   bytesIn(&c.out),
+		Front: c.shedQueue == &n.pingedConns,
+		Age:   n.now - (c.timer.at - firstLineTimeout),
+	}}
 	if !n.handover.peer.Give(message, c.id) {
 		return false
 	}
@@ -249,15 +270,29 @@
 	return true
 }
 
+// handOverFlow hands over an established flow and reports whether it did. Flows with an ended side, or whose host has sent
+// its last line, end here.
 func (n *Node) handOverFlow(f *flow) bool {
 	client, upstream := f.client, f.upstream
 	if f.ended || f.stage != Established || client.inputEnded || upstream.inputEnded || f.lastWord != lines.Other ||
 		max(client.in.Len(), client.out.Len(), upstream.in.Len(), upstream.out.Len()) > lines.RingSize {
 		return false
 	}
-	message := &handover.Flow{Type: n.typeNames()[f.TypeNo], Key: f.Hash, Again: f.Again, Hint: f.Hint, Load: f.reportedLoad, Age: n.now - f.establishedAt,
-		Host: n.listEntry(f.host), ClientIn: bytesIn(&client.in), ClientOut: bytesIn(&client.out), HostIn: bytesIn(&upstream.in),
-		HostOut: bytesIn(&upstream.out), ClientMid: client.midLine, HostMid: upstream.midLine}
+	message := &handover.Flow{
+		Type:      n.typeNames()[f.TypeNo],
+		Key:       f.Hash,
+		Again:     f.Again,
+		Hint:      f.Hint,
+		Load:      f.reportedLoad,
+		Age:       n.now - f.establishedAt,
+		Host:      n.listEntry(f.host),
+		ClientIn:  bytesIn(&client.in),
+		ClientOut: bytesIn(&client.out),
+		HostIn:    bytesIn(&upstream.in),
+		HostOut:   bytesIn(&upstream.out),
+		ClientMid: client.midLine,
+		HostMid:   upstream.midLine,
+	}
 	if f.group != nil {
 		message.Group, message.Grouped = f.group.Hash, true
 	}
@@ -275,7 +310,7 @@
 	return true
 }
 
-// typeNames are the service types' names, in order.
+// typeNames returns the names of the service types in the order of the settings.
 func (n *Node) typeNames() []string {
 	names := make([]string, len(n.settings.Types))
 	for name, typeIndex := range n.settings.Names {
@@ -284,14 +319,14 @@
 	return names
 }
 
-// Adopted is a connection that was handed on, to be put into the loop.
+// Adopted is a connection that was handed over and has to be added to the event loop.
 type Adopted struct {
 	ID      uint64
 	In, Out *lines.Ring
 }
 
-// countHandedOver counts a connection that was handed on for its address. It is here, so none is refused: one that is over what
-// its address may have goes uncounted.
+// countHandedOver counts a connection that was handed over for its address at the admission gate. The connection is already
+// open, so it is never refused: one over the limit of its address stays uncounted.
 func (n *Node) countHandedOver(c *conn, from netip.AddrPort) {
 	if n.admissionGate == nil {
 		return
@@ -301,7 +336,7 @@
 	}
 }
 
-// TakeClient takes in a client's connection that has asked for nothing yet.
+// TakeClient adds a client without a request that was handed over.
 func (n *Node) TakeClient(handed *handover.Client, from netip.AddrPort) Adopted {
 	c := &conn{role: roleNew, up: true}
 	c.timer.run = func() { n.firstLineTimedOut(c) }
@@ -319,27 +354,21 @@
 	return Adopted{c.id, &c.in, &c.out}
 }
 
-// TakeFlow takes in an established flow.
+// TakeFlow adds an established flow that was handed over, with its connections to the client (front) and the host (back).
+// A flow of a service type that this process's settings don't have is moved as soon as its client can be told.
 func (n *Node) TakeFlow(handed *handover.Flow, from netip.AddrPort) (front, back Adopted) {
-	typeIndex, known := n.settings.Names[handed.Type] // one that this file has no more is moved, as soon as its client can be told
 	h := n.hosts[handed.Host.UID]
-	if h == nil { // it has left the list and serves what it holds
-		h = &host{uid: handed.Host.UID, addr: handed.Host.Endpoint, zoneName: handed.Host.Zone, Server: balance.Server{Name: handed.Host.UID,
-			Hash: hash(handed.Host.UID), Size: max(handed.Host.Size, 0.001), State: balance.Removed, Zone: n.zoneNumber(handed.Host.Zone), Cell: handed.Host.Cell}}
-		h.probeDeadline.run = func() {}
-		n.hosts[h.uid] = h
-		n.hostList = append(n.hostList, h)
-	}
-	client, upstream := &conn{role: roleClient, up: true, midLine: handed.ClientMid}, &conn{role: roleUpstream, up: true, midLine: handed.HostMid, host: h}
-	f := &flow{client: client, upstream: upstream, host: h, stage: Established, establishedAt: n.now - handed.Age, connectAt: n.now - handed.Age, reportedLoad: handed.Load}
-	f.movePending = !known
-	f.Flow = balance.Flow{Type: &n.settings.Types[typeIndex], TypeNo: typeIndex, Worth: n.worth(typeIndex), Hash: handed.Key, Again: handed.Again, Hint: handed.Hint,
-		Passed: n.settings.Passes, Deadline: n.now, Ref: f}
-	f.timer.run = func() { n.flowTimedOut(f) }
+	if h == nil {
+		h = n.addUnlistedHost(handed.Host)
+	}
+	client := &conn{role: roleClient, up: true, midLine: handed.ClientMid}
+	upstream := &conn{role: roleUpstream, up: true, midLine: handed.HostMid, host: h}
+	f := n.handedFlow(handed, client, upstream)
 	client.flow, upstream.flow = f, f
 	client.id, upstream.id = n.register(client), n.register(upstream)
 	client.receivedAt, client.sentAt = n.now, n.now
-	if n.countHandedOver(client, from); client.gatePrefix.IsValid() {
+	n.countHandedOver(client, from)
+	if client.gatePrefix.IsValid() {
 		n.admissionGate.Stood(client.gatePrefix, n.now)
 	}
 	client.in.Put(handed.ClientIn)
@@ -366,7 +395,57 @@
 	return Adopted{client.id, &client.in, &client.out}, Adopted{upstream.id, &upstream.in, &upstream.out}
 }
 
-// Resumed is told when a connection handed on is in the loop: what its rings hold goes on.
+// addUnlistedHost adds a host that has left the list and still serves a flow that was handed over.
+func (n *Node) addUnlistedHost(entry discovery.Entry) *host {
+	h := &host{
+		uid:      entry.UID,
+		addr:     entry.Endpoint,
+		zoneName: entry.Zone,
+		Server: balance.Server{
+			Name:  entry.UID,
+			Hash:  hash(entry.UID),
+			Size:  max(entry.Size, 0.001),
+			State: balance.Removed,
+			Zone:  n.zoneNumber(entry.Zone),
+			Cell:  entry.Cell,
+		},
+	}
+	h.probeDeadline.run = func() {}
+	n.hosts[h.uid] = h
+	n.hostList = append(n.hostList, h)
+	return h
+}
+
+// handedFlow returns the established flow described by a handover message.
+func (n *Node) handedFlow(handed *handover.Flow, client, upstream *conn) *flow {
+	typeIndex, known := n.settings.Names[handed.Type]
+	f := &flow{
+		client:        client,
+		upstream:      upstream,
+		host:          upstream.host,
+		stage:         Established,
+		establishedAt: n.now - handed.Age,
+		connectAt:     n.now - handed.Age,
+		reportedLoad:  handed.Load,
+	}
+	f.movePending = !known
+	f.Flow = balance.Flow{
+		Type:     &n.settings.Types[typeIndex],
+		TypeNo:   typeIndex,
+		Worth:    n.worth(typeIndex),
+		Hash:     handed.Key,
+		Again:    handed.Again,
+		Hint:     handed.Hint,
+		Passed:   n.settings.Passes,
+		Deadline: n.now,
+		Ref:      f,
+	}
+	f.timer.run = func() { n.flowTimedOut(f) }
+	return f
+}
+
+// Resumed is called when a connection that was handed over has been added to the event loop. It processes what its rings
+// hold.
 func (n *Node) Resumed(id uint64) {
 	c := n.conns.get(id)
 	if c == nil {
@@ -382,15 +461,15 @@
 	}
 }
 
-// answersFront tells what PING gets: yes as long as this process can serve or the other one of this node has taken.
-// A process that has had no list for long says yes as well: it turns away what it can't serve, and a front that waits for
-// all of a fleet while discovery is down has none.
+// answersFront reports whether PING is answered PONG: while this process can serve, or while its successor has taken over.
+// A process that has been without a list for long answers PONG as well. It rejects the flows that it can't serve, whereas a
+// front-end load balancer that found no node ready while discovery is down would have no node at all.
 func (n *Node) answersFront() bool {
 	return n.Ready() || n.handover.yielded && n.drainAt == 0 || n.state() == stateNoList && n.now >= n.startedAt+readyWithoutListAfter
 }
 
-// HandedOver tells whether the other process takes this node's connections.
+// HandedOver reports whether the successor process accepts this node's connections.
 func (n *Node) HandedOver() bool { return n.handover.yielded }
 
-// Yielded tells whether another process has taken over what is new.
+// Yielded reports the same as HandedOver.
 func (n *Node) Yielded() bool { return n.handover.yielded }
--- a/node/limits.go
+++ b/node/limits.go
@@ -15,57 +15,59 @@
 	"coursewinch/cluster/permits"
 )
 
-// Limits that hold for the whole fleet. A flow whose key belongs to another node waits for its word before the module
-// hears of it; when none comes, the limit's promise says what becomes of it. What a host may hold is in hand before a
-// flow comes: the module is told of hosts that have no permit left as of hosts without room.
+// This file keeps the limits that hold for the whole fleet. Each key of a limit is owned by one node. A flow whose key
+// belongs to another node waits for the owner's answer before the module sees it. When no answer comes, the limit's promise
+// decides (strict or available). Permits for hosts are acquired in advance: a host without a free permit is presented to
+// the module as a host without room.
 
-// What a limit of the fleet can be over.
+// What a fleet limit can count over.
 const (
-	OverAddress = "address" // of a client; IPv6 by /64
-	OverType    = "type"
-	OverGroup   = "group"
-	OverHost    = "host" // connections that it has; a number at once only
-	OverCold    = "cold" // flows that a cold host is sent; how many its settings and what is seen of it say
+	OverAddress = "address" // client address; IPv6 by /64
+	OverType    = "type"    // service type
+	OverGroup   = "group"   // group of flows
+	OverHost    = "host"    // connections to a host; concurrent limits only
+	OverCold    = "cold"    // flows sent to a cold host; the rate follows from the settings and from what is known of the host
 )
 
-// FleetLimit is one: a rate of new flows, or so many flows at once.
+// FleetLimit is a limit on the rate of new flows or on the number of concurrent flows.
 type FleetLimit struct {
-	Over   string
-	Of     string // one service type, group or host alone; empty for each
-	Rate   limits.Limit
-	AtOnce permits.Limit // Most is 0 where it is a rate
+	Over   string        // what it counts over, such as OverType
+	Of     string        // name of the one service type, group or host that it holds for; empty for each
+	Rate   limits.Limit  // of new flows
+	AtOnce permits.Limit // of concurrent flows; Most is 0 where the limit is a rate
 }
 
-// Check says why a limit can't be kept by so many nodes; nil where it can.
+// Check returns an error if the limit is invalid or can't be kept by that many nodes.
 func (l FleetLimit) Check(nodes int) error {
 	switch {
 	case nodes > lease.MostNodes:
-		return fmt.Errorf("a limit of %d nodes: %d at most", nodes, lease.MostNodes)
+		return fmt.Errorf("limit over %d nodes: at most %d nodes can share one", nodes, lease.MostNodes)
 	case !slices.Contains([]string{OverAddress, OverType, OverGroup, OverHost, OverCold}, l.Over):
-		return fmt.Errorf("over %q: \"address\", \"type\", \"group\", \"host\" and \"cold\" are what there is", l.Over)
+		return fmt.Errorf("over %q: want \"address\", \"type\", \"group\", \"host\" or \"cold\"", l.Over)
 	case l.Over == OverCold && (l != FleetLimit{Over: OverCold, Rate: limits.Limit{Strict: true}, AtOnce: permits.Limit{Strict: true}}):
-		return fmt.Errorf("over cold hosts: strict, and no figures")
+		return fmt.Errorf("over \"cold\": the promise has to be strict and no figures may be given")
 	case l.Over == OverCold && nodes < 2:
-		return fmt.Errorf("over cold hosts: one node has nobody to share with")
+		return fmt.Errorf("over \"cold\": needs at least two nodes")
 	case l.Over == OverCold:
 		return nil
 	case l.Over == OverAddress && l.Of != "":
-		return fmt.Errorf("of %q: over addresses it is for each", l.Of)
+		return fmt.Errorf("of %q: a limit over \"address\" holds for each address", l.Of)
 	case l.AtOnce.Most != 0 && l.Rate != (limits.Limit{Strict: l.Rate.Strict}):
-		return fmt.Errorf("a rate and a number at once: one of the two")
+		return fmt.Errorf("both a rate and a number at once are given; want one of them")
 	case l.AtOnce.Most == 0 && l.Over == OverHost:
-		return fmt.Errorf("over hosts only a number at once can be kept")
+		return fmt.Errorf("over \"host\": only a number at once can be kept")
 	case l.AtOnce.Most == 0:
 		return l.Rate.Check(nodes)
 	case l.Over == OverHost && l.AtOnce.Most < nodes:
-		return fmt.Errorf("%d at once at a host can't be kept by %d nodes: each needs one", l.AtOnce.Most, nodes)
+		return fmt.Errorf("%d at once at a host can't be shared by %d nodes: each node needs one", l.AtOnce.Most, nodes)
 	}
 	return l.AtOnce.Check()
 }
 
-// Same tells whether two limits are for one thing.
+// Same reports whether two limits limit the same thing, apart from their figures.
 func (l FleetLimit) Same(other FleetLimit) bool { return l.name() == other.name() }
 
+// name returns the name of a limit in metrics. Its hash identifies the limit on the wire.
 func (l FleetLimit) name() string {
 	kind := "rate"
 	if l.AtOnce.Most != 0 {
@@ -78,23 +80,24 @@
 	return name
 }
 
-// localLimit is a limit as this node keeps its part of it.
+// localLimit is this node's part in a fleet limit. Either rate or concurrent is set.
 type localLimit struct {
 	FleetLimit
 	name        string
-	id          uint32
-	rate        *limits.Limits   // one of the two
-	concurrent  *permits.Permits // by whom the key of a host is in hand beforehand
-	exhaustedAt map[*host]int64  // hosts that had no permit left for a flow, and when
-	coldHosts   []*host          // that a grant may be asked for, where it is over these
+	id          uint32 // identifies it on the wire
+	rate        *limits.Limits
+	concurrent  *permits.Permits // permits for hosts are acquired in advance
+	exhaustedAt map[*host]int64  // when a host last had no permit left for a flow
+	coldHosts   []*host          // cold hosts, for a limit over OverCold
 }
 
-// permit is what a flow has of a limit, to be given back.
+// permit is a permit of a concurrent limit that a flow holds and gives back at its end.
 type permit struct {
 	limit *localLimit
 	key   uint64
 }
 
+// newLimits returns this node's part of each fleet limit, in the order in which flows have to pass them.
 func (n *Node) newLimits(given []FleetLimit, process uint64, nodes int) (all []*localLimit) {
 	for _, limit := range given {
 		local := &localLimit{FleetLimit: limit, name: limit.name(), id: uint32(hash(limit.name()))}
@@ -110,8 +113,8 @@
 		}
 		all = append(all, local)
 	}
-	// What can be given back comes first, so that a rate is not used up by flows that are refused after all.
-	// And cold hosts last: a flow that is refused takes nothing of theirs.
+	// Permits can be given back, so their limits come first: a flow that is refused later has not used up a rate. Limits
+	// over cold hosts come last, so that a refused flow takes no grant.
 	rank := func(limit *localLimit) int {
 		return map[bool]int{true: 2}[limit.Over == OverCold] + map[bool]int{true: 1}[limit.AtOnce.Most == 0]
 	}
@@ -119,7 +122,8 @@
 	return all
 }
 
-// SetLimits takes new figures for limits that are kept already; told which of them are, it tells whether all were.
+// SetLimits applies new figures to the limits that the node keeps. It reports whether these are exactly the given limits;
+// a limit that is not kept yet takes effect at the next start only.
 func (n *Node) SetLimits(all []FleetLimit) (known bool) {
 	if n.cluster == nil {
 		return len(all) == 0
@@ -141,7 +145,8 @@
 	return known
 }
 
-// flowKey is what of a limit a flow counts for; ok is false where it does not.
+// flowKey returns the key under which a flow counts for a limit. ok is false where it does not count, and for limits over
+// hosts, whose keys follow from the host; see hostKey.
 func (l *localLimit) flowKey(n *Node, f *flow) (key uint64, ok bool) {
 	switch l.Over {
 	case OverAddress:
@@ -157,6 +162,7 @@
 	return 0, false
 }
 
+// typeName returns the name of the flow's service type.
 func (f *flow) typeName(n *Node) string {
 	for name, no := range n.settings.Names {
 		if no == f.TypeNo {
@@ -166,31 +172,35 @@
 	return ""
 }
 
+// nameKey returns the limit's key for a name.
 func (l *localLimit) nameKey(name string) uint64 { return l.mixKey(hash(name)) }
 
-// mixKey keeps the keys of two limits apart, and spreads them over slots.
+// mixKey combines a hash with the limit's id, so that limits have different keys, and spreads the keys over lease slots.
 func (l *localLimit) mixKey(h uint64) uint64 {
 	h = (h ^ uint64(l.id)<<32) * 0x9e3779b97f4a7c15
 	return h ^ h>>31
 }
 
+// hostKey returns a host's key. ok is false where the limit does not hold for that host.
 func (l *localLimit) hostKey(h *host) (key uint64, ok bool) {
 	return l.nameKey(h.uid), l.Over == OverHost && (l.Of == "" || l.Of == h.uid)
 }
 
-// keyOwner tells who owns a key, as this process knows it.
+// keyOwner knows which node owns a key, as far as this process can tell.
 type keyOwner struct{ n *Node }
 
+// Mine reports whether this node owns a key, since when, and until when its lease lasts.
 func (o keyOwner) Mine(key uint64) (since, until int64, ok bool) {
 	leases, slot := o.n.cluster.leases, int(key%lease.Slots)
 	since, ok = leases.Owned(slot)
 	return since, leases.Until(slot), ok
 }
 
+// Who returns the node to ask about a key; negative for this node.
 func (o keyOwner) Who(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
-// believedOwner is the node that should own a slot: of this one and those that are linked, the first by hash of slot and name.
-// Under 0 it is this one. A belief, and nothing but who asks whom rests on it.
+// believedOwner returns the node that should own a slot: of this node and the linked nodes, the one with the highest hash of
+// slot and name. It is negative for this node. Nodes may differ in it; it decides only which node is asked.
 func (n *Node) believedOwner(slot int) (index int) {
 	rank := func(name uint32) uint64 {
 		x := (uint64(slot)<<32 | uint64(name)) * 0x9e3779b97f4a7c15
@@ -212,7 +222,8 @@
 	return index
 }
 
-// updateCluster begins a turn for what belongs to the fleet: what has run out ends before anything else is done.
+// updateCluster advances the fleet's protocols to the current time at the start of a loop iteration. Leases and permits that
+// have expired end before anything else is done.
 func (n *Node) updateCluster() {
 	cluster := n.cluster
 	if cluster == nil {
@@ -239,7 +250,7 @@
 	}
 }
 
-// requestLeases asks for the slots that are this node's.
+// requestLeases requests the leases of the slots that this node should own.
 func (n *Node) requestLeases() {
 	cluster := n.cluster
 	if cluster.leases == nil {
@@ -257,26 +268,31 @@
 	})
 }
 
+// sendToNode sends a payload to another node.
 func (n *Node) sendToNode(to int, payload []byte) {
 	if members := n.cluster.members; members != nil {
 		members.Send(n.now, to, payload, n.config.Cluster.Send)
 	}
 }
 
+// A message about a limit consists of its kind, the limit's id and the payload of package limits or permits.
 const (
-	limitMessageKind = 10    // what is about one limit: its id, and the word of its core
+	limitMessageKind = 10
 	limitHeaderSize  = 1 + 4 // bytes
 )
 
+// encode returns the message about this limit with the given payload.
 func (l *localLimit) encode(payload []byte) []byte {
 	return append(binary.LittleEndian.AppendUint32([]byte{limitMessageKind}, l.id), payload...)
 }
 
+// limitSender returns a function that sends a payload about a limit to another node.
 func (n *Node) limitSender(limit *localLimit) func(to int, payload []byte) {
 	return func(to int, payload []byte) { n.sendToNode(to, limit.encode(payload)) }
 }
 
-// blockedByLimit tells whether a flow waits for the fleet's word, or has been refused by it.
+// blockedByLimit takes a flow through the fleet limits that it has not passed yet. It reports whether the flow has to wait
+// for an answer or has been refused; otherwise the flow has passed all limits.
 func (n *Node) blockedByLimit(f *flow) bool {
 	cluster := n.cluster
 	if cluster == nil || f.rejoins {
@@ -315,14 +331,15 @@
 	return false
 }
 
-// passLimit is that a flow is let pass by a limit.
+// passLimit records that a flow has passed a limit, and the permit that it holds since.
 func (f *flow) passLimit(limit *localLimit, key uint64) {
-	if f.nextLimit++; limit.concurrent != nil {
+	f.nextLimit++
+	if limit.concurrent != nil {
 		f.permits = append(f.permits, permit{limit, key})
 	}
 }
 
-// releasePermits gives back what a flow had.
+// releasePermits gives back a flow's permits.
 func (f *flow) releasePermits() {
 	for _, p := range f.permits {
 		p.limit.concurrent.Done(p.key)
@@ -330,7 +347,7 @@
 	f.permits = nil
 }
 
-// refuseFlow rejects a flow that the module has not heard of.
+// refuseFlow rejects a flow because of a limit. The module has not seen it.
 func (n *Node) refuseFlow(f *flow, limit *localLimit) {
 	n.logThrottled("limited", limit.name)
 	n.countAnswer(f, capture.Rejected)
@@ -338,6 +355,7 @@
 	n.sendFinalLine(f.client, n.busyAnswer())
 }
 
+// busyAnswer returns the BUSY line, with half of the longest retry delay that clients obey where there is one.
 func (n *Node) busyAnswer() string {
 	if wait := n.settings.MaxWait / 2; wait > 0 {
 		return fmt.Sprintf("BUSY %d\r\n", wait/ms)
@@ -345,6 +363,7 @@
 	return "BUSY\r\n"
 }
 
+// settleRate applies answers of a rate limit to the flows that wait for them.
 func (n *Node) settleRate(limit *localLimit, answers []limits.Answer) {
 	for _, answer := range answers {
 		if request, ok := answer.Waiter.(*coldRequest); ok {
@@ -355,13 +374,14 @@
 	}
 }
 
+// settleConcurrent applies answers of a concurrent limit to the flows that wait for them.
 func (n *Node) settleConcurrent(limit *localLimit, answers []permits.Answer) {
 	for _, answer := range answers {
 		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
 	}
 }
 
-// pendingLimit gives the limit for whose word a flow waits; nil where the module has heard of it.
+// pendingLimit returns the limit whose answer a flow waits for; nil where it has passed all limits.
 func (n *Node) pendingLimit(f *flow) *localLimit {
 	if cluster := n.cluster; cluster != nil && f.nextLimit < len(cluster.limits) {
 		return cluster.limits[f.nextLimit]
@@ -369,15 +389,16 @@
 	return nil
 }
 
-// settleFlow lets a flow go on that waited, or refuses it.
+// settleFlow applies the answer of a limit to the flow that waited for it.
 func (n *Node) settleFlow(limit *localLimit, f *flow, granted bool) {
-	key := f.pendingKey // one that is over has no group any more
+	key := f.pendingKey // stored, because a flow that has ended has no group to derive it from
 	switch {
 	case f.ended && granted && limit.concurrent != nil:
-		limit.concurrent.Done(key) // it did not wait for its answer
+		limit.concurrent.Done(key) // the flow ended before its answer came
 	case f.ended:
 	case granted:
-		if f.passLimit(limit, key); !n.blockedByLimit(f) {
+		f.passLimit(limit, key)
+		if !n.blockedByLimit(f) {
 			n.decider.Demand(&f.Flow)
 		}
 	default:
@@ -385,7 +406,8 @@
 	}
 }
 
-// endExcessFlows ends flows that have no permit any more: those that wait, then the newest of the established, then set-ups.
+// endExcessFlows ends flows whose permits have expired: first those that wait, then established ones, newest first, then
+// those that are being set up.
 func (n *Node) endExcessFlows(limit *localLimit, excess permits.Excess) {
 	var flows []*flow
 	for _, entry := range n.flows.entries {
@@ -393,8 +415,8 @@
 		if f == nil || f.ended {
 			continue
 		}
-		if key, ok := uint64(0), false; f.host != nil && limit.Over == OverHost {
-			if key, ok = limit.hostKey(f.host); ok && key == excess.Key {
+		if f.host != nil && limit.Over == OverHost {
+			if key, ok := limit.hostKey(f.host); ok && key == excess.Key {
 				flows = append(flows, f)
 			}
 		} else if slices.Contains(f.permits, permit{limit, excess.Key}) {
@@ -414,7 +436,7 @@
 		}
 		client, answer, line := f.client, byte(capture.Rejected), n.busyAnswer()
 		if f.stage == Asked {
-			answer, line = capture.Aborted, "ERR\r\n" // it may have run
+			answer, line = capture.Aborted, "ERR\r\n" // the host may have run it
 		}
 		n.countAnswer(f, answer)
 		n.withdraw(f)
@@ -422,9 +444,11 @@
 	}
 }
 
-const exhaustedFor = 2 * second // after it had none left for a flow, more permits for a host are kept in hand
+// exhaustedFor is how long more spare permits are kept for a host after it had none left for a flow.
+const exhaustedFor = 2 * second
 
-// keepHostPermits says what this node has at hosts, and how much more it wants to have in hand.
+// keepHostPermits reports to a limit over hosts how many flows this node has at each host, and how many spare permits it
+// wants to hold there.
 func (n *Node) keepHostPermits(limit *localLimit) {
 	nodes := n.config.Cluster.Others + 1
 	for _, h := range n.hostList {
@@ -433,27 +457,28 @@
 			continue
 		}
 		use, spare := h.Flows(), 0
-		switch at, asked := limit.exhaustedAt[h]; {
+		exhaustedAt, exhausted := limit.exhaustedAt[h]
+		switch {
 		case h.State != balance.Up:
-		case asked && n.now-at < exhaustedFor:
+		case exhausted && n.now-exhaustedAt < exhaustedFor:
 			spare = 1 + use/4
 		case use == 0 || limit.AtOnce.Most >= 4*nodes:
 			spare = 1
 		}
-		if asked := limit.exhaustedAt[h]; n.now-asked >= exhaustedFor {
+		if n.now-exhaustedAt >= exhaustedFor {
 			delete(limit.exhaustedAt, h)
 		}
 		limit.concurrent.Keep(key, use, spare)
 	}
 }
 
-// hostBounds are the module's bounds where hosts have limits as well.
+// hostBounds are the module's bounds where there are also limits over hosts.
 type hostBounds struct {
 	balance.Bounds
 	n *Node
 }
 
-// Room is none at a host for which no permit is in hand.
+// Room returns the room for a flow at a server, which is 0 where this node holds no free permit for it.
 func (b hostBounds) Room(server *balance.Server, f *balance.Flow) float64 {
 	room := b.Bounds.Room(server, f)
 	if h := b.n.hosts[server.Name]; room > 0 && h != nil {
@@ -467,7 +492,8 @@
 	return room
 }
 
-// adoptPermits counts a flow that the process before hands over, with what it had: for so many microseconds still.
+// adoptPermits counts a flow that the predecessor process hands over together with its permits, which stay valid for left
+// microseconds.
 func (n *Node) adoptPermits(f *flow, predecessor uint64, left int64) {
 	cluster := n.cluster
 	if cluster == nil || predecessor == 0 {
@@ -487,7 +513,7 @@
 	}
 }
 
-// permitTimeLeft is for how long what a flow has still counts, for the process that takes over.
+// permitTimeLeft returns for how long a flow's permits stay valid, for the successor process.
 func (n *Node) permitTimeLeft(f *flow) (left int64) {
 	if n.cluster == nil {
 		return 0
@@ -504,7 +530,8 @@
 	return left
 }
 
-// yieldLimits is that another process of this node takes what is new.
+// yieldLimits tells the concurrent limits that the successor process takes all new flows: no flow passes them here any more,
+// and permits that are given back belong to the successor.
 func (n *Node) yieldLimits() {
 	if n.cluster == nil {
 		return
@@ -516,7 +543,7 @@
 	}
 }
 
-// receiveLimitMessage takes what another node says of leases and limits; false for what is about neither.
+// receiveLimitMessage handles a message of another node about leases or limits. It reports false for any other message.
 func (n *Node) receiveLimitMessage(from int, message members.Word) bool {
 	cluster := n.cluster
 	if cluster.leases == nil {
@@ -532,7 +559,7 @@
 	id := binary.LittleEndian.Uint32(payload[1:])
 	index := slices.IndexFunc(cluster.limits, func(limit *localLimit) bool { return limit.id == id })
 	if index < 0 {
-		cluster.unknownLimits++ // the files of two nodes differ
+		cluster.unknownLimits++ // the two nodes are configured differently
 		return true
 	}
 	limit, payload := cluster.limits[index], payload[limitHeaderSize:]
@@ -553,7 +580,7 @@
 	return ok
 }
 
-// limitMetrics is the limits' figures for operators; empty where there are none.
+// limitMetrics returns the metrics of the fleet limits, a line each; empty where there are none.
 func (n *Node) limitMetrics() string {
 	cluster := n.cluster
 	if cluster.leases == nil {
@@ -594,7 +621,7 @@
 	return text.String()
 }
 
-// limitsByAddress tells whether a limit is over clients' addresses.
+// limitsByAddress reports whether a fleet limit is over client addresses.
 func (n *Node) limitsByAddress() bool {
 	return n.cluster != nil && slices.ContainsFunc(n.cluster.limits, func(l *localLimit) bool { return l.Over == OverAddress })
 }
