--- a/node/capture.go
+++ b/node/capture.go
@@ -7,18 +7,18 @@
 	"coursewinch/capture"
 )
 
-// captureRecord is what a capture will hold of a flow.
+// captureRecord collects what a capture will hold of a flow.
 type captureRecord struct {
 	flow     capture.Flow
 	end      capture.End
-	answered bool // its answer is in the capture
+	answered bool // the answer has been written to the capture
 }
 
-// hostEndKinds are the words for how a host's side of a flow ended.
+// hostEndKinds are the capture's codes for flows that ended at the host's side, by outcome.
 var hostEndKinds = map[balance.Outcome]byte{balance.Completed: capture.Completed, balance.Recalled: capture.Moved,
 	balance.Severed: capture.Severed}
 
-// startCapture begins to keep what a capture wants of a flow.
+// startCapture begins the record of a flow, where flows are captured.
 func (n *Node) startCapture(f *flow) {
 	if n.config.Capture == nil {
 		return
@@ -29,7 +29,7 @@
 		Wait: request.Wait}, end: capture.End{No: n.capturedFlows, How: capture.Severed}}
 }
 
-// captureAnswer writes that a flow has its answer.
+// captureAnswer writes a flow's answer to the capture.
 func (n *Node) captureAnswer(f *flow, answer byte) {
 	record := f.record
 	if record == nil || record.answered {
@@ -43,7 +43,7 @@
 	n.config.Capture.Flow(record.flow)
 }
 
-// captureEnd writes the end of an established flow, or that a client left before its answer.
+// captureEnd writes the end of an established flow, or that its client left before the answer.
 func (n *Node) captureEnd(f *flow) {
 	record := f.record
 	switch {
@@ -57,6 +57,7 @@
 	f.record = nil
 }
 
+// countLines counts the lines of a chunk passed up to the host or down to the client.
 func (s *captureRecord) countLines(up bool, chunk []byte) {
 	if s == nil {
 		return
@@ -68,13 +69,14 @@
 	}
 }
 
-// captureLoad writes what a flow's load is told to be.
+// captureLoad writes a flow's load as its host reported it.
 func (n *Node) captureLoad(f *flow, load float64) {
 	if f.record != nil {
 		n.config.Capture.Load(capture.Load{No: f.record.flow.No, At: n.now, Load: load})
 	}
 }
 
+// setEnd sets how the flow ended.
 func (s *captureRecord) setEnd(how byte) {
 	if s != nil {
 		s.end.How = how
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -12,42 +12,43 @@
 	"coursewinch/cluster/verdicts"
 )
 
-// Where the node's file says so, the node bounds its module by what all nodes of the fleet together may place: by what it
-// sees itself, and, where it has others' addresses, by what they tell.
+// Where the configuration turns it on, the node bounds its module by what all nodes of the fleet together may place on hosts.
+// The bounds follow from the node's own observations and, where it has addresses of other nodes, from their messages.
 
-const (
-	clusterInterval = 50 * ms
-)
+// clusterInterval is the longest time between two runs of clusterTick.
+const clusterInterval = 50 * ms
 
-// Cluster is what a node is told of its fleet.
+// Cluster configures a node's part in its fleet.
 type Cluster struct {
 	On      bool
 	Name    string
-	Process uint64                 // drawn anew by each process
-	Others  int                    // nodes that can be told; 0: the node goes by its own eyes alone
-	Limits  []FleetLimit           // that Check has found right
-	Send    func(to int, p []byte) // one datagram, to the so-many-th of them
+	Process uint64                 // random number, different for each process
+	Others  int                    // other nodes that can be sent datagrams; with 0 the node relies on its own observations
+	Limits  []FleetLimit           // valid according to Check
+	Send    func(to int, p []byte) // sends a datagram to one of the other nodes, by index
 
-	Held func(now int64, host string, v verdicts.Verdict) // told of each verdict by hearsay that begins; may be nil
+	// Held is called when this node suspends a host because of other nodes' reports. It may be nil.
+	Held func(now int64, host string, v verdicts.Verdict)
 }
 
-// cluster is a node's part in its fleet; members is nil where it has no others, all is nil where it is off.
+// cluster is a node's part in its fleet.
 type cluster struct {
-	members       *members.Members
+	members       *members.Members // nil where there are no other nodes
 	overload      *overload.Core
 	timer         deadline
-	leases        *lease.Leases
+	leases        *lease.Leases // nil without limits
 	limits        []*localLimit
-	unknownLimits int64  // words about limits that this node does not keep
-	desiredSlots  []bool // slots that this node should own, by name
+	unknownLimits int64  // messages about limits that this node does not keep
+	desiredSlots  []bool // lease slots that this node should own
 }
 
+// newCluster sets up the node's part in the fleet, if the configuration turns it on.
 func (n *Node) newCluster() {
 	config := n.config.Cluster
 	if !config.On {
 		return
 	}
-	config.Process |= 1 // 0 is nobody's
+	config.Process |= 1 // 0 stands for no process
 	n.config.Cluster.Process = config.Process
 	cluster := &cluster{overload: overload.New(&n.settings.Settings, config.Others+1, members.Young(config.Others+1), n.config.Seed+2)}
 	if config.Others > 0 {
@@ -66,7 +67,7 @@
 	}
 }
 
-// clusterTick does what time brings: it tells the others, and looks at its own lateness.
+// clusterTick runs the periodic work: it sends messages to the other nodes and checks the node's own lateness.
 func (n *Node) clusterTick() {
 	cluster := n.cluster
 	late := n.isStarved()
@@ -85,7 +86,7 @@
 	n.deadlines.set(&cluster.timer, next)
 }
 
-// HeardFrom takes a datagram of the so-many-th other node; under 0 it is from an address that is none of theirs.
+// HeardFrom handles a datagram of another node, given by index. from is negative for an unknown address.
 func (n *Node) HeardFrom(from int, datagram []byte) {
 	defer n.recoverPanic(nil)
 	cluster := n.cluster
@@ -98,43 +99,47 @@
 	}
 	if ok && !cluster.overload.Told(from, message.Process, message.At, message.Late, message.Payload) {
 		cluster.members.Bad(frame.Nonsense)
-		n.logThrottled("cluster_nonsense", "a word whose figures can't be")
+		n.logThrottled("cluster_nonsense", "message has impossible values")
 	}
 }
 
-// setUp, probedIn, reportedBusy and turnedAway tell the cluster's cores what this node saw of a host.
-
+// noteSetup passes the set-up time of a flow at a host to the overload control. It is left out where the node's own lateness
+// makes it uncertain.
 func (n *Node) noteSetup(h *host, took int64, sure bool) {
 	if n.cluster != nil && sure {
 		n.cluster.overload.Setup(&h.Server, took)
 	}
 }
 
+// noteProbe passes the time of an answered probe to the overload control.
 func (n *Node) noteProbe(h *host, took int64) {
 	if n.cluster != nil {
 		n.cluster.overload.Probe(&h.Server, took)
 	}
 }
 
+// noteBusy passes a host's load report to the overload control.
 func (n *Node) noteBusy(h *host, busy float64) {
 	if n.cluster != nil {
 		n.cluster.overload.Reported(&h.Server, busy)
 	}
 }
 
+// noteTurnedAway tells the overload control that a host answered BUSY.
 func (n *Node) noteTurnedAway(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.TurnedAway(&h.Server)
 	}
 }
 
+// noteSick tells the overload control that a host failed a flow that it had received.
 func (n *Node) noteSick(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.Sick(&h.Server)
 	}
 }
 
-// noteSuspended is that a verdict on a host is taken over from others.
+// noteSuspended handles the suspension of a host because of other nodes' reports.
 func (n *Node) noteSuspended(server *balance.Server, verdict verdicts.Verdict) {
 	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", server.Name, verdict.Of, verdict.Witnesses))
 	if n.config.Cluster.Held != nil {
@@ -142,6 +147,7 @@
 	}
 }
 
+// ownZoneName returns the name of the node's zone; empty where the settings have none.
 func (n *Node) ownZoneName() string {
 	for name, no := range n.settings.Zones {
 		if no == n.settings.Zone {
@@ -151,13 +157,14 @@
 	return ""
 }
 
+// noteDown tells the overload control that a host can't be reached.
 func (n *Node) noteDown(h *host) {
 	if n.cluster != nil {
 		n.cluster.overload.Down(&h.Server)
 	}
 }
 
-// updateClusterHosts tells the cluster's cores which hosts there are.
+// updateClusterHosts passes the listed hosts to the overload control.
 func (n *Node) updateClusterHosts() {
 	if n.cluster == nil {
 		return
@@ -171,7 +178,7 @@
 	n.cluster.overload.List(servers)
 }
 
-// clusterMetrics is the cluster's figures for operators, a line each; empty where it is off.
+// clusterMetrics returns the metrics of the node's part in the fleet, a line each; empty where it is off.
 func (n *Node) clusterMetrics() (text string) {
 	cluster := n.cluster
 	if cluster == nil {
@@ -192,30 +199,31 @@
 		}
 	}
 	text += n.limitMetrics()
-	f := cluster.overload.Figures
+	figures := cluster.overload.Figures
 	bit := map[bool]int{true: 1}
 	late := false
 	if cluster.members != nil {
 		late = cluster.members.IsLate()
 	}
 	add("overload_late", bit[late])
-	add("overload_short", bit[f.Short])
-	add("overload_bar", fmt.Sprintf("%.3g", f.Bar))
-	add("overload_free", fmt.Sprintf("%.0f", f.Free))
-	add("overload_known", fmt.Sprintf("%.0f", f.Known))
-	add("overload_demand", fmt.Sprintf("%.0f", f.Demand))
-	add("overload_shed", f.Refused)
-	add("hosts_held_back", f.Held)
-	cluster.overload.Held(func(s *balance.Server, value verdicts.Verdict) {
-		add("held_back."+s.Name, fmt.Sprintf("%s:%d", value.Of, value.Witnesses))
+	add("overload_short", bit[figures.Short])
+	add("overload_bar", fmt.Sprintf("%.3g", figures.Bar))
+	add("overload_free", fmt.Sprintf("%.0f", figures.Free))
+	add("overload_known", fmt.Sprintf("%.0f", figures.Known))
+	add("overload_demand", fmt.Sprintf("%.0f", figures.Demand))
+	add("overload_shed", figures.Refused)
+	add("hosts_held_back", figures.Held)
+	cluster.overload.Held(func(server *balance.Server, verdict verdicts.Verdict) {
+		add("held_back."+server.Name, fmt.Sprintf("%s:%d", verdict.Of, verdict.Witnesses))
 	})
-	add("overload_cuts", f.Cuts)
-	add("overload_retries", f.Retries)
-	add("overload_withheld", f.Withheld)
+	add("overload_cuts", figures.Cuts)
+	add("overload_retries", figures.Retries)
+	add("overload_withheld", figures.Withheld)
 	return text
 }
 
-// worth is what a flow of a service type is worth where refusals weigh it; 0 where they don't, or the settings don't say.
+// worth returns the benefit of a flow of a service type, by which refusals are weighted; 0 where they are not, or the
+// settings give none.
 func (n *Node) worth(typeIndex int) float64 {
 	if n.cluster != nil && typeIndex < len(n.settings.Worth) {
 		return n.settings.Worth[typeIndex]
--- a/node/cold.go
+++ b/node/cold.go
@@ -6,24 +6,25 @@
 	"coursewinch/cluster/limits"
 )
 
-// What all nodes together may send a cold host is granted by the owner of the host's key, a flow at a time. Of what the
-// rule allows coldBase is the owner's to grant whatever links do, and coldLent is split evenly among all nodes, each of
-// which lends the owner its part with its vote for as long as that lasts. Who has lent its part asks; who has not may
-// send as much as that by its own guess. So a part is the owner's or the node's, and never both at a moment.
+// The owner of a cold host's key grants the flows that all nodes together may send to the host, one at a time. Of the rate
+// that the cold-start rule allows, the owner may always grant coldBaseShare. coldLentShare is split evenly among all nodes;
+// each node lends its part to the owner with its lease vote, for as long as the vote lasts. A node that has lent its part
+// requests grants. A node that has not may send its part by its own estimate. So a part is used either by the owner or by the
+// node, never by both at once.
 const (
 	coldBaseShare   = 0.50
-	coldLentShare   = 0.35 // what a node without words guesses by: cluster/overload
-	coldBurst       = 2
-	maxColdRequests = 3 // hosts that one flow asks for
+	coldLentShare   = 0.35 // the share by which package overload estimates where a node has no messages
+	coldBurst       = 2    // flows
+	maxColdRequests = 3    // hosts for which one flow requests a grant
 )
 
-// coldRequest is a flow that waits for a grant for some cold host, and goes on without one as well.
+// coldRequest is a flow that waits for a grant for a cold host. It goes on without the grant as well.
 type coldRequest struct {
 	flow *flow
 	host *host
 }
 
-// findColdHosts notes which hosts are cold.
+// findColdHosts updates the list of cold hosts.
 func (n *Node) findColdHosts() {
 	for _, limit := range n.cluster.limits {
 		if limit.Over != OverCold {
@@ -38,7 +39,8 @@
 	}
 }
 
-// coldLimit is what an owner grants of a host now, by how many nodes have lent it their part.
+// coldLimit returns the rate at which this node, as owner, grants flows to a cold host. It depends on how many nodes have lent
+// it their part.
 func (n *Node) coldLimit(limit *localLimit, key uint64) limits.Limit {
 	for _, h := range limit.coldHosts {
 		if limit.nameKey(h.uid) == key {
@@ -49,13 +51,14 @@
 	return limits.Limit{Strict: true}
 }
 
-// awaitsColdGrant asks for a grant for a cold host that this node has none for, and tells whether the flow waits for it.
+// awaitsColdGrant requests a grant for a cold host for which this node has none, and reports whether the flow waits for it.
 func (n *Node) awaitsColdGrant(f *flow, limit *localLimit) bool {
 	if len(limit.coldHosts) == 0 {
 		return false
 	}
 	overload := n.cluster.overload
-	if f.coldRequests++; f.coldRequests == 1 && overload.Short() && !overload.Draw(&f.Flow) || f.coldRequests > maxColdRequests {
+	f.coldRequests++
+	if f.coldRequests == 1 && overload.Short() && !overload.Draw(&f.Flow) || f.coldRequests > maxColdRequests {
 		return false
 	}
 	start := n.rng.Intn(len(limit.coldHosts))
@@ -63,10 +66,10 @@
 		h := limit.coldHosts[(start+i)%len(limit.coldHosts)]
 		key := limit.nameKey(h.uid)
 		if h.Avoided(n.now) || !overload.Takes(&h.Server, &f.Flow) {
-			continue // it would not be sent there
+			continue // the flow would not be sent there
 		}
 		if h.State != balance.Up || overload.Granted(&h.Server) {
-			return false // one is in hand
+			return false // a grant is available
 		}
 		if limit.rate.Empty(key) || !n.cluster.leases.Lent(int(key%lease.Slots)) {
 			continue
@@ -83,7 +86,7 @@
 	return false
 }
 
-// coldAnswered takes the word on a grant. The flow that waited goes on with it or without.
+// coldAnswered applies the owner's answer to a request for a grant. The flow goes on with or without the grant.
 func (n *Node) coldAnswered(limit *localLimit, request *coldRequest, answer limits.Answer) {
 	if answer.Yes {
 		if answer.Until == 0 {
@@ -96,7 +99,7 @@
 		return
 	}
 	if answer.Yes {
-		request.flow.nextLimit++ // else the next cold host may have room
+		request.flow.nextLimit++ // without a grant, the next cold host may have room
 	}
 	if !n.blockedByLimit(request.flow) {
 		n.decider.Demand(&request.flow.Flow)
--- a/node/counts.go
+++ b/node/counts.go
@@ -8,22 +8,47 @@
 	"coursewinch/capture"
 )
 
-// Counters are what a node has done since its start, besides its answers, which are in Types.
+// Counters count what a node has done since its start. Answers are counted by service type in Node.Types.
 type Counters struct {
-	Accepted, Taken, Stood, Connects, Asked, Left, Bad, Crowded, Shed                  int
-	Completed, Severed, Moves, Silent, Probes, ProbesFailed, Calls, CallsFailed, Lists int
-	Reloads, Panics                                                                    int
-	Vanished                                                                           int   // clients that said or took nothing for too long
-	Refused                                                                            int   // connections, by the gate
-	AdminCalls, AdminShed                                                              int   // operators' calls answered; callers let go with nothing whole
-	HandedOn, TakenOver                                                                int   // connections and flows, to and from another process
-	LateTurns, LateUs                                                                  int64 // the node's own
+	Accepted     int   // clients' connections
+	Taken        int   // requests parsed
+	Stood        int   // flows that rejoined the host of their earlier connection
+	Connects     int   // connects dialled
+	Asked        int   // requests sent to hosts in full
+	Left         int   // clients that left before their answer
+	Bad          int   // clients' lines rejected, and clients that sent none in time
+	Crowded      int   // requests answered BUSY for want of descriptors
+	Shed         int   // idle clients closed to free descriptors or buffers
+	Completed    int   // flows that their host ended with BYE
+	Severed      int   // flows that broke
+	Moves        int   // clients asked to reconnect
+	Silent       int   // flows whose host answered a line with nothing for too long
+	Probes       int   // probes sent
+	ProbesFailed int   // probes without a good answer
+	Calls        int   // calls to discovery
+	CallsFailed  int   // calls and watches that failed
+	Lists        int   // lists received
+	Reloads      int   // reloads of the configuration
+	Panics       int   // panics confined to a connection
+	Vanished     int   // clients that sent or read nothing for too long
+	Refused      int   // connections refused by the admission gate or the event loop
+	AdminCalls   int   // operators' calls answered
+	AdminShed    int   // operators' connections closed without a complete request
+	HandedOn     int   // clients and flows handed over to the successor process
+	TakenOver    int   // clients and flows taken over from the predecessor process
+	LateTurns    int64 // loop iterations that ran late
+	LateUs       int64 // microseconds by which they ran late
 }
 
-// Tally counts the answers to flows of one service type, each when it is given to the client's connection.
-type Tally struct{ Success, Busy, Failure int }
+// Tally counts the answers to flows of one service type. An answer counts when it is put into the client's output ring.
+type Tally struct {
+	Success int // established flows
+	Busy    int // flows rejected
+	Failure int // flows aborted, and invalid requests
+}
 
-// countAnswer counts a flow's one answer and captures it. Nothing else counts answers.
+// countAnswer counts and captures a flow's answer. All answers are counted here, except ERR to an invalid request, which is
+// counted where the request is rejected.
 func (n *Node) countAnswer(f *flow, answer byte) {
 	t := &n.Types[f.TypeNo]
 	switch answer {
@@ -37,7 +62,7 @@
 	n.captureAnswer(f, answer)
 }
 
-// CountersText is the counters as key=value, the answers summed over the service types.
+// CountersText returns the counters as key=value pairs, with the answers summed over the service types.
 func (n *Node) CountersText() string {
 	counts, sum := n.Count, Tally{}
 	for _, t := range n.Types {
@@ -52,7 +77,7 @@
 		counts.LateTurns, counts.LateUs)
 }
 
-// metricsText is the figures that operators fetch, a line each.
+// metricsText returns the metrics that operators fetch, a line each.
 func (n *Node) metricsText() string {
 	names := n.typeNames()
 	var text strings.Builder
--- a/node/ending.go
+++ b/node/ending.go
@@ -9,27 +9,29 @@
 	"coursewinch/lines"
 )
 
-// A node is emptied for two reasons: it was told to end, or to drain. Either way what still comes is taken and answered
-// in time, and all clients are told to move, spread, by an end.
+// A node is emptied when it is stopped or drained. In both cases requests that still arrive are accepted and answered in
+// time, and all clients are moved, spread over the time that is left.
 
 const (
-	moveInterval      = 10 * ms
-	lateMoveInterval  = 100 * ms // between steps once all should have gone
-	minStopTime       = second   // new connections may go on coming
-	moveMargin        = 300 * ms // for the last moves to reach their clients
-	lastLineTime      = 100 * ms // for clients to take the last word and end as well, before the process does
-	firstMoveDivisor  = 2        // one of so many parts of the time passes before the first move at a stop
-	drainMoveDelay    = 500 * ms // after the front has turned away: who moves sooner may be sent back here
-	drainDuration     = 3300 * ms
-	drainAnswerMargin = 100 * ms // before that, the last flow has its answer
+	moveInterval      = 10 * ms    // between two steps of moving flows
+	lateMoveInterval  = 100 * ms   // the same once all flows should have been moved
+	minStopTime       = second     // new connections may still arrive for this long after a stop
+	moveMargin        = 300 * ms   // for the last MOVE lines to reach their clients before the process ends
+	lastLineTime      = 100 * ms   // for clients to read their last line and close, before the process ends
+	firstMoveDivisor  = 2          // the first move at a stop comes after the time for moves divided by this
+	maxStopTime       = 3 * second // bounds the part of a stop that follows from the longest connect timeout
+	extraStopTime     = second / 2 // added to that part
+	drainMoveDelay    = 500 * ms   // until the front-end load balancer sends elsewhere; clients moved sooner may come back here
+	drainDuration     = 3300 * ms  // from a drain until the last client has been moved
+	drainAnswerMargin = 100 * ms   // the last flow has its answer this long before that
 )
 
-// Stop begins an orderly end: new flows are still taken, and all clients are told to move, spread over the time.
+// Stop begins an orderly end. New flows are still accepted, and all clients are moved, spread over the time that is left.
 func (n *Node) Stop() {
 	if n.stopAt == 0 {
 		log.Printf("msg=stopping flows=%d", n.flows.count)
 		n.stopAt = n.now
-		n.stopDeadline = n.now + min(cmp.Or(n.settings.Longest, 3*second), 3*second) + second/2
+		n.stopDeadline = n.now + min(cmp.Or(n.settings.Longest, maxStopTime), maxStopTime) + extraStopTime
 		first := n.now + (n.stopDeadline-moveMargin-n.now)/firstMoveDivisor
 		if n.drainAt > 0 {
 			first = min(first, max(n.now, n.drainAt+drainMoveDelay))
@@ -37,14 +39,14 @@
 		n.deadlines.set(&n.moveTimer, first)
 		n.deadlines.set(&n.stopAcceptTimer, n.now+moveInterval)
 		n.shortenAllDeadlines()
-		if t := &n.handover; t.yielded {
-			n.deadlines.set(&t.timer, n.now)
+		if n.handover.yielded {
+			n.deadlines.set(&n.handover.timer, n.now)
 		}
 		n.announceStop()
 	}
 }
 
-// Drain empties the node and keeps it so until Resume. Again while drained it changes nothing.
+// Drain moves all flows away and keeps the node out of service until Resume. Draining a drained node changes nothing.
 func (n *Node) Drain() {
 	if n.drainAt > 0 {
 		return
@@ -57,7 +59,7 @@
 	}
 }
 
-// Resume takes a drained node back to work.
+// Resume puts a drained node back into service.
 func (n *Node) Resume() {
 	if n.drainAt == 0 {
 		return
@@ -69,19 +71,19 @@
 	}
 }
 
-// lastAnswerBy is when the last flow is to have its answer; 0 while the node neither drains nor ends.
+// lastAnswerBy returns when the last flow must have its answer; 0 while the node is neither drained nor stopping.
 func (n *Node) lastAnswerBy() int64 {
 	switch {
 	case n.drainAt > 0:
 		return n.lastMoveBy() - drainAnswerMargin
 	case n.stopAt > 0:
-		return n.stopDeadline - moveMargin/2 // a flow that is up by then is told to move in the next step
+		return n.stopDeadline - moveMargin/2 // a flow that is established by then is moved in the next step
 	}
 	return 0
 }
 
-// shortenAllDeadlines hastens the flows in hand. Guards those that came before the node was told to end or to drain, and may wait
-// for longer than it has left.
+// shortenAllDeadlines shortens the deadlines of all flows without an answer. Flows that came before the stop or drain may
+// have a connect timeout longer than the time left.
 func (n *Node) shortenAllDeadlines() {
 	for _, entry := range n.flows.entries {
 		if f := entry.value; f != nil && !f.ended && f.stage != Established {
@@ -90,7 +92,8 @@
 	}
 }
 
-// shortenDeadline cuts a flow's time, so that it has its answer before the end, whatever its connect timeout.
+// shortenDeadline shortens a flow's deadline so that it gets its answer before the node is empty, whatever its connect
+// timeout.
 func (n *Node) shortenDeadline(f *flow) {
 	end := n.lastAnswerBy()
 	if end == 0 || f.Deadline <= end {
@@ -102,7 +105,7 @@
 	}
 }
 
-// lastMoveBy is when the last client is to have been told to move; 0 while none is.
+// lastMoveBy returns when the last client must have been moved; 0 while the node is neither drained nor stopping.
 func (n *Node) lastMoveBy() int64 {
 	switch {
 	case n.drainAt > 0 && n.stopAt > 0:
@@ -115,15 +118,15 @@
 	return 0
 }
 
-// stopAccepting shuts the door of a node that ends, once nothing is in hand and nothing more has to be expected, or all answers
-// have been given because the end is near. Clients that rest without a flow have a last word then, as a line of theirs may
-// be on its way; what still comes is turned away.
+// stopAccepting stops accepting connections at a stopping node, once it has no flow and expects no more, or once the end is
+// so near that all answers have been given; until then it checks again. Clients without a flow are sent BUSY, because a
+// request of theirs may be on its way. Connections that arrive later are refused.
 func (n *Node) stopAccepting() {
-	least := min(n.stopAt+minStopTime, n.stopDeadline-lastLineTime)
+	earliest := min(n.stopAt+minStopTime, n.stopDeadline-lastLineTime)
 	if n.handover.yielded {
-		least = n.stopAt // nothing new comes here
+		earliest = n.stopAt // new connections go to the successor process
 	}
-	if n.now < n.stopDeadline-lastLineTime && (n.now < least || n.flows.count > 0 || !n.allHandedOver()) {
+	if n.now < n.stopDeadline-lastLineTime && (n.now < earliest || n.flows.count > 0 || !n.allHandedOver()) {
 		n.deadlines.set(&n.stopAcceptTimer, n.now+moveInterval)
 		return
 	}
@@ -133,17 +136,18 @@
 			n.sendFinalLine(c, busyLine)
 		}
 	}
-	n.deadlines.set(&n.stopAcceptTimer, min(n.acceptStoppedAt+lastLineTime, n.stopDeadline)) // a turn for the end
+	// The timer only makes the loop run an iteration at the end.
+	n.deadlines.set(&n.stopAcceptTimer, min(n.acceptStoppedAt+lastLineTime, n.stopDeadline))
 	n.stopAcceptTimer.run = func() {}
 }
 
-// allHandedOver tells whether no client is yet to be handed on to the process that has taken over.
+// allHandedOver reports whether no client without a flow is left to hand over to the successor process.
 func (n *Node) allHandedOver() bool {
 	return !n.handover.yielded || !slices.ContainsFunc(n.conns.entries, func(s slot[conn]) bool { return s.value != nil && s.value.role == roleNew })
 }
 
-// Done tells whether an orderly end has come to its end: each client has its last word and has ended as well, or has had
-// the time to.
+// Done reports whether an orderly end is complete: each client has been sent its last line and has closed its connection,
+// or has had time to.
 func (n *Node) Done() bool {
 	switch {
 	case n.stopAt == 0:
@@ -158,10 +162,10 @@
 	})
 }
 
-// moveDueFlows moves the share of the open flows that this step is due, evenly up to the end. Guards against flows cut off
-// at the kill, against a crowd that all comes again at once, and, by beginning late, against clients that come back
-// here or wait for a node that was stopped before and is not back yet; and clients that were served to their end, where
-// nobody has read that yet.
+// moveDueFlows moves this step's share of the established flows, spread evenly over the time left. So no flow is cut off
+// when the process is killed, and clients don't all reconnect at once. The moves begin late, because clients moved at once
+// may come back here or have to wait for a node that was stopped before and is not back yet. A flow whose host has ended it
+// is not moved, even if that end has not been read yet.
 func (n *Node) moveDueFlows() {
 	established := int64(0)
 	for _, entry := range n.flows.entries {
@@ -187,16 +191,17 @@
 	n.deadlines.set(&n.moveTimer, n.now+next)
 }
 
-// clientTakesLine tells whether a word of the node's own can go to the client now: between two lines, and behind those of the
-// host that wait for room.
+// clientTakesLine reports whether the node can send the client a line of its own now: between two lines, and after the
+// host's lines that wait for room.
 func (f *flow) clientTakesLine() bool {
 	return !f.client.midLine && f.client.out.Free() >= len(moveLine) && f.upstream.in.Line() == nil
 }
 
-// canMove tells whether a flow can be told to move now: its client can take the word, and its host has neither said its last
-// one nor ended, whether or not that has been read.
+// canMove reports whether a flow can be moved now: its client can be sent the MOVE line, and its host has neither sent its
+// last line nor closed its connection, read or not.
 func (n *Node) canMove(f *flow) bool {
 	return f.clientTakesLine() && f.lastWord == lines.Other && !n.net.Gone(f.upstream.id)
 }
 
+// moveLine asks a client to reconnect.
 const moveLine = "MOVE\r\n"
--- a/node/flows.go
+++ b/node/flows.go
@@ -67,8 +67,8 @@
 // Faults of requests.
 var (
 	errUnknownType = errors.New("unknown service type")
-	errDuplicateID = errors.New("request id was used before")
-	errEarlyData   = errors.New("data after the request before its answer")
+	errDuplicateID = errors.New("id of another flow")
+	errEarlyData   = errors.New("more than a line before the answer")
 )
 
 // acceptRequest parses the line with which a client requests a connection and starts its flow.
@@ -357,11 +357,11 @@
 		n.connectFailed(f, errAnswer)
 		return
 	}
-	n.established(f, c, line)
+	n.hostAccepted(f, c, line)
 }
 
-// established passes the host's accepting line to the client and begins to relay.
-func (n *Node) established(f *flow, c *conn, line []byte) {
+// hostAccepted passes the host's accepting line to the client and begins to relay.
+func (n *Node) hostAccepted(f *flow, c *conn, line []byte) {
 	f.client.out.Put(line)
 	c.in.Drop(len(line))
 	n.countAnswer(f, capture.Established)
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -9,29 +9,29 @@
 	"coursewinch/lines"
 )
 
-// Limits bound what a node holds besides its descriptors. Zero values stand for the defaults named.
+// Limits bound what a node holds besides descriptors. A zero value selects the default.
 type Limits struct {
-	Hosts   int   // records; further ones of a list are left out. 20,000
-	Groups  int   // remembered without flows; the rest is met anew. 4,096
-	IDs     int   // of past flows; older ones may come again. 8,192
-	Wide    int   // rings that may be wide at once. 32
-	Buffers int   // rings that hold bytes; at the cap, who waits longest with half a line goes. 0: as many as needed
-	Idle    int64 // microseconds for which an established client may say nothing; 0: for ever
-	Stalled int64 // and for which it may take nothing of what waits for it; 0: for ever
+	Hosts   int   // host records; further entries of a list are left out. Default 20,000
+	Groups  int   // groups remembered without flows; further ones start anew. Default 4,096
+	IDs     int   // request ids remembered; older ones are accepted again. Default 8,192
+	Wide    int   // rings that may be wide at once. Default 32
+	Buffers int   // rings that hold bytes; above it, the client longest without a whole line is closed. Default: no limit
+	Idle    int64 // microseconds that an established client may send nothing. Default: no limit
+	Stalled int64 // microseconds that an established client may read nothing while bytes wait for it. Default: no limit
 }
 
-const defaultMaxHosts = 20_000
+const defaultMaxHosts = 20_000 // where Limits.Hosts is 0
 
 // Hold is what a node holds for one purpose.
 type Hold struct {
 	Purpose string
 	Count   int
 	Bytes   int
-	Cap     int // of Count; 0 without one
+	Cap     int // limit of Count; 0 for none
 }
 
-// Holdings says what the node holds by purpose: descriptors first, then memory. It walks the tables: for counters on
-// request, not for each turn.
+// Holdings returns what the node holds by purpose, descriptors first, then memory. It walks all tables, so it is meant for
+// operators' requests and not for each loop iteration.
 func (n *Node) Holdings() []Hold {
 	roles := map[role]int{}
 	for _, entry := range n.conns.entries {
@@ -39,7 +39,7 @@
 			roles[entry.value.role]++
 		}
 	}
-	var requestBytes int // text of lines that wait for an answer
+	var requestBytes int // estimated size of requests without an answer
 	for _, entry := range n.flows.entries {
 		if entry.value != nil && entry.value.request != nil {
 			requestBytes += int(unsafe.Sizeof(*entry.value.request)) + lines.Longest/8
@@ -69,7 +69,7 @@
 	}
 }
 
-// HoldingsText is that as key=value, count and bytes and, where there is one, the cap.
+// HoldingsText returns the holdings as key=value pairs with count, bytes and limit where there are any.
 func (n *Node) HoldingsText() string {
 	var text strings.Builder
 	for i, h := range n.Holdings() {
@@ -87,7 +87,8 @@
 	return text.String()
 }
 
-// closeStalledClients ends what holds on without use: clients that vanished or take nothing. Once a second.
+// closeStalledClients moves the flows of clients that have sent or read nothing for longer than the limits allow. It runs once
+// a second.
 func (n *Node) closeStalledClients() {
 	if n.limits.Idle == 0 && n.limits.Stalled == 0 {
 		return
@@ -101,14 +102,14 @@
 		stalled := n.limits.Stalled > 0 && f.client.out.Len() > 0 && n.now-f.client.sentAt > n.limits.Stalled
 		if idle || stalled {
 			n.Count.Vanished++
-			n.moveClient(f) // it may be there yet: then it comes again
+			n.moveClient(f) // a client that is still there will reconnect
 			n.endFlow(f, balance.Recalled)
 		}
 	}
 }
 
-// relieveBuffers makes room among the buffers at their cap: of those that sit on half a line before they have a flow, the one
-// that has for longest goes. Guards the memory against many who say half a word.
+// relieveBuffers closes clients until the number of buffers is within its limit: of the clients without a flow that have sent
+// part of a line, the one that has waited longest. This bounds the memory that clients can take with incomplete lines.
 func (n *Node) relieveBuffers() {
 	for n.limits.Buffers > 0 {
 		if held, _ := n.ringBudget.Held(); held <= n.limits.Buffers {
--- a/node/late.go
+++ b/node/late.go
@@ -2,30 +2,31 @@
 
 import "math"
 
-// What a node measures of others holds its own lateness as well: what came while a turn ran waits for the next, and what
-// a turn sends leaves later than the turn began. The loop says how much that can be, and it is taken off what the
-// module is told. Guards hosts against being judged late by a node whose own core is full.
+// A time that a node measures includes its own lateness: events that arrive during one loop iteration wait for the next, and
+// what an iteration sends leaves later than the iteration began. The event loop reports how long that may have been, and the
+// node subtracts it from the times that it reports to the module. Otherwise a node whose own core is saturated would find
+// every host slow.
 
 const (
-	keptIterations   = 1024 // whose length is remembered
-	measurementSlack = 300  // microseconds that a measurement may be off by without being called unsure
+	keptIterations   = 1024 // loop iterations whose length is remembered
+	measurementSlack = 300  // microseconds of own lateness up to which a measurement is certain
 )
 
-// starvedThreshold is how much own lateness within about a second makes a node one that can't judge others by how long things
-// take: on a machine whose cores are taken it is late itself, and what it waits for is late for the same cause.
+// starvedThreshold is the own lateness within about a second from which on a node can't judge others by times. On a machine
+// whose cores are taken the node is late itself, and what it waits for may be late for the same reason.
 const starvedThreshold = 150 * ms
 
-// lateness is what the loop said of its turns.
+// lateness is the lateness of this node's event loop, as the loop reports it. Times are in microseconds.
 type lateness struct {
-	recent    float64               // microseconds of it, each counting for e times less with each second
-	updatedAt int64                 // the turn at which that was worked out
-	iteration uint64                // counted
-	current   int64                 // what came in this turn may have waited so long
-	lengths   [keptIterations]int32 // how long turns took, by their number
+	recent    float64               // sum of the lateness; contributions decay by a factor of e per second
+	updatedAt int64                 // when recent was last updated
+	iteration uint64                // number of the current loop iteration
+	current   int64                 // how long events of this iteration may have waited
+	lengths   [keptIterations]int32 // lengths of past iterations, by number
 }
 
-// Late is told by the loop before a turn: how long what comes in it may have waited, and how long the turn before it
-// took. Microseconds.
+// Late is called by the event loop before an iteration with how long the iteration's events may have waited and how long the
+// previous iteration took, in microseconds.
 func (n *Node) Late(lateness, lastLength int64) {
 	n.lateness.current = max(lateness, 0)
 	n.adjustQuota(n.lateness.current, lastLength)
@@ -41,42 +42,42 @@
 	}
 }
 
-// isStarved tells whether the node has of late been late itself too much to judge others. Guards sound hosts, all of which
-// look slow to it then.
+// isStarved reports whether the node has recently been too late itself to judge others. All hosts look slow to it then.
 func (n *Node) isStarved() bool { return n.lateness.recent > float64(starvedThreshold) }
 
-// span is a measurement that goes on: each of its legs ends with an event and begins the next within the same turn.
+// span is a time measurement in progress. It consists of legs; the event that ends a leg begins the next one in the same loop
+// iteration.
 type span struct {
 	since     int64
-	iteration uint64 // in which the present leg began
-	lateness  int64  // own lateness in the legs before
+	iteration uint64 // in which the current leg began
+	lateness  int64  // own lateness in earlier legs
 }
 
 // startSpan begins a measurement.
 func (n *Node) startSpan() span { return span{since: n.now, iteration: n.lateness.iteration} }
 
-// nextLeg ends a leg of a measurement and begins the next.
+// nextLeg ends the current leg of a measurement and begins the next.
 func (n *Node) nextLeg(measured *span) {
 	measured.lateness += n.latenessSince(measured.iteration)
 	measured.iteration = n.lateness.iteration
 }
 
-// latenessSince is how much of a leg that began in a turn and ends now can be the node's own lateness.
+// latenessSince returns how much of a leg that began in the given iteration and ends now may be the node's own lateness.
 func (n *Node) latenessSince(turn uint64) int64 {
 	if n.lateness.iteration-turn < keptIterations {
 		return n.lateness.current + int64(n.lateness.lengths[turn%keptIterations])
 	}
-	return n.lateness.current // so many turns later, the length of one is little
+	return n.lateness.current // after so many iterations, the length of one hardly matters
 }
 
-// elapsed is how long a measurement has taken, less what of it may have been the node's own lateness. It is sure where that
-// is little.
+// elapsed returns how long a measurement has taken, less the part that may be the node's own lateness, in microseconds. sure
+// reports whether that part is small.
 func (n *Node) elapsed(measured span) (took int64, sure bool) {
 	own := measured.lateness + n.latenessSince(measured.iteration)
 	took = n.now - measured.since
 	return max(took-own, 1), own <= max(took/8, measurementSlack)
 }
 
-// Measuring tells whether an answer is awaited whose time will be taught. The loop then waits in short steps, so that
-// it knows of time that it was not given.
+// Measuring reports whether the node waits for an answer whose time it will report to the module. The event loop then waits in
+// short steps, to notice when the process gets no processor time.
 func (n *Node) Measuring() bool { return n.activeProbes > 0 || n.upstreamCount > n.establishedCount }
--- a/node/operators.go
+++ b/node/operators.go
@@ -8,24 +8,25 @@
 	"coursewinch/lines"
 )
 
-// Operators' calls come on a listener of their own and are answered in the turn in which they are whole, so that what
-// they command has taken effect before the answer leaves. Their places are apart from clients': neither takes from the
-// other.
+// Operators call the node on a listener of its own. A call is answered in the loop iteration in which its request is complete,
+// so its command has taken effect before the answer is sent. Operators' connections are counted apart from clients'.
 
-const (
-	CallPlaces          = 16         // callers at once
-	operatorCallTimeout = 5 * second // for a call to be whole and its answer taken
-)
+// CallPlaces is the largest number of operators' connections at once.
+const CallPlaces = 16
+
+// operatorCallTimeout is the time for a call to be complete and its answer to be read.
+const operatorCallTimeout = 5 * second
 
-// operatorQueues are the callers.
+// operatorQueues are the connections of operators.
 type operatorQueues struct {
 	count      int
-	incomplete list.List // those with nothing whole yet, the one that came first in front
-	answered   list.List // those whose answer is on its way or taken
+	incomplete list.List // without a complete request, oldest first
+	answered   list.List // with an answer, sent or not
 }
 
-// Call takes a connection on the admin address. When all places are taken, a caller that has its answer goes, then the
-// one that has waited longest with nothing whole. Guards whole calls against those who never finish one.
+// Call adds a connection on the admin address. When all places are taken, a connection whose answer has been sent is closed,
+// otherwise the oldest one without a complete request. Callers that never complete a request so can't block others. ok is
+// false where no place could be made.
 func (n *Node) Call() (id uint64, in, out *lines.Ring, ok bool) {
 	queues := &n.operatorCalls
 	for queues.count >= CallPlaces {
@@ -53,20 +54,20 @@
 	return c.id, &c.in, &c.out, true
 }
 
-// readCall reads what a caller has sent so far, and answers once.
+// readCall reads what an operator has sent so far and answers the request once it is complete.
 func (n *Node) readCall(c *conn) {
 	if c.shedQueue == &n.operatorCalls.answered {
 		c.drainedBytes += c.in.Len()
 		c.in.Drop(c.in.Len())
 		if c.drainedBytes > maxDrainedBytes {
-			n.close(c) // guards the loop against a body without end
+			n.close(c) // the request body may never end
 		}
 		return
 	}
 	call, status, allow := admin.Read(c.in.Peek(c.in.Len()))
 	if status == 0 {
 		if c.inputEnded {
-			n.close(c) // it sends no more, and there is nothing to answer
+			n.close(c) // the request will not be completed
 		}
 		return
 	}
@@ -79,13 +80,13 @@
 	}
 	c.out.Widen()
 	if !c.out.Put(admin.Answer(status, allow, body)) {
-		c.out.Put(admin.Answer(admin.Failed, "", "the answer is longer than it may be\n"))
+		c.out.Put(admin.Answer(admin.Failed, "", "the answer is too long\n"))
 	}
 	n.net.Touch(c.id)
 	n.net.Shut(c.id)
 }
 
-// serveCall does what a call asks.
+// serveCall carries out a call and returns the answer.
 func (n *Node) serveCall(call admin.Call) (status int, body string) {
 	switch call {
 	case admin.Ready:
@@ -105,22 +106,24 @@
 	return admin.Failed, "not served\n"
 }
 
-// callSent and callEnded are told of a caller's connection.
+// callSent closes an operator's connection that has ended, once its answer has been sent.
 func (n *Node) callSent(c *conn) {
 	if c.inputEnded && c.shedQueue == &n.operatorCalls.answered && c.out.Len() == 0 {
 		n.close(c)
 	}
 }
 
+// callEnded handles the end of an operator's connection. Without a complete request there is nothing to answer.
 func (n *Node) callEnded(c *conn) {
 	if c.err != nil || c.shedQueue == &n.operatorCalls.incomplete || c.out.Len() == 0 {
-		n.close(c) // with no whole call there is nothing to answer
+		n.close(c)
 	}
 }
 
+// stateNoList is the state of a node without a usable list.
 const stateNoList = "no list"
 
-// state says in a word how the node stands. Only in the first does it take part in service.
+// state returns the node's state as shown to operators. The node serves clients in the state "ready" only.
 func (n *Node) state() string {
 	switch {
 	case n.stopAt > 0:
@@ -137,11 +140,12 @@
 	return "ready"
 }
 
-// Ready tells whether this very process can serve: it isn't ending, connections come to it, and it has a list with a host that takes flows, or one
-// that discovery gave it as its last word. PING is answered by the same, but that
-// a process which has handed over speaks for the other.
+// Ready reports whether this process can serve clients: it is not stopping, it accepts connections, and it has either a list
+// from discovery or a remembered list with a host that takes flows. PING is answered by the same rule, except that a process
+// that has handed over answers for its successor; see answersFront.
 func (n *Node) Ready() bool { return n.state() == "ready" }
 
+// hasList reports whether the node has a list by which it can serve.
 func (n *Node) hasList() bool {
 	if n.Count.Lists > 0 {
 		return true
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,16 +5,16 @@
 	"coursewinch/cluster/peers"
 )
 
-const maxPeerHeldGroups = 4096 // groups that peers alone have named
+const maxPeerHeldGroups = 4096 // groups known only from messages of other nodes
 
-// Tell passes what the module has for the other nodes on to the sockets; without peers nobody hears it.
+// Tell sends what the module reports to the other nodes. Where no way to send is configured, it does nothing.
 func (n *Node) Tell(servers []*balance.Server, holders []balance.Home) {
 	if n.config.Tell != nil {
 		peers.Write(servers, holders, n.config.Tell)
 	}
 }
 
-// Heard takes a datagram of another node. What makes no sense, or names hosts that the list doesn't, is dropped.
+// Heard handles a datagram of another node. Invalid datagrams and hosts that are not listed are ignored.
 func (n *Node) Heard(datagram []byte) {
 	defer n.recoverPanic(nil)
 	if !peers.Read(datagram, func(host uint32, busy float64) {
@@ -22,18 +22,19 @@
 			n.decider.Reported(&h.Server, busy, false)
 		}
 	}, n.peerHoldsGroup) {
-		n.logThrottled("peer_unread", "a datagram that is none of ours")
+		n.logThrottled("peer_unread", "datagram in an unknown encoding")
 	}
 }
 
-// peerHoldsGroup keeps where others hold a group for the time when this node meets it.
+// peerHoldsGroup records that a host holds a group for another node. The module is told at once if this node knows the group,
+// otherwise when its first flow comes.
 func (n *Node) peerHoldsGroup(group, host uint32) {
 	h := n.hostsByShortHash[host]
 	if h == nil {
 		return
 	}
 	if len(n.peerHeldGroups) >= maxPeerHeldGroups {
-		clear(n.peerHeldGroups) // guards the memory; what still holds is told again
+		clear(n.peerHeldGroups) // bounds memory; what is still true is reported again
 	}
 	n.peerHeldGroups[group] = h
 	if g := n.groups[n.groupHashes[group]]; g != nil {
@@ -41,7 +42,7 @@
 	}
 }
 
-// announcePeerHolder tells the module of a new group what others said of it before.
+// announcePeerHolder tells the module which host holds a new group for another node, if that is known.
 func (n *Node) announcePeerHolder(g *group) {
 	n.groupHashes[peers.Short(g.Hash)] = g.Hash
 	if h := n.peerHeldGroups[peers.Short(g.Hash)]; h != nil {
--- a/node/quota.go
+++ b/node/quota.go
@@ -1,26 +1,26 @@
 package node
 
-// A node whose core is full serves fewer the more come: it takes all, and their clients leave before it comes to them.
-// How many it takes a turn is therefore cut when turns grow long; what has been taken is finished first, and what waits
-// at the listener longer than that is turned away at the least cost.
+// A node whose core is saturated serves fewer clients the more connections it accepts, because clients leave before it gets to
+// them. It therefore accepts fewer connections per loop iteration when iterations grow long, and finishes the accepted ones
+// first. Connections that then wait too long at the listener are refused at the lowest cost.
 
 const (
-	maxAccepts          = 128      // connections a turn
-	longIteration       = 8 * ms   // a turn that takes longer has taken too many
-	saturatedAfter      = 250 * ms // without a pause: the core is full, and no burst
-	refusalsPerFlow     = 6        // so many refusals cost about what one flow costs
-	refusalShareDivisor = 12       // a twelfth of what flows cost is spent on refusals at the most
+	maxAccepts          = 128      // connections per loop iteration
+	longIteration       = 8 * ms   // an iteration that takes longer has accepted too many connections
+	saturatedAfter      = 250 * ms // work without a pause for this long is saturation and not a burst
+	refusalsPerFlow     = 6        // refusals that cost about as much as one flow
+	refusalShareDivisor = 12       // at most one over this of the cost of flows is spent on refusals
 )
 
-// acceptQuota is how many connections a turn may take.
+// acceptQuota is the number of connections that a loop iteration may accept.
 type acceptQuota struct {
-	accepts   int
-	busySince int64 // since when no wait has been one; 0 when the last was
-	accepted  int   // taken in this turn
+	accepts   int   // 0 before the first adjustment
+	busySince int64 // since when the loop has not waited for events; 0 if it just has
+	accepted  int   // in this iteration
 }
 
-// adjustQuota sets the quota by the turn before. It halves when that was long and had taken its fill, and grows by an eighth
-// else.
+// adjustQuota sets the quota by how late the loop is and how long the previous iteration took. The quota is halved when that
+// iteration was long and accepted connections, and grows by an eighth when it was short.
 func (n *Node) adjustQuota(lateness, lastLength int64) {
 	quota := &n.acceptQuota
 	if quota.accepts == 0 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// Quota is how many new connections this turn may take, and how many after these it may turn away.
+// Quota returns how many connections this loop iteration may accept, and how many further ones it may refuse.
 func (n *Node) Quota() (take, refuse int) {
 	quota := &n.acceptQuota
 	if n.acceptStoppedAt > 0 {
@@ -55,5 +55,5 @@
 	return quota.accepts, refuse
 }
 
-// Refused is that the loop has turned a connection away.
+// Refused counts a connection that the event loop has refused.
 func (n *Node) Refused() { n.Count.Refused++ }
--- a/node/tables.go
+++ b/node/tables.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// slots is a table of numbered places. An id is the number in its low half and, above it, how often the place has
-// been given out, so that an id kept too long finds nothing.
+// slots is a table of values by id. An id holds the slot's index in its low half and the slot's generation above it, so that
+// an id of a removed value finds nothing.
 type slots[T any] struct {
 	entries []slot[T]
 	free    []uint32
-	count   int
+	count   int // values in the table
 }
 
 type slot[T any] struct {
-	generation uint32
-	value      *T
+	generation uint32 // how often the slot has been used
+	value      *T     // nil while the slot is free
 }
 
+// add adds a value and returns its id.
 func (t *slots[T]) add(value *T) uint64 {
 	var index uint32
 	if n := len(t.free); n > 0 {
@@ -31,6 +32,7 @@
 	return uint64(entry.generation)<<32 | uint64(index)
 }
 
+// get returns the value with an id; nil if there is none.
 func (t *slots[T]) get(id uint64) *T {
 	index := uint32(id)
 	if int(index) >= len(t.entries) || t.entries[index].generation != uint32(id>>32) {
@@ -39,6 +41,7 @@
 	return t.entries[index].value
 }
 
+// remove removes the value with an id, if there is one.
 func (t *slots[T]) remove(id uint64) {
 	if t.get(id) != nil {
 		t.entries[uint32(id)].value = nil
@@ -47,17 +50,17 @@
 	}
 }
 
-// recentIDs holds the hashes of the last ids that clients gave. Each is new with every connection, so one that comes again
-// is wrong, also after the end of its flow: its client may have been moved and its host not have heard of that yet.
+// recentIDs holds the hashes of the most recent request ids. Clients have to use a new id for every connection. A repeated id
+// is an error even after the end of its flow: the client may have been moved while the host does not know of that yet.
 type recentIDs struct {
 	known map[uint64]bool
 	ring  []uint64
-	next  int
+	next  int // index in ring of the oldest id once it is full
 	limit int
-	added int // ever
+	added int // in total
 }
 
-// add tells whether an id is new.
+// add adds an id and reports whether it is new.
 func (r *recentIDs) add(id uint64) bool {
 	if r.known[id] {
 		return false
@@ -76,7 +79,7 @@
 	return true
 }
 
-// newest is the last so many ids, the newest last.
+// newest returns up to count of the newest ids, the newest last.
 func (r *recentIDs) newest(count int) []uint64 {
 	var newest []uint64
 	for i := range min(count, len(r.ring)) {
@@ -86,19 +89,20 @@
 	return newest
 }
 
-// deadline is one moment at which something is done unless it is called off. It is set and called off through the
-// one structure that holds them all.
+// deadline is a time at which a function runs unless the deadline is cancelled. It is set and cancelled through deadlines.
 type deadline struct {
 	at       int64
-	position int // in the heap from 1; 0 when off, taken when its time has come in this turn
+	position int // index in the heap plus 1; 0 when not set, positionTaken when due in this loop iteration
 	run      func()
 }
 
+// positionTaken marks a deadline that was taken out of the heap to run in this loop iteration.
 const positionTaken = -1
 
-// deadlines is a heap, the next one first.
+// deadlines is a heap of deadlines with the earliest first.
 type deadlines struct{ heap []*deadline }
 
+// set sets a deadline to a time, or moves it there.
 func (h *deadlines) set(d *deadline, at int64) {
 	h.cancel(d)
 	d.at = at
@@ -106,6 +110,7 @@
 	h.siftUp(len(h.heap) - 1)
 }
 
+// cancel cancels a deadline; one that is not set stays so.
 func (h *deadlines) cancel(d *deadline) {
 	i := d.position - 1
 	d.position = 0
@@ -155,7 +160,7 @@
 	d.position = i + 1
 }
 
-// next is the time of the first one; ok is false when there is none.
+// next returns the time of the earliest deadline; ok is false when there is none.
 func (h *deadlines) next() (at int64, ok bool) {
 	if len(h.heap) == 0 {
 		return 0, false
@@ -163,8 +168,8 @@
 	return h.heap[0].at, true
 }
 
-// takeDue takes out all that are due. What is set while they are done waits for the next turn, and each can still be
-// called off or set anew.
+// takeDue removes all deadlines that are due and appends them to into. Deadlines set while these run wait for the next loop
+// iteration. Until it has run, each one taken can still be cancelled or set again.
 func (h *deadlines) takeDue(now int64, into []*deadline) []*deadline {
 	for len(h.heap) > 0 && h.heap[0].at <= now {
 		d := h.heap[0]
--- a/node/watch.go
+++ b/node/watch.go
@@ -7,32 +7,37 @@
 	"coursewinch/discovery"
 )
 
-// The watch on discovery. Where one call fails, or none is out when something changes, it is taken in within six seconds of
-// discovery having it and being there to be asked: silence is noticed, a call made, and another where that brings nothing.
-// A watch goes on until a call has brought a list: it may only have been late. Calls are neither made beside each other
-// nor soon after each other for long: discovery works for those that were given up as well, and has many callers.
+// The watch on discovery is a call whose response goes on with changes. A change takes effect here within maxChangeDelay of
+// the time when discovery has it and can be reached, even if one call fails or no call is open when it happens: the silence
+// is noticed, a call is made, and a second one where the first brings nothing. An old watch is kept until a new call has
+// brought a list, because it may only have been late. There is one call at a time, and calls don't follow each other closely
+// for long: discovery also works for calls that were given up, and it has many callers.
 
+// Times of the watch.
 const (
-	watchSilenceTimeout = 2200 * ms // one of the lines that come every 2 s is missing
-	callTimeout         = 1500 * ms // a call without a list is lost,
-	queuedCallTimeout   = 3500 * ms // or waits its turn, where discovery has turned another away since the last list
-	maxChangeDelay      = 6 * second
-	roundTripMargin     = 100 * ms // to discovery and back, and what a turn of the loop may be late
-
-	reasonSilent = "silent" // why it is lost: all else ends by discovery's doing, which is down or has too many callers
-
-	firstListWait         = 2 * second // for which flows wait for a first list, where what is pushed counts as told at once
-	readyWithoutListAfter = 5 * second // the front is told yes, also without any list
+	watchSilenceTimeout = 2200 * ms  // discovery sends a line every 2 s; one is missing
+	callTimeout         = 1500 * ms  // a call that brings no list within this time is given up
+	queuedCallTimeout   = 3500 * ms  // the same where discovery has refused a call since the last list, so calls queue there
+	maxChangeDelay      = 6 * second // from a change at discovery until it takes effect here
+	roundTripMargin     = 100 * ms   // to discovery and back, including the lateness of a loop iteration
+
+	firstListWait         = 2 * second // flows wait this long for a first list, where pushed changes count as known at once
+	readyWithoutListAfter = 5 * second // PING is answered PONG from then on, even without a list
 )
 
-// Watch asks discovery for what has changed since the last version, and to go on telling. A version counts at its own
-// address only: another is asked for the whole list.
+// reasonSilent is logged as the reason for a lost watch or call that timed out. All other reasons are discovery's doing: it
+// is down or has too many callers.
+const reasonSilent = "silent"
+
+// Watch calls discovery for the changes since the last version and for changes to come. A version is valid at its own
+// address only; another address is asked for the whole list.
 func (n *Node) Watch() {
-	if n.pendingCall == nil { // else its own deadline sees to it
+	if n.pendingCall == nil { // otherwise that call's deadline leads to the next one
 		n.callDiscovery()
 	}
 }
 
+// callDiscovery opens a call to discovery.
 func (n *Node) callDiscovery() {
 	for n.net.Room() < 1 && n.shedOne() {
 	}
@@ -48,8 +53,9 @@
 	n.net.Dial(c.id, c.discoveryAddr, &c.in, &c.out)
 }
 
-// callPatience is how long a call may go without a list. Guards discovery against work for calls that were given up: with more
-// callers than it can answer, those that wait for less than its queue is long are each answered when nobody listens.
+// callPatience returns how long a call may go without a list. It is longer where discovery has refused a call: when
+// discovery has more callers than it can answer, calls that are given up sooner than its queue is served are each answered
+// when nobody waits any more.
 func (n *Node) callPatience() int64 {
 	if !n.callRefused {
 		return callTimeout
@@ -57,12 +63,13 @@
 	return min(queuedCallTimeout, maxChangeDelay-roundTripMargin-n.settings.RefusedMost())
 }
 
-// watchSilent is that a watch has missed a line. It is kept until another is there, and counts for nothing until then.
+// watchSilent handles a watch that has missed a line. The watch is kept until another one works, but no longer trusted.
 func (n *Node) watchSilent(c *conn) {
 	c.stale = true
 	n.callFailed(c, reasonSilent)
 }
 
+// readWatch reads what came on a watch or call.
 func (n *Node) readWatch(c *conn) {
 	wholeBefore := c.reader.Whole
 	for c.in.Len() > 0 {
@@ -70,7 +77,7 @@
 		size := len(chunk)
 		err := c.reader.Feed(chunk, func(update discovery.List) { n.receiveList(c, update) })
 		if n.conns.get(c.id) != c {
-			return // what it told has ended it
+			return // the list has closed this connection
 		}
 		c.in.Drop(size)
 		if err != nil {
@@ -78,18 +85,18 @@
 			return
 		}
 	}
-	if c == n.watch && c.reader.Whole > wholeBefore { // guards against one that trickles and never ends a line
+	if c == n.watch && c.reader.Whole > wholeBefore { // only whole lines count, not bytes of a line that never ends
 		c.stale = false
 		n.deadlines.set(&c.timer, n.now+watchSilenceTimeout)
 	}
 	n.net.Touch(c.id)
 }
 
-// receiveList takes in a list. The first of a call makes it the one that is watched.
+// receiveList applies a list. The first list of a call makes that call the watch.
 func (n *Node) receiveList(c *conn, update discovery.List) {
 	if c == n.pendingCall {
 		if c.requestedRev >= 0 && update.Rev < c.requestedRev && !update.All {
-			n.listRev = -1 // it began anew, and its versions are others: the whole list is asked for
+			n.listRev = -1 // discovery has restarted with new versions: the whole list is requested
 			n.watchLost(c, "began anew")
 			n.callDiscovery()
 			return
@@ -114,18 +121,22 @@
 	n.releaseHeldFlows()
 }
 
-// watchLost is that a watch or call is broken, silent for too long or makes no sense.
+// watchLost closes a watch or call that is broken, was silent for too long or sent something invalid.
 func (n *Node) watchLost(c *conn, reason string) {
 	n.close(c)
 	if c == n.pendingCall {
-		n.pendingCall, n.callRefused = nil, n.callRefused || reason != reasonSilent
-	} else if n.watch = nil; c.stale {
-		return // said when it fell silent
+		n.pendingCall = nil
+		n.callRefused = n.callRefused || reason != reasonSilent
+	} else {
+		n.watch = nil
+		if c.stale {
+			return // already reported when it fell silent
+		}
 	}
 	n.callFailed(c, reason)
 }
 
-// callFailed counts it; the module asks again, unless another call is out.
+// callFailed counts and logs a failed watch or call. The module then asks for the next call, unless one is open.
 func (n *Node) callFailed(c *conn, reason string) {
 	n.Count.CallsFailed++
 	log.Printf("msg=watch_lost why=%q discovery=%s rev=%d", reason, c.discoveryAddr, n.listRev)
@@ -135,7 +146,7 @@
 	}
 }
 
-// Follow watches discovery at another address, beside the one watched now until the new one speaks.
+// Follow watches discovery at another address. The current watch is kept until the new one has brought a list.
 func (n *Node) Follow(addr string) {
 	n.Count.Reloads++
 	if addr == n.config.Discovery {
@@ -151,13 +162,15 @@
 	}
 }
 
-// holdsFlows tells whether flows wait for the first list. What is pushed counts as told from the first moment of a process,
-// and the list that this one began with may be old: nothing goes to a host by it alone while a first list can be expected.
+// holdsFlows reports whether flows wait for the first list. Pushed changes count as known from the start of a process, and
+// the list that this process started with may be old: while a first list can be expected, no flow is sent to a host by the
+// old list alone. A successor's list is not old.
 func (n *Node) holdsFlows() bool {
 	return n.settings.Pushed && n.Count.Lists == 0 && !n.handover.isSuccessor && n.now < n.startedAt+firstListWait
 }
 
-// holdFlow keeps a flow until the first list has come. It is given up after half of its time, so that its client has the other.
+// holdFlow keeps a flow until the first list has come. After half of its time it is rejected, which leaves the client the
+// other half for a retry.
 func (n *Node) holdFlow(f *flow) {
 	f.awaitsList = true
 	n.heldFlows = append(n.heldFlows, f)
@@ -167,7 +180,7 @@
 	}
 }
 
-// releaseHeldFlows lets go on what waited for the first list.
+// releaseHeldFlows starts the flows that waited for the first list.
 func (n *Node) releaseHeldFlows() {
 	n.deadlines.cancel(&n.heldTimer)
 	held := n.heldFlows
@@ -180,7 +193,7 @@
 	}
 }
 
-// startFlow hands a flow to the module, if no limit of the fleet makes it wait.
+// startFlow passes a flow to the module, unless a fleet limit makes it wait or refuses it.
 func (n *Node) startFlow(f *flow) {
 	n.deadlines.set(&f.timer, f.Deadline)
 	if !n.blockedByLimit(f) {
--- a/node/writer.go
+++ b/node/writer.go
@@ -8,8 +8,8 @@
 
 var _ balance.Writer = (*Node)(nil)
 
-// Alarm asks for a Tick.
+// Alarm schedules a call of the decider's Tick.
 func (n *Node) Alarm(at int64) { n.deadlines.set(&n.tickAlarm, at) }
 
-// Trace writes a line of the module.
+// Trace logs a line of the decider.
 func (n *Node) Trace(text string) { log.Printf("msg=module text=%q", text) }
