--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -13,59 +13,59 @@
 // Two events that cross, in the bad order: docs/design/crossings.md has the table.
 
 // Guards an answer that is still to go against its client ending first: it may only have closed its own half.
-func TestAnswerOutlivesTheEndOfItsClient(t *testing.T) {
-	n, w := newNode(0)
-	c := w.openClient("")
-	w.up[c] = false // nothing of what is put for it has gone yet
-	w.receive(c, openLine)
-	w.run(1, func() { n.Ended(c, nil) })
-	if w.ended[c] != "shut" {
-		t.Fatal("closed over its answer:", w.ended[c])
+func TestAnswerSentAfterClientClosed(t *testing.T) {
+	n, net := newNode(0)
+	c := net.openClient("")
+	net.up[c] = false // nothing of what is put for it has gone yet
+	net.receive(c, openLine)
+	net.run(1, func() { n.Ended(c, nil) })
+	if net.ended[c] != "shut" {
+		t.Fatal("closed over its answer:", net.ended[c])
 	}
-	w.up[c] = true
-	w.run(1, func() {
-		w.Touch(c)
+	net.up[c] = true
+	net.run(1, func() {
+		net.Touch(c)
 		n.Sent(c)
 	})
-	w.expect(t, c, "BUSY\r\n", "close")
-	c = w.openClient("")
-	w.up[c] = false
-	w.receive(c, openLine)
-	w.run(1, func() { n.Ended(c, unix.ECONNRESET) })
-	if w.ended[c] != "close" || n.conns.count != 1 { // the watch
-		t.Fatal("waits for a client whose connection is broken", w.ended[c], n.conns.count)
+	net.expect(t, c, "BUSY\r\n", "close")
+	c = net.openClient("")
+	net.up[c] = false
+	net.receive(c, openLine)
+	net.run(1, func() { n.Ended(c, unix.ECONNRESET) })
+	if net.ended[c] != "close" || n.conns.count != 1 { // the watch
+		t.Fatal("waits for a client whose connection is broken", net.ended[c], n.conns.count)
 	}
 }
 
 // Guards hosts against connects for clients that have left while nobody was told: their end lies unread. The first
 // connect and each further one.
-func TestNoConnectForAClientThatLeft(t *testing.T) {
-	for name, before := range map[string]func(w *fakeNet) (client uint64){
-		"first": func(w *fakeNet) uint64 {
-			c := w.openClient("")
-			w.endedUnread[c] = true
-			w.receive(c, openLine)
+func TestNoConnectForClientThatLeft(t *testing.T) {
+	for name, before := range map[string]func(net *fakeNet) (client uint64){
+		"first": func(net *fakeNet) uint64 {
+			c := net.openClient("")
+			net.endedUnread[c] = true
+			net.receive(c, openLine)
 			return c
 		},
-		"further": func(w *fakeNet) uint64 {
-			c := w.openClient(openLine)
-			h := w.connectLast()
-			w.endedUnread[c] = true
-			w.receive(h, "BUSY\r\n")
+		"further": func(net *fakeNet) uint64 {
+			c := net.openClient(openLine)
+			h := net.connectLast()
+			net.endedUnread[c] = true
+			net.receive(h, "BUSY\r\n")
 			return c
 		},
 	} {
-		n, w := newNode(2)
+		n, net := newNode(2)
 		made := 0
-		c := before(w)
-		for _, to := range w.address {
+		c := before(net)
+		for _, to := range net.address {
 			if strings.HasPrefix(to, "h") {
 				made++
 			}
 		}
-		w.run(0, func() {})
-		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 || w.ended[c] != "close" || n.Count.Left != 1 {
-			t.Errorf("%s: %d connects, %d flows, %d links, client %q, %d left", name, made, n.flows.count, n.upstreamCount, w.ended[c], n.Count.Left)
+		net.run(0, func() {})
+		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 || net.ended[c] != "close" || n.Count.Left != 1 {
+			t.Errorf("%s: %d connects, %d flows, %d links, client %q, %d left", name, made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.Left)
 		}
 		for _, h := range n.hostList {
 			if h.Flows() != 0 {
@@ -81,71 +81,71 @@
 	for _, c := range []struct {
 		name, answer string
 		late         int64
-		so           func(n *Node, w *fakeNet, client uint64)
+		so           func(n *Node, net *fakeNet, client uint64)
 	}{
-		{"client left", "", ms, func(n *Node, w *fakeNet, client uint64) { w.endedUnread[client] = true }},
+		{"client left", "", ms, func(n *Node, net *fakeNet, client uint64) { net.endedUnread[client] = true }},
 		{"no time left", "BUSY\r\n", 2 * second, nil},
-		{"repeats unknown", "BUSY\r\n", 200 * ms, func(n *Node, w *fakeNet, client uint64) {
+		{"repeats unknown", "BUSY\r\n", 200 * ms, func(n *Node, net *fakeNet, client uint64) {
 			f := n.conns.get(client).flow
 			f.Type = &balance.ServiceType{Effect: balance.Referenced, SetupTarget: 300 * ms, MessageTarget: 60 * ms, Window: 150 * ms}
 		}},
 	} {
-		n, w := newNode(2)
+		n, net := newNode(2)
 		n.settings.Dial = 0
-		client := w.openClient(openLine)
-		first := w.connectLast()
+		client := net.openClient(openLine)
+		first := net.connectLast()
 		if c.so != nil {
-			c.so(n, w, client)
+			c.so(n, net, client)
 		}
-		w.receive(first, "ERR\r\n") // it may have run
+		net.receive(first, "ERR\r\n") // it may have run
 		if c.name == "client left" {
-			w.endedUnread[client] = false // so that a second connect goes out
-			n, w = newNode(1)
-			client = w.openClient(openLine)
-			w.endedUnread[client] = true
+			net.endedUnread[client] = false // so that a second connect goes out
+			n, net = newNode(1)
+			client = net.openClient(openLine)
+			net.endedUnread[client] = true
 		}
-		second := w.lastConn()
-		w.up[second] = true
-		w.run(c.late, func() { n.Connected(second) })
-		w.run(0, func() {})
-		if w.sent[second] != "" || w.sent[client] != c.answer || n.flows.count != 0 {
-			t.Errorf("%s: the host got %q, the client %q, %d flows", c.name, w.sent[second], w.sent[client], n.flows.count)
+		second := net.lastConn()
+		net.up[second] = true
+		net.run(c.late, func() { n.Connected(second) })
+		net.run(0, func() {})
+		if net.sent[second] != "" || net.sent[client] != c.answer || n.flows.count != 0 {
+			t.Errorf("%s: the host got %q, the client %q, %d flows", c.name, net.sent[second], net.sent[client], n.flows.count)
 		}
 	}
 }
 
 // Guards clients that rest without a flow, and those who come late, against the exit of the process: each has a last word.
-func TestTheDoorIsShutInOrder(t *testing.T) {
+func TestAcceptingStopsInOrder(t *testing.T) {
 	for name, flow := range map[string]bool{"nothing in hand": false, "a flow to the last": true} {
-		n, w := newNode(1)
-		rests, asked, half := w.openClient(""), w.openClient("PING\r\n"), w.openClient("OPEN 1 2 c=ch")
+		n, net := newNode(1)
+		rests, asked, half := net.openClient(""), net.openClient("PING\r\n"), net.openClient("OPEN 1 2 c=ch")
 		n.deadlines.cancel(&n.conns.get(rests).timer)
 		n.deadlines.cancel(&n.conns.get(half).timer)
 		stays := uint64(0)
 		if flow {
-			stays, _ = w.establish()
+			stays, _ = net.establish()
 		}
-		w.run(1, func() { n.Stop() })
+		net.run(1, func() { n.Stop() })
 		if take, _ := n.Quota(); take == 0 {
 			t.Fatal("the door is shut at once")
 		}
 		for n.acceptStoppedAt == 0 && n.now < n.stopDeadline {
-			w.run(moveInterval, func() {})
+			net.run(moveInterval, func() {})
 		}
 		if left := n.stopDeadline - n.now; left < lastLineTime-moveInterval || !flow && n.now > n.stopAt+minStopTime+moveInterval {
 			t.Fatal(name, "shut late", left)
 		}
-		w.expect(t, rests, "BUSY\r\n", "shut")
-		w.expect(t, asked, "PONG\r\nBUSY\r\n", "shut")
-		w.expect(t, half, "BUSY\r\n", "shut")
+		net.expect(t, rests, "BUSY\r\n", "shut")
+		net.expect(t, asked, "PONG\r\nBUSY\r\n", "shut")
+		net.expect(t, half, "BUSY\r\n", "shut")
 		if take, refuse := n.Quota(); take != 0 || refuse == 0 {
 			t.Fatal("taken behind the door", take, refuse)
 		}
-		w.receive(rests, openLine) // crossed its last word
-		if n.Done() || n.Count.Taken > 1 || len(w.sent[rests]) != len("BUSY\r\n") {
-			t.Fatal(name, n.Done(), n.Count.Taken, w.sent[rests])
+		net.receive(rests, openLine) // crossed its last word
+		if n.Done() || n.Count.Taken > 1 || len(net.sent[rests]) != len("BUSY\r\n") {
+			t.Fatal(name, n.Done(), n.Count.Taken, net.sent[rests])
 		}
-		w.run(1, func() {
+		net.run(1, func() {
 			for _, c := range []uint64{rests, asked, half, stays} {
 				if c != 0 {
 					n.Ended(c, nil)
@@ -156,11 +156,11 @@
 			t.Fatal(name, "all have ended, and it stays")
 		}
 	}
-	n, w := newNode(1)
-	w.openClient("PING\r\n")
-	w.run(1, func() { n.Stop() })
+	n, net := newNode(1)
+	net.openClient("PING\r\n")
+	net.run(1, func() { n.Stop() })
 	for !n.Done() {
-		w.run(moveInterval, func() {})
+		net.run(moveInterval, func() {})
 	}
 	if n.now > n.stopAt+minStopTime+lastLineTime+2*moveInterval {
 		t.Fatal("waits for ever for a client that has vanished", n.now-n.stopAt)
@@ -169,23 +169,23 @@
 
 // Guards a line against being taken for sent where its write failed: it never ran, and goes on also where a repeat would not be
 // known.
-func TestAFailedWriteNeverRan(t *testing.T) {
-	n, w := newNode(2)
+func TestFailedWriteIsRetried(t *testing.T) {
+	n, net := newNode(2)
 	n.settings.Types[0].Effect = balance.OnceOnly
-	c := w.openClient(openLine)
-	first := w.lastConn()
-	w.run(1, func() { n.Connected(first) }) // the line stays in its ring
-	w.run(1, func() { n.Ended(first, unix.EPIPE) })
-	if w.lastConn() == first || w.sent[c] != "" {
-		t.Fatalf("given up: %q", w.sent[c])
+	c := net.openClient(openLine)
+	first := net.lastConn()
+	net.run(1, func() { n.Connected(first) }) // the line stays in its ring
+	net.run(1, func() { n.Ended(first, unix.EPIPE) })
+	if net.lastConn() == first || net.sent[c] != "" {
+		t.Fatalf("given up: %q", net.sent[c])
 	}
-	w.receive(w.connectLast(), "UP 1\r\n")
-	w.expect(t, c, "UP 1\r\n", "")
+	net.receive(net.connectLast(), "UP 1\r\n")
+	net.expect(t, c, "UP 1\r\n", "")
 }
 
 // Guards each order of a host's word and the end of its connection within one turn, or with the word cut: what the flow's
 // outcome is, and that its client has one answer.
-func TestWordsOfHostsAndTheirEnd(t *testing.T) {
+func TestHostAnswerAndClose(t *testing.T) {
 	for _, c := range []struct {
 		text   string
 		err    error
@@ -205,19 +205,19 @@
 		{"UP 1\r\nUP 2\r\n", nil, balance.OnceOnly, "UP 1\r\nUP 2\r\n", "shut"},
 		{strings.Repeat("x", lines.Longest+3), nil, balance.OnceOnly, "ERR\r\n", "shut"}, // an answer that never ends
 	} {
-		n, w := newNode(2)
+		n, net := newNode(2)
 		n.settings.Types[0].Effect = c.effect
-		client := w.openClient(openLine)
-		host := w.connectLast()
-		w.run(1, func() {
-			w.in[host].Put([]byte(c.text))
+		client := net.openClient(openLine)
+		host := net.connectLast()
+		net.run(1, func() {
+			net.in[host].Put([]byte(c.text))
 			n.Received(host)
 			n.Ended(host, c.err)
 		})
-		if w.sent[client] != c.sent || w.ended[client] != c.ended {
-			t.Errorf("%.9q, %v: client got %q, ended %q", c.text, c.err, w.sent[client], w.ended[client])
+		if net.sent[client] != c.sent || net.ended[client] != c.ended {
+			t.Errorf("%.9q, %v: client got %q, ended %q", c.text, c.err, net.sent[client], net.ended[client])
 		}
-		if again := w.lastConn() != host; again != (c.sent == "") {
+		if again := net.lastConn() != host; again != (c.sent == "") {
 			t.Errorf("%.9q, %v: a further connect %t", c.text, c.err, again)
 		}
 	}
@@ -225,13 +225,13 @@
 
 // Guards a client that was served to its end against being told to come again: its host's last word lies unread as the node
 // moves it, for the module or because the node ends. At the last moment all are moved.
-func TestNoMoveBehindTheHostsEnd(t *testing.T) {
+func TestNoMoveAfterHostClosed(t *testing.T) {
 	for _, stops := range []bool{false, true} {
-		n, w := newNode(1)
-		c, h := w.establish()
+		n, net := newNode(1)
+		c, h := net.establish()
 		f := n.conns.get(c).flow
-		w.endedUnread[h] = true
-		w.run(1, func() {
+		net.endedUnread[h] = true
+		net.run(1, func() {
 			if stops {
 				n.Stop()
 			} else {
@@ -239,22 +239,22 @@
 			}
 		})
 		for n.now < n.stopDeadline-2*moveMargin {
-			w.run(moveInterval, func() {})
+			net.run(moveInterval, func() {})
 		}
-		w.expect(t, c, "UP 7\r\n", "")
-		w.receive(h, "BYE\r\n")
-		w.run(1, func() { n.Ended(h, nil) })
-		w.expect(t, c, "UP 7\r\nBYE\r\n", "shut")
+		net.expect(t, c, "UP 7\r\n", "")
+		net.receive(h, "BYE\r\n")
+		net.run(1, func() { n.Ended(h, nil) })
+		net.expect(t, c, "UP 7\r\nBYE\r\n", "shut")
 		if n.Count.Moves != 0 || n.Count.Completed != 1 {
 			t.Errorf("stops %t: %d moves, %d served to their end", stops, n.Count.Moves, n.Count.Completed)
 		}
 	}
-	n, w := newNode(1)
-	c, h := w.establish()
-	w.endedUnread[h] = true
-	w.run(1, n.Stop)
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.endedUnread[h] = true
+	net.run(1, n.Stop)
 	for n.now < n.stopDeadline-moveMargin {
-		w.run(moveInterval, func() {})
+		net.run(moveInterval, func() {})
 	}
-	w.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
+	net.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
 }
--- a/node/figures_test.go
+++ b/node/figures_test.go
@@ -23,7 +23,7 @@
 }
 
 // A host that drowned told message times with the word for loads, and so looked all but empty (all days at size).
-func TestMessageTimesAreNoLoads(t *testing.T) {
+func TestMessageTimesAreNotLoads(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		tells bool    // the settings say so
@@ -48,14 +48,14 @@
 		{"where hosts tell none, all are loads", false, false, []int64{ms, 700 * ms, second}, []string{"60000", "600", "500"},
 			"[load 60000 load 600 load 500]"},
 	} {
-		n, w := newNode(1)
+		n, net := newNode(1)
 		n.settings.TellsTime, n.hostsReportTimes = c.tells, c.heard
 		d := &figureDecider{Decider: n.decider}
 		n.decider = d
-		_, host := w.establish()
+		_, host := net.establish()
 		for i, told := range c.told {
-			w.run(c.after[i]-1, func() {})
-			w.receive(host, "LOAD "+told+"\r\n")
+			net.run(c.after[i]-1, func() {})
+			net.receive(host, "LOAD "+told+"\r\n")
 		}
 		if got := fmt.Sprint(d.calls); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
--- a/node/flows.go
+++ b/node/flows.go
@@ -17,10 +17,10 @@
 
 // The stages of a flow, in order.
 const (
-	Waiting     Stage = iota // no connect is in progress
-	Dialing                  // the connection is not up, or part of the request is still unsent
-	Asked                    // the host has been sent the whole request
-	Established              // the host has accepted the flow
+	Waiting        Stage = iota // no connect is in progress
+	Dialing                     // the connection is not up, or part of the request is still unsent
+	AwaitingAnswer              // the host has been sent the whole request
+	Established                 // the host has accepted the flow
 )
 
 // Causes of failed connects.
@@ -270,7 +270,7 @@
 
 // requestSent records that a flow's whole request has been sent to its host.
 func (n *Node) requestSent(f *flow) {
-	f.stage = Asked
+	f.stage = AwaitingAnswer
 	n.Count.Asked++
 }
 
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -25,34 +25,34 @@
 	moved     map[uint64]uint64 // connections of the one to those of the other
 }
 
-func (p *fakePeer) Tell(m *handover.Message) { p.messages = append(p.messages, m) }
-func (p *fakePeer) Take()                    { p.accepting = true }
-func (p *fakePeer) Give(m *handover.Message, conns ...uint64) bool {
-	if p.refuses {
+func (peer *fakePeer) Tell(m *handover.Message) { peer.messages = append(peer.messages, m) }
+func (peer *fakePeer) Take()                    { peer.accepting = true }
+func (peer *fakePeer) Give(m *handover.Message, conns ...uint64) bool {
+	if peer.refuses {
 		return false
 	}
 	text, err := m.Encode()
 	if err != nil {
-		p.t.Fatal(err)
+		peer.t.Fatal(err)
 	}
 	if m, err = handover.Decode(text, len(conns)); err != nil {
-		p.t.Fatal(err)
+		peer.t.Fatal(err)
 	}
-	p.to.run(1, func() {
+	peer.to.run(1, func() {
 		var got []Adopted
 		if m.Client != nil {
-			got = []Adopted{p.to.node.TakeClient(m.Client, p.to.from)}
+			got = []Adopted{peer.to.node.TakeClient(m.Client, peer.to.from)}
 		} else {
-			front, back := p.to.node.TakeFlow(m.Flow, p.to.from)
+			front, back := peer.to.node.TakeFlow(m.Flow, peer.to.from)
 			got = []Adopted{front, back}
 		}
 		for i, a := range got {
-			p.to.register(a.ID, "", a.In, a.Out)
-			p.to.up[a.ID] = true
-			p.moved[conns[i]] = a.ID
+			peer.to.register(a.ID, "", a.In, a.Out)
+			peer.to.up[a.ID] = true
+			peer.moved[conns[i]] = a.ID
 		}
 		for _, a := range got {
-			p.to.node.Resumed(a.ID)
+			peer.to.node.Resumed(a.ID)
 		}
 	})
 	return true
@@ -67,37 +67,37 @@
 }
 
 // startSuccessor lets a new process take in what the old one knows.
-func (p *fakePeer) startSuccessor(s *handover.State) *fakeNet {
-	p.t.Helper()
-	n, w := newNode(1)
-	fresh := New(n.settings, Config{Admission: admission.Limits{PerAddress: 100}}, w)
-	w.from = netip.MustParseAddrPort("127.0.0.9:1")
+func (peer *fakePeer) startSuccessor(s *handover.State) *fakeNet {
+	peer.t.Helper()
+	n, net := newNode(1)
+	fresh := New(n.settings, Config{Admission: admission.Limits{PerAddress: 100}}, net)
+	net.from = netip.MustParseAddrPort("127.0.0.9:1")
 	fresh.settings.Groups = true
-	w.node = fresh
-	p.to = w
-	back := &fakePeer{t: p.t}
+	net.node = fresh
+	peer.to = net
+	back := &fakePeer{t: peer.t}
 	fresh.Inherit(back, s)
-	fresh.Begin(p.from.node.now, discovery.List{})
-	return w
+	fresh.Begin(peer.from.node.now, discovery.List{})
+	return net
 }
 
-func (p *fakePeer) steps(w *fakeNet, n int) {
+func (peer *fakePeer) steps(net *fakeNet, n int) {
 	for range n {
-		w.run(handOverInterval, func() {})
+		net.run(handOverInterval, func() {})
 	}
 }
 
 // Guards a roll to a file with other service types: what belongs to one goes by its name, and of one that is gone the
 // clients are told to come again.
-func TestServiceTypesGoByName(t *testing.T) {
-	named3 := func(w *fakeNet, names ...string) *Node {
-		set := *w.node.settings
+func TestHandoverMatchesTypesByName(t *testing.T) {
+	named3 := func(net *fakeNet, names ...string) *Node {
+		set := *net.node.settings
 		set.Types, set.Names, set.Limits = nil, map[string]int{}, nil
 		for i, name := range names {
-			set.Types = append(set.Types, w.node.settings.Types[0])
+			set.Types = append(set.Types, net.node.settings.Types[0])
 			set.Names[name], set.Limits = i, append(set.Limits, 0)
 		}
-		return New(&set, Config{}, w)
+		return New(&set, Config{}, net)
 	}
 	old, p := newPredecessor(t, 2)
 	now := old.node.now
@@ -136,7 +136,7 @@
 }
 
 // Guards clients of a rolled node: no flow is moved or cut off, no byte lost, and what the old process knew goes on.
-func TestFlowsGoOnInTheNewProcess(t *testing.T) {
+func TestHandoverKeepsFlows(t *testing.T) {
 	old, p := newPredecessor(t, 3)
 	n := old.node
 	c, h := old.establish()
@@ -215,7 +215,7 @@
 }
 
 // Guards against a hand-over that stops half way: at each step what is left goes on as without it.
-func TestHandOverThatFails(t *testing.T) {
+func TestFailedHandover(t *testing.T) {
 	old, p := newPredecessor(t, 1)
 	n := old.node
 	c, _ := old.establish()
@@ -252,7 +252,7 @@
 
 // Guards the rule on drains: what one process was told holds in the other, until that hears for itself; and a drained
 // node, which stays so until an operator says otherwise.
-func TestDrainsAreToldToBoth(t *testing.T) {
+func TestDrainsHoldInBothProcesses(t *testing.T) {
 	old, p := newPredecessor(t, 2)
 	old.node.Drain()
 	s, _ := old.node.Heir(p)
@@ -277,7 +277,7 @@
 }
 
 // What the module knew goes on; of a host started anew since, nothing does.
-func TestKnowledgeGoesOn(t *testing.T) {
+func TestHandoverKeepsKnowledge(t *testing.T) {
 	old, p := newPredecessor(t, 3)
 	for range 20 {
 		old.establish()
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -32,16 +32,16 @@
 // newRecordingNode is a node whose module is listened to.
 func newRecordingNode(t *testing.T) (*Node, *fakeNet, *recordingDecider) {
 	t.Helper()
-	n, w := newNode(2)
+	n, net := newNode(2)
 	h := &recordingDecider{module: n.decider.(module)}
 	n.decider = h
-	return n, w, h
+	return n, net, h
 }
 
 // runLate plays a turn after a turn that took before, in which what came had waited for late.
-func (w *fakeNet) runLate(late, before int64, in func()) {
-	w.node.Late(late, before)
-	w.run(late+1, in)
+func (net *fakeNet) runLate(late, before int64, in func()) {
+	net.node.Late(late, before)
+	net.run(late+1, in)
 }
 
 // TestOwnLatenessInProbes answers probes while the node itself is late: what is taught is what is left without it.
@@ -56,18 +56,18 @@
 		{"PING left late", 20 * ms, 0, probeResult{balance.Recalled, 1}},
 		{"PONG was read late", 0, 20 * ms, probeResult{balance.Recalled, 2 * ms}},
 	} {
-		n, w, h := newRecordingNode(t)
+		n, net, h := newRecordingNode(t)
 		s := n.hostList[0]
-		w.runLate(0, 0, func() { n.Probe(&s.Server) })
-		id := w.lastConn()
-		w.up[id] = true
-		w.runLate(0, 0, func() { n.Connected(id) })
+		net.runLate(0, 0, func() { n.Probe(&s.Server) })
+		id := net.lastConn()
+		net.up[id] = true
+		net.runLate(0, 0, func() { n.Connected(id) })
 		n.Late(0, 0)
-		w.run(1, func() { w.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
+		net.run(1, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		h.probes = nil
-		w.runLate(0, 0, func() { n.Probe(&s.Server) })
+		net.runLate(0, 0, func() { n.Probe(&s.Server) })
 		n.Late(c.late, c.before)
-		w.run(2*ms+c.late, func() { w.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
+		net.run(2*ms+c.late, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		if len(h.probes) != 1 || h.probes[0] != c.want {
 			t.Errorf("%s: told %v, not %v", c.name, h.probes, c.want)
 		}
@@ -76,22 +76,22 @@
 
 // TestOwnLatenessInSetUps wants both legs of a set-up without the node's own part.
 func TestOwnLatenessInSetUps(t *testing.T) {
-	n, w, h := newRecordingNode(t)
+	n, net, h := newRecordingNode(t)
 	n.Late(0, 0)
-	w.openClient(openLine)
-	id := w.lastConn()
-	w.up[id] = true
+	net.openClient(openLine)
+	id := net.lastConn()
+	net.up[id] = true
 	n.Late(30*ms, 10*ms) // the connection was up long before the node came to see it
-	w.run(41*ms, func() { n.Connected(id) })
+	net.run(41*ms, func() { n.Connected(id) })
 	n.Late(5*ms, 2*ms)
-	w.run(8*ms, func() { w.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
+	net.run(8*ms, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 	if len(h.setups) != 1 || h.setups[0] > 3*ms {
 		t.Errorf("of a set-up of 2 ms beside 47 ms of the node's own the module is told %v", h.setups)
 	}
 }
 
 func TestMeasuring(t *testing.T) {
-	n, w, _ := newRecordingNode(t)
+	n, net, _ := newRecordingNode(t)
 	want := func(on bool, when string) {
 		t.Helper()
 		if n.Measuring() != on {
@@ -99,19 +99,19 @@
 		}
 	}
 	want(false, "idle")
-	w.openClient(openLine)
+	net.openClient(openLine)
 	want(true, "a connect is out")
-	id := w.connectLast()
-	w.receive(id, "UP 7\r\n")
+	id := net.connectLast()
+	net.receive(id, "UP 7\r\n")
 	want(false, "established")
-	w.run(1, func() { n.Probe(&n.hostList[0].Server) })
+	net.run(1, func() { n.Probe(&n.hostList[0].Server) })
 	want(true, "a probe is out")
-	w.run(second, func() {})
+	net.run(second, func() {})
 	want(false, "given up")
 }
 
-// TestLatenessForgets reads no turn's length for another's whose place it has.
-func TestLatenessForgets(t *testing.T) {
+// TestLatenessHistoryWraps reads no turn's length for another's whose place it has.
+func TestLatenessHistoryWraps(t *testing.T) {
 	n, _ := newNode(1)
 	n.Late(0, 0)
 	m := n.startSpan()
@@ -127,70 +127,70 @@
 // TestClockJumps lets an hour pass within a flow's set-up, and then a second go back: every flow has its answer, nothing
 // breaks, and the next is served.
 func TestClockJumps(t *testing.T) {
-	n, w, _ := newRecordingNode(t)
+	n, net, _ := newRecordingNode(t)
 	n.Late(0, 0)
-	c := w.openClient(openLine)
+	c := net.openClient(openLine)
 	n.Late(3600*second, 0)
-	w.run(3600*second, func() {})
-	w.run(1, func() {})
-	if w.sent[c] == "" || n.Count.Panics > 0 {
-		t.Errorf("answered %q, %d panics", w.sent[c], n.Count.Panics)
+	net.run(3600*second, func() {})
+	net.run(1, func() {})
+	if net.sent[c] == "" || n.Count.Panics > 0 {
+		t.Errorf("answered %q, %d panics", net.sent[c], n.Count.Panics)
 	}
 	n.Late(-second, -second)
-	w.run(-second, func() {})
-	w.run(2*second, func() {})
-	if client, _ := w.establish(); w.sent[client] != "UP 7\r\n" || n.Count.Panics > 0 {
-		t.Errorf("after it answered %q, %d panics", w.sent[client], n.Count.Panics)
+	net.run(-second, func() {})
+	net.run(2*second, func() {})
+	if client, _ := net.establish(); net.sent[client] != "UP 7\r\n" || n.Count.Panics > 0 {
+		t.Errorf("after it answered %q, %d panics", net.sent[client], n.Count.Panics)
 	}
 }
 
-// TestVanished ends clients that say nothing, and those that take nothing, for longer than is allowed, and no others.
-func TestVanished(t *testing.T) {
-	n, w, _ := newRecordingNode(t)
+// TestStalledClientsAreClosed ends clients that say nothing, and those that take nothing, for longer than is allowed, and no others.
+func TestStalledClientsAreClosed(t *testing.T) {
+	n, net, _ := newRecordingNode(t)
 	n.limits.Idle, n.limits.Stalled = 10*second, 5*second
-	quiet, _ := w.establish()
-	stuck, host := w.establish()
-	sound, soundHost := w.establish()
-	w.up[stuck] = false // takes nothing more
-	w.receive(stuck, "say\r\n")
-	w.receive(host, "say\r\n")
+	quiet, _ := net.establish()
+	stuck, host := net.establish()
+	sound, soundHost := net.establish()
+	net.up[stuck] = false // takes nothing more
+	net.receive(stuck, "say\r\n")
+	net.receive(host, "say\r\n")
 	for range 9 {
-		w.run(second, func() {})
-		w.receive(sound, "say\r\n")
-		w.receive(soundHost, "say\r\n")
-		if w.ended[stuck] == "" {
-			w.receive(stuck, "say\r\n")
-			w.receive(host, "say\r\n")
+		net.run(second, func() {})
+		net.receive(sound, "say\r\n")
+		net.receive(soundHost, "say\r\n")
+		if net.ended[stuck] == "" {
+			net.receive(stuck, "say\r\n")
+			net.receive(host, "say\r\n")
 		}
 	}
-	if w.ended[stuck] == "" || n.Count.Vanished != 1 {
-		t.Errorf("the stalled one ended %q, %d vanished", w.ended[stuck], n.Count.Vanished)
+	if net.ended[stuck] == "" || n.Count.Vanished != 1 {
+		t.Errorf("the stalled one ended %q, %d vanished", net.ended[stuck], n.Count.Vanished)
 	}
 	for range 3 {
-		w.run(second, func() {})
-		w.receive(sound, "say\r\n")
-		w.receive(soundHost, "say\r\n")
+		net.run(second, func() {})
+		net.receive(sound, "say\r\n")
+		net.receive(soundHost, "say\r\n")
 	}
-	if w.ended[quiet] == "" || w.ended[sound] != "" || n.Count.Vanished != 2 {
-		t.Errorf("the silent one ended %q, the sound one %q, %d vanished", w.ended[quiet], w.ended[sound], n.Count.Vanished)
+	if net.ended[quiet] == "" || net.ended[sound] != "" || n.Count.Vanished != 2 {
+		t.Errorf("the silent one ended %q, the sound one %q, %d vanished", net.ended[quiet], net.ended[sound], n.Count.Vanished)
 	}
 }
 
 // TestStarvedNodeBlamesNobody: while the node gets little of its core, set-ups that take long put no host aside; given
 // its core back, it takes them for what they are.
-func TestStarvedNodeBlamesNobody(t *testing.T) {
-	n, w, _ := newRecordingNode(t)
+func TestStarvedNodeBlamesNoHost(t *testing.T) {
+	n, net, _ := newRecordingNode(t)
 	no := 0
 	serve := func(flows int, late, took int64) {
 		for range flows {
 			n.Late(late, 0)
 			no++
 			was := n.Count.Connects
-			w.openClient(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", no, no))
+			net.openClient(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", no, no))
 			if n.Count.Connects > was {
-				id := w.connectLast()
+				id := net.connectLast()
 				n.Late(late, 0)
-				w.run(took, func() { w.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
+				net.run(took, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 			}
 		}
 	}
@@ -200,7 +200,7 @@
 	if n.Types[0].Busy > was {
 		t.Errorf("%d flows rejected by a node that is late itself", n.Types[0].Busy-was)
 	}
-	w.run(5*second, func() {})
+	net.run(5*second, func() {})
 	serve(20, 0, 200*ms)
 	if n.Types[0].Busy == was {
 		t.Error("slow set-ups mean nothing to a node that is in time")
--- a/node/limits.go
+++ b/node/limits.go
@@ -423,7 +423,7 @@
 			flows = append(flows, f)
 		}
 	}
-	order := map[Stage]int{Waiting: 0, Established: 1, Dialing: 2, Asked: 3}
+	order := map[Stage]int{Waiting: 0, Established: 1, Dialing: 2, AwaitingAnswer: 3}
 	slices.SortStableFunc(flows, func(x, y *flow) int {
 		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.establishedAt, x.establishedAt))
 	})
@@ -435,7 +435,7 @@
 			continue
 		}
 		client, answer, line := f.client, byte(capture.Rejected), n.busyAnswer()
-		if f.stage == Asked {
+		if f.stage == AwaitingAnswer {
 			answer, line = capture.Aborted, "ERR\r\n" // the host may have run it
 		}
 		n.countAnswer(f, answer)
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -11,20 +11,20 @@
 
 // newLimitedNode gives a node that is a fleet of its own and owns all keys, with limits.
 func newLimitedNode(hosts int, all ...FleetLimit) (*Node, *fakeNet) {
-	n, w := newNodeWith(hosts, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Limits: all}})
-	n.settings.Groups, w.from, w.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
+	n, net := newNodeWith(hosts, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Limits: all}})
+	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
-		w.run(50*ms, func() {}) // until no process before it may have owned or had anything
+		net.run(50*ms, func() {}) // until no process before it may have owned or had anything
 	}
-	return n, w
+	return n, net
 }
 
 // openAndAnswer is a client that asks and, where the node connects it, is set up.
-func (w *fakeNet) openAndAnswer(line string) uint64 {
-	id := w.openClient(line)
-	w.run(20*ms, func() {})
-	if host := w.lastConn(); w.address[host] != "" && !w.up[host] {
-		w.receive(w.connectLast(), "UP 7\r\n")
+func (net *fakeNet) openAndAnswer(line string) uint64 {
+	id := net.openClient(line)
+	net.run(20*ms, func() {})
+	if host := net.lastConn(); net.address[host] != "" && !net.up[host] {
+		net.receive(net.connectLast(), "UP 7\r\n")
 	}
 	return id
 }
@@ -50,17 +50,17 @@
 		{"one host", concurrentLimit(OverHost, "s-0", 1), openLine, 4},
 		{"rate", FleetLimit{Over: OverType, Rate: limits.Limit{Rate: 1, Burst: 3, Strict: true}}, openLine, 2},
 	} {
-		n, w := newLimitedNode(2, c.of)
+		n, net := newLimitedNode(2, c.of)
 		if err := c.of.Check(1); err != nil {
 			t.Fatal(err)
 		}
 		var clients []uint64
 		for range 4 {
-			clients = append(clients, w.openAndAnswer(c.line))
+			clients = append(clients, net.openAndAnswer(c.line))
 		}
 		refused := 0
 		for _, id := range clients {
-			if strings.HasPrefix(w.sent[id], "BUSY") {
+			if strings.HasPrefix(net.sent[id], "BUSY") {
 				refused++
 			}
 		}
@@ -69,38 +69,38 @@
 		}
 		for _, id := range clients {
 			if n.conns.get(id) != nil {
-				w.run(1, func() { w.node.Ended(id, nil) })
+				net.run(1, func() { net.node.Ended(id, nil) })
 			}
 		}
 		for range 40 {
-			w.run(50*ms, func() {})
+			net.run(50*ms, func() {})
 		}
 		if l := n.cluster.limits[0]; l.concurrent != nil && l.concurrent.Used() != 0 {
 			t.Errorf("%s: %d in use after all have ended", c.name, l.concurrent.Used())
 		}
-		if again := w.openAndAnswer(c.line); strings.HasPrefix(w.sent[again], "BUSY") {
+		if again := net.openAndAnswer(c.line); strings.HasPrefix(net.sent[again], "BUSY") {
 			t.Errorf("%s: refused after all have ended", c.name)
 		}
 	}
 }
 
 // TestLoweredWhileItRuns: figures change at once, and what is over ends; a limit that is not there waits for the next start.
-func TestLoweredWhileItRuns(t *testing.T) {
-	n, w := newLimitedNode(2, concurrentLimit(OverType, "", 4))
+func TestLimitLoweredAtRuntime(t *testing.T) {
+	n, net := newLimitedNode(2, concurrentLimit(OverType, "", 4))
 	for range 4 {
-		w.openAndAnswer(openLine)
+		net.openAndAnswer(openLine)
 	}
 	if n.SetLimits([]FleetLimit{concurrentLimit(OverGroup, "", 4)}) || n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 4), concurrentLimit(OverGroup, "", 4)}) || !n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 1)}) {
 		t.Error("which limits are there is not told apart")
 	}
 	for range 10 {
-		w.run(50*ms, func() {})
+		net.run(50*ms, func() {})
 	}
 	if used := n.cluster.limits[0].concurrent.Used(); used != 1 {
 		t.Errorf("%d in use of 1", used)
 	}
 	moved := 0
-	for _, sent := range w.sent {
+	for _, sent := range net.sent {
 		moved += strings.Count(sent, moveLine)
 	}
 	if moved != 3 {
@@ -120,11 +120,11 @@
 			}
 		}
 		b.Run(map[bool]string{true: "none", false: "ten"}[count == 0], func(b *testing.B) {
-			n, w := newLimitedNode(2, all...)
+			n, net := newLimitedNode(2, all...)
 			c := &conn{limitPrefix: netip.MustParsePrefix("10.0.0.1/32")}
 			for i := 0; b.Loop(); i++ {
 				if i%1000 == 0 {
-					w.run(50*ms, func() {}) // what rates have is not used up
+					net.run(50*ms, func() {}) // what rates have is not used up
 				}
 				f := &flow{client: c, id: 1}
 				f.Ref = f
@@ -139,29 +139,29 @@
 
 // newCutOffNode gives a node that can't reach the owner of any key: it waits for its word, and then goes by its own part.
 func newCutOffNode(all ...FleetLimit) (*Node, *fakeNet) {
-	n, w := newNodeWith(2, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Others: 1, Limits: all, Send: func(int, []byte) {}}})
-	n.settings.Groups, w.from, w.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
+	n, net := newNodeWith(2, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Others: 1, Limits: all, Send: func(int, []byte) {}}})
+	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
-		w.run(50*ms, func() {})
+		net.run(50*ms, func() {})
 	}
-	return n, w
+	return n, net
 }
 
 // TestAPermitForAClientThatLeftIsGivenBack: the word that lets a flow pass comes after its client has left, for each thing
 // that a number at once can be over.
-func TestAPermitForAClientThatLeftIsGivenBack(t *testing.T) {
+func TestPermitOfDepartedClientIsReturned(t *testing.T) {
 	for _, over := range []string{OverAddress, OverType, OverGroup} {
 		of := concurrentLimit(over, "", 8)
 		of.AtOnce.Strict, of.Rate.Strict = false, false
-		n, w := newCutOffNode(of)
+		n, net := newCutOffNode(of)
 		for range 3 {
-			id := w.openClient("OPEN 1 2 c=chat,d=2000,g=red\r\n")
+			id := net.openClient("OPEN 1 2 c=chat,d=2000,g=red\r\n")
 			if f := n.conns.get(id).flow; f == nil || f.stage != Waiting || f.pendingKey == 0 {
 				t.Fatalf("over %s: it does not wait", over)
 			}
-			w.run(1, func() { n.Ended(id, nil) })
+			net.run(1, func() { n.Ended(id, nil) })
 			for range 40 {
-				w.run(50*ms, func() {})
+				net.run(50*ms, func() {})
 			}
 		}
 		l := n.cluster.limits[0].concurrent
@@ -172,13 +172,13 @@
 }
 
 // TestNoWordOfTheFleetInTime: a flow whose time is up before the fleet's word went nowhere, and its client may come again.
-func TestNoWordOfTheFleetInTime(t *testing.T) {
-	n, w := newCutOffNode(concurrentLimit(OverType, "", 8))
-	id := w.openClient("OPEN 1 2 c=chat,d=100\r\n")
+func TestNoLimitAnswerInTime(t *testing.T) {
+	n, net := newCutOffNode(concurrentLimit(OverType, "", 8))
+	id := net.openClient("OPEN 1 2 c=chat,d=100\r\n")
 	for range 120 {
-		w.run(ms, func() {})
+		net.run(ms, func() {})
 	}
-	if !strings.HasPrefix(w.sent[id], "BUSY") || len(w.sent[id]) > 12 || n.flows.count != 0 {
-		t.Errorf("answered %q", w.sent[id])
+	if !strings.HasPrefix(net.sent[id], "BUSY") || len(net.sent[id]) > 12 || n.flows.count != 0 {
+		t.Errorf("answered %q", net.sent[id])
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -33,26 +33,26 @@
 	from        netip.AddrPort
 }
 
-func (w *fakeNet) register(id uint64, to string, in, out *lines.Ring) {
-	w.ids = append(w.ids, id)
-	w.address[id], w.in[id], w.out[id] = to, in, out
+func (net *fakeNet) register(id uint64, to string, in, out *lines.Ring) {
+	net.ids = append(net.ids, id)
+	net.address[id], net.in[id], net.out[id] = to, in, out
 }
-func (w *fakeNet) Dial(id uint64, to string, in, out *lines.Ring) { w.register(id, to, in, out) }
+func (net *fakeNet) Dial(id uint64, to string, in, out *lines.Ring) { net.register(id, to, in, out) }
 func (w *fakeNet) Touch(id uint64) {
 	for r := w.out[id]; w.up[id] && r.Len() > 0; {
 		w.sent[id] += string(r.Head())
 		r.Drop(len(r.Head()))
 	}
 }
-func (w *fakeNet) Shut(id uint64)  { w.ended[id] = "shut" }
-func (w *fakeNet) Close(id uint64) { w.ended[id] = "close" }
-func (w *fakeNet) Reset(id uint64) { w.ended[id] = "reset" }
-func (w *fakeNet) Room() int       { return w.room }
+func (net *fakeNet) Shut(id uint64)  { net.ended[id] = "shut" }
+func (net *fakeNet) Close(id uint64) { net.ended[id] = "close" }
+func (net *fakeNet) Reset(id uint64) { net.ended[id] = "reset" }
+func (net *fakeNet) Room() int       { return net.room }
 func (w *fakeNet) Part(id uint64) {
 	w.Touch(id)
 	w.ended[id] = "part"
 }
-func (w *fakeNet) Gone(id uint64) bool { return w.endedUnread[id] }
+func (net *fakeNet) Gone(id uint64) bool { return net.endedUnread[id] }
 
 const startTime = 1_000 * second
 
@@ -78,7 +78,7 @@
 	return l
 }
 
-func (w *fakeNet) run(after int64, in func()) { w.node.Turn(w.node.now+after, in) }
+func (net *fakeNet) run(after int64, in func()) { net.node.Turn(net.node.now+after, in) }
 
 // receive gives a connection text that has come.
 func (w *fakeNet) receive(id uint64, text string) {
@@ -88,7 +88,7 @@
 	})
 }
 
-func (w *fakeNet) lastConn() uint64 { return w.ids[len(w.ids)-1] }
+func (net *fakeNet) lastConn() uint64 { return net.ids[len(net.ids)-1] }
 
 // connectLast lets the last connection that was asked for come up.
 func (w *fakeNet) connectLast() uint64 {
@@ -99,18 +99,18 @@
 }
 
 // openClient opens a client's connection and says something on it.
-func (w *fakeNet) openClient(text string) uint64 {
+func (net *fakeNet) openClient(text string) uint64 {
 	var id uint64
-	w.clients++ // each has an id of its own
-	text = strings.Replace(text, "OPEN 1 ", fmt.Sprintf("OPEN %d ", w.clients), 1)
-	w.run(1, func() {
+	net.clients++ // each has an id of its own
+	text = strings.Replace(text, "OPEN 1 ", fmt.Sprintf("OPEN %d ", net.clients), 1)
+	net.run(1, func() {
 		var in, out *lines.Ring
-		id, in, out, _ = w.node.Accept(w.from)
-		w.register(id, "", in, out)
-		w.up[id] = true
+		id, in, out, _ = net.node.Accept(net.from)
+		net.register(id, "", in, out)
+		net.up[id] = true
 	})
 	if text != "" {
-		w.receive(id, text)
+		net.receive(id, text)
 	}
 	return id
 }
@@ -118,80 +118,80 @@
 const openLine = "OPEN 1 2 c=chat,d=2000\r\n"
 
 // establish gives an established flow.
-func (w *fakeNet) establish() (client, host uint64) {
-	client = w.openClient(openLine)
-	host = w.connectLast()
-	w.receive(host, "UP 7\r\n")
+func (net *fakeNet) establish() (client, host uint64) {
+	client = net.openClient(openLine)
+	host = net.connectLast()
+	net.receive(host, "UP 7\r\n")
 	return client, host
 }
 
-func (w *fakeNet) expect(t *testing.T, id uint64, sent, ended string) {
+func (net *fakeNet) expect(t *testing.T, id uint64, sent, ended string) {
 	t.Helper()
-	if w.sent[id] != sent || w.ended[id] != ended {
-		t.Fatalf("sent %q, ended %q; want %q, %q", w.sent[id], w.ended[id], sent, ended)
+	if net.sent[id] != sent || net.ended[id] != ended {
+		t.Fatalf("sent %q, ended %q; want %q, %q", net.sent[id], net.ended[id], sent, ended)
 	}
 }
 
 func TestAnswerAndLinesInOneRead(t *testing.T) {
-	n, w := newNode(1)
-	c := w.openClient(openLine)
-	h := w.connectLast()
-	w.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\n", "") // 5 ms are kept back and 2 us have gone
-	w.receive(h, "U")
-	w.receive(h, "P 7\r\nLOAD 9\r\nx")
-	w.expect(t, c, "UP 7\r\nLOAD 9\r\n", "")
-	w.receive(c, "a\r\nb")
-	w.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\n", "")
-	w.receive(h, "y\r\n")
-	w.receive(c, "c\r\n")
-	w.expect(t, c, "UP 7\r\nLOAD 9\r\nxy\r\n", "")
-	w.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\nbc\r\n", "")
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	h := net.connectLast()
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\n", "") // 5 ms are kept back and 2 us have gone
+	net.receive(h, "U")
+	net.receive(h, "P 7\r\nLOAD 9\r\nx")
+	net.expect(t, c, "UP 7\r\nLOAD 9\r\n", "")
+	net.receive(c, "a\r\nb")
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\n", "")
+	net.receive(h, "y\r\n")
+	net.receive(c, "c\r\n")
+	net.expect(t, c, "UP 7\r\nLOAD 9\r\nxy\r\n", "")
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\nbc\r\n", "")
 	if n.Count.Taken != 1 || n.Types[0].Success != 1 {
 		t.Fatal(n.Count)
 	}
 }
 
 // Guards the module against being called from within its own call: a connect that fails at once is told later.
-func TestConnectNeverEndsWithinItsRound(t *testing.T) {
-	n, w := newNode(1)
-	c := w.openClient(openLine)
-	n.Move(&n.conns.get(w.lastConn()).flow.Flow) // not established: nothing to move
-	w.run(0, func() {
-		w.node.Ended(w.lastConn(), unix.ECONNREFUSED)
-		if w.sent[c] != "BUSY\r\n" {
+func TestConnectFailsInNextIteration(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	n.Move(&n.conns.get(net.lastConn()).flow.Flow) // not established: nothing to move
+	net.run(0, func() {
+		net.node.Ended(net.lastConn(), unix.ECONNREFUSED)
+		if net.sent[c] != "BUSY\r\n" {
 			t.Error("the only host refuses, and the client waits")
 		}
 	})
 }
 
-func TestMoveIsToldInTheNextTurn(t *testing.T) {
-	n, w := newNode(1)
-	c, h := w.establish()
+func TestMoveIsReportedInNextIteration(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
 	f := n.conns.get(c).flow
 	n.Move(&f.Flow)
 	n.Move(&f.Flow)
 	if n.flows.count != 1 {
 		t.Fatal("the module's flow is gone before its round has ended")
 	}
-	w.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
-	if w.ended[h] != "shut" {
-		t.Fatal(w.ended[h])
+	net.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
+	if net.ended[h] != "shut" {
+		t.Fatal(net.ended[h])
 	}
-	w.run(0, func() {})
+	net.run(0, func() {})
 	if n.flows.count != 0 || n.Count.Moves != 1 {
 		t.Fatal(n.flows.count, n.Count)
 	}
 }
 
-func TestHowFarAConnectHadCome(t *testing.T) {
+func TestConnectErrorOutcome(t *testing.T) {
 	for _, c := range []struct {
 		stage Stage
 		cause error
 		want  balance.Outcome
 	}{
 		{Dialing, errTimeout, balance.Unreachable}, {Dialing, unix.ECONNRESET, balance.Unreachable},
-		{Asked, errTimeout, balance.Overdue}, {Asked, unix.ECONNRESET, balance.Severed},
-		{Asked, errEnded, balance.Severed}, {Asked, errBusy, balance.Saturated}, {Asked, errAnswer, balance.Errored},
+		{AwaitingAnswer, errTimeout, balance.Overdue}, {AwaitingAnswer, unix.ECONNRESET, balance.Severed},
+		{AwaitingAnswer, errEnded, balance.Severed}, {AwaitingAnswer, errBusy, balance.Saturated}, {AwaitingAnswer, errAnswer, balance.Errored},
 		{Dialing, errHostLeaving, balance.Saturated},
 	} {
 		if got := (&ConnectError{c.stage, c.cause}).Outcome(); got != c.want {
@@ -200,172 +200,172 @@
 	}
 }
 
-func TestConnectsTakeTurns(t *testing.T) {
-	n, w := newNode(2)
-	c := w.openClient(openLine)
-	first := w.connectLast()
+func TestConnectsRunOneAfterAnother(t *testing.T) {
+	n, net := newNode(2)
+	c := net.openClient(openLine)
+	first := net.connectLast()
 	for _, line := range []string{"", "ERR\r\n"} {
 		if line == "" {
 			continue
 		}
-		w.receive(first, line)
+		net.receive(first, line)
 	}
-	second := w.connectLast()
-	if first == second || w.ended[first] != "close" || w.address[first] == w.address[second] {
+	second := net.connectLast()
+	if first == second || net.ended[first] != "close" || net.address[first] == net.address[second] {
 		t.Fatal("no second connect, or the first is still out")
 	}
-	w.receive(second, "what is this\r\n") // nonsense counts as an error
-	w.expect(t, c, "BUSY\r\n", "shut")    // both hosts have failed it
+	net.receive(second, "what is this\r\n") // nonsense counts as an error
+	net.expect(t, c, "BUSY\r\n", "shut")    // both hosts have failed it
 	if n.Count.Connects != 2 || n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
 
 func TestDialsAndAnswersTimeOut(t *testing.T) {
-	n, w := newNode(2)
-	c := w.openClient(openLine)
-	first := w.lastConn()
-	w.run(250*ms, func() {})
-	if w.lastConn() == first || w.ended[first] != "close" {
+	n, net := newNode(2)
+	c := net.openClient(openLine)
+	first := net.lastConn()
+	net.run(250*ms, func() {})
+	if net.lastConn() == first || net.ended[first] != "close" {
 		t.Fatal("a connection that does not come up is waited for")
 	}
-	w.connectLast()
-	w.run(2*second, func() {})
-	w.expect(t, c, "BUSY\r\n", "shut")
+	net.connectLast()
+	net.run(2*second, func() {})
+	net.expect(t, c, "BUSY\r\n", "shut")
 	if n.flows.count != 0 {
 		t.Fatal("the flow stays")
 	}
 }
 
-func TestClientLeavesWhileItWaits(t *testing.T) {
-	n, w := newNode(1)
-	c := w.openClient(openLine)
-	h := w.connectLast()
-	w.run(1, func() { n.Ended(c, nil) })
-	if w.ended[c] != "close" || w.ended[h] != "close" || n.flows.count != 0 || n.conns.count != 1 { // the watch
-		t.Fatal(w.ended, n.flows.count, n.conns.count)
+func TestClientLeavesBeforeAnswer(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	h := net.connectLast()
+	net.run(1, func() { n.Ended(c, nil) })
+	if net.ended[c] != "close" || net.ended[h] != "close" || n.flows.count != 0 || n.conns.count != 1 { // the watch
+		t.Fatal(net.ended, n.flows.count, n.conns.count)
 	}
 }
 
-func TestEndsReachTheOtherSide(t *testing.T) {
+func TestCloseReachesOtherSide(t *testing.T) {
 	for _, c := range []struct {
 		last string
 		err  error
 		want string
 	}{{"BYE\r\n", nil, "shut"}, {"", nil, "shut"}, {"", unix.ECONNRESET, "reset"}, {"part", nil, "shut"}} {
-		n, w := newNode(1)
-		client, host := w.establish()
-		w.run(1, func() {
-			w.in[host].Put([]byte(c.last))
+		n, net := newNode(1)
+		client, host := net.establish()
+		net.run(1, func() {
+			net.in[host].Put([]byte(c.last))
 			n.Received(host)
 			n.Ended(host, c.err)
 		})
-		w.expect(t, client, "UP 7\r\n"+c.last, c.want)
-		if n.flows.count != 0 || w.ended[host] != "close" {
-			t.Fatal(n.flows.count, w.ended[host])
+		net.expect(t, client, "UP 7\r\n"+c.last, c.want)
+		if n.flows.count != 0 || net.ended[host] != "close" {
+			t.Fatal(n.flows.count, net.ended[host])
 		}
 	}
 }
 
 // Guards clients of a host that goes silent: no end ever tells of it.
 func TestSilentHostLosesItsFlows(t *testing.T) {
-	n, w := newNode(1)
+	n, net := newNode(1)
 	n.deadlines.cancel(&n.messageTimeTimer) // or the module moves it before
-	c, h := w.establish()
-	w.receive(c, "M 1\r\n")
-	w.receive(h, "M 1\r\n")
-	w.run(6*second, func() {})
+	c, h := net.establish()
+	net.receive(c, "M 1\r\n")
+	net.receive(h, "M 1\r\n")
+	net.run(6*second, func() {})
 	if n.flows.count != 1 {
 		t.Fatal("moved with no line out")
 	}
-	w.receive(c, "M 2\r\n")
-	w.run(2*second, func() {})
-	w.receive(c, "M 3\r\n") // counts from the first
-	w.run(3*second, func() {})
-	w.expect(t, c, "UP 7\r\nM 1\r\nMOVE\r\n", "shut")
+	net.receive(c, "M 2\r\n")
+	net.run(2*second, func() {})
+	net.receive(c, "M 3\r\n") // counts from the first
+	net.run(3*second, func() {})
+	net.expect(t, c, "UP 7\r\nM 1\r\nMOVE\r\n", "shut")
 	if n.flows.count != 0 || n.Count.Silent != 1 {
 		t.Fatal(n.Count)
 	}
 }
 
-func TestMoveNeverFallsIntoALine(t *testing.T) {
-	n, w := newNode(1)
-	c, h := w.establish()
-	w.receive(h, strings.Repeat("x", lines.RingSize)) // longer than any line may be, and passed on all the same
+func TestMoveNeverSplitsALine(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.receive(h, strings.Repeat("x", lines.RingSize)) // longer than any line may be, and passed on all the same
 	n.Move(&n.conns.get(c).flow.Flow)
-	if strings.Contains(w.sent[c], "MOVE") || w.ended[c] != "" {
+	if strings.Contains(net.sent[c], "MOVE") || net.ended[c] != "" {
 		t.Fatal("MOVE within a line, or cut off in the middle of one")
 	}
-	w.receive(h, "x\r\nLOAD 1\r\n")
-	if !strings.HasSuffix(w.sent[c], "x\r\nLOAD 1\r\nMOVE\r\n") || w.ended[c] != "shut" || n.flows.count != 0 {
-		t.Fatal("not moved after the line", w.ended[c], n.flows.count)
+	net.receive(h, "x\r\nLOAD 1\r\n")
+	if !strings.HasSuffix(net.sent[c], "x\r\nLOAD 1\r\nMOVE\r\n") || net.ended[c] != "shut" || n.flows.count != 0 {
+		t.Fatal("not moved after the line", net.ended[c], n.flows.count)
 	}
 }
 
 // Guards lines that wait for room at a slow client against a move that comes then.
-func TestMoveComesBehindWhatWaits(t *testing.T) {
-	n, w := newNode(1)
-	c, h := w.establish()
-	w.up[c] = false // it reads nothing
+func TestMoveFollowsQueuedLines(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.up[c] = false // it reads nothing
 	line, told := strings.Repeat("y", 3000)+"\r\n", "UP 7\r\n"
 	for n.conns.get(h).in.Len() == 0 { // until one finds no room
-		w.receive(h, line)
+		net.receive(h, line)
 		told += line
 	}
 	n.Move(&n.conns.get(c).flow.Flow)
-	if w.ended[c] != "" {
+	if net.ended[c] != "" {
 		t.Fatal("cut off with lines under way")
 	}
-	w.up[c] = true
-	w.run(1, func() {
-		w.Touch(c)
+	net.up[c] = true
+	net.run(1, func() {
+		net.Touch(c)
 		n.Sent(c)
 	})
-	if w.expect(t, c, told+"MOVE\r\n", "shut"); n.flows.count != 0 {
+	if net.expect(t, c, told+"MOVE\r\n", "shut"); n.flows.count != 0 {
 		t.Fatal(n.flows.count)
 	}
 }
 
 // Guards a full ring: what does not fit waits, and goes on when there is room.
-func TestFullRingsWait(t *testing.T) {
-	n, w := newNode(1)
-	c, h := w.establish()
-	w.up[c] = false // the client reads nothing
+func TestFullRingHoldsLinesBack(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.up[c] = false // the client reads nothing
 	line := strings.Repeat("y", 3000) + "\r\n"
 	for range 4 {
-		w.receive(h, line)
+		net.receive(h, line)
 	}
-	if w.in[h].Free() > 3002 {
+	if net.in[h].Free() > 3002 {
 		t.Fatal("the host's lines are not held back")
 	}
-	w.up[c] = true
+	net.up[c] = true
 	for range 4 {
-		w.Touch(c)
-		w.run(1, func() { n.Sent(c) })
+		net.Touch(c)
+		net.run(1, func() { n.Sent(c) })
 	}
-	w.expect(t, c, "UP 7\r\n"+strings.Repeat(line, 4), "")
+	net.expect(t, c, "UP 7\r\n"+strings.Repeat(line, 4), "")
 }
 
-func TestNothingNewForAHostThatLeaves(t *testing.T) {
-	n, w := newNode(1)
-	c := w.openClient(openLine)
-	w.run(1, func() { n.applyList(balance.Changes, entries("draining", 1)) })
-	h := w.connectLast()
-	w.expect(t, h, "", "close")
-	w.expect(t, c, "BUSY\r\n", "shut")
+func TestNoRequestToDrainingHost(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	net.run(1, func() { n.applyList(balance.Changes, entries("draining", 1)) })
+	h := net.connectLast()
+	net.expect(t, h, "", "close")
+	net.expect(t, c, "BUSY\r\n", "shut")
 }
 
-func TestListsKeepHosts(t *testing.T) {
-	n, w := newNode(2)
+func TestListUpdatesHosts(t *testing.T) {
+	n, net := newNode(2)
 	h := n.hosts["s-1"]
 	l := entries("ready", 2)
 	l.Rev = 8
 	l.Entries[1].Endpoint, l.Entries[1].BootMs = "h9", startTime/ms
-	w.run(1, func() { n.applyList(balance.Changes, l) })
+	net.run(1, func() { n.applyList(balance.Changes, l) })
 	if n.hosts["s-1"] != h || h.addr != "h9" || h.Started != startTime || h.Hash != hash("s-1") {
 		t.Fatal(h)
 	}
-	w.run(1, func() { n.applyList(balance.Whole, entries("ready", 1)) })
+	net.run(1, func() { n.applyList(balance.Whole, entries("ready", 1)) })
 	if len(n.hosts) != 1 || h.State != balance.Removed {
 		t.Fatal("a host absent from the whole list stays")
 	}
@@ -376,7 +376,7 @@
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // Guards changes against a watch that is silent, and the watch against being given up for one that may not come.
-func TestSilentWatchIsRemade(t *testing.T) {
+func TestSilentWatchIsReplaced(t *testing.T) {
 	n, w := newNode(1)
 	first := w.connectLast()
 	w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
@@ -401,147 +401,147 @@
 }
 
 // Guards a change of discovery: versions count at one address only, and what is known goes on until the new one speaks.
-func TestAnotherDiscoveryIsWatchedBesideTheOld(t *testing.T) {
-	n, w := newNode(1)
-	old := w.connectLast()
-	w.receive(old, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(`{"rev":30,"all":false,"targets":[]}`))
-	w.run(1, func() { n.Follow("d2") })
-	w.run(1, func() { n.Follow("d3") }) // the last one holds
-	call := w.connectLast()
-	if w.address[call] != "d3" || w.ended[old] != "" || strings.Contains(w.sent[call], "after=") {
-		t.Fatal(w.address[call], w.ended[old], w.sent[call])
-	}
-	w.run(callTimeout, func() {}) // it hangs: asked again well before it counts as told
-	w.run(250*ms, func() {})
-	again := w.connectLast()
-	if again == call || w.ended[call] != "close" || w.ended[old] != "" {
+func TestOldWatchKeptUntilNewDiscoveryAnswers(t *testing.T) {
+	n, net := newNode(1)
+	old := net.connectLast()
+	net.receive(old, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(`{"rev":30,"all":false,"targets":[]}`))
+	net.run(1, func() { n.Follow("d2") })
+	net.run(1, func() { n.Follow("d3") }) // the last one holds
+	call := net.connectLast()
+	if net.address[call] != "d3" || net.ended[old] != "" || strings.Contains(net.sent[call], "after=") {
+		t.Fatal(net.address[call], net.ended[old], net.sent[call])
+	}
+	net.run(callTimeout, func() {}) // it hangs: asked again well before it counts as told
+	net.run(250*ms, func() {})
+	again := net.connectLast()
+	if again == call || net.ended[call] != "close" || net.ended[old] != "" {
 		t.Fatal("a call that hangs is waited for, or the old watch is gone")
 	}
-	w.receive(again, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
+	net.receive(again, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-9","endpoint":"h9","state":"ready"}]}`))
-	if w.ended[old] != "close" || w.ended[call] != "close" || n.hosts["s-9"] == nil || n.hosts["s-0"] != nil {
+	if net.ended[old] != "close" || net.ended[call] != "close" || n.hosts["s-9"] == nil || n.hosts["s-0"] != nil {
 		t.Fatal("the new one spoke")
 	}
-	w.run(1, func() { n.Ended(again, nil) }) // so soon that it counts as refused, the second time
-	w.run(2*second, func() {})
-	if w.connectLast(); !strings.Contains(w.sent[w.lastConn()], "after=2 ") {
-		t.Fatal(w.sent[w.lastConn()])
+	net.run(1, func() { n.Ended(again, nil) }) // so soon that it counts as refused, the second time
+	net.run(2*second, func() {})
+	if net.connectLast(); !strings.Contains(net.sent[net.lastConn()], "after=2 ") {
+		t.Fatal(net.sent[net.lastConn()])
 	}
 }
 
-func TestHeldFlowIsTriedAgain(t *testing.T) {
-	n, w := newNode(2)
-	c := w.openClient("OPEN 1 2 c=chat,d=2000,at=s-1\r\n")
-	first := w.lastConn()
-	w.run(1, func() { n.Ended(first, unix.ECONNREFUSED) })
-	w.run(rejoinInterval, func() {})
-	h := w.connectLast()
-	if h == first || w.address[h] != "h1" {
-		t.Fatal(w.address[h])
+func TestRejoiningFlowRetries(t *testing.T) {
+	n, net := newNode(2)
+	c := net.openClient("OPEN 1 2 c=chat,d=2000,at=s-1\r\n")
+	first := net.lastConn()
+	net.run(1, func() { n.Ended(first, unix.ECONNREFUSED) })
+	net.run(rejoinInterval, func() {})
+	h := net.connectLast()
+	if h == first || net.address[h] != "h1" {
+		t.Fatal(net.address[h])
 	}
-	w.receive(h, "UP 3\r\n")
-	w.expect(t, c, "UP 3\r\n", "")
+	net.receive(h, "UP 3\r\n")
+	net.expect(t, c, "UP 3\r\n", "")
 }
 
 func TestProbes(t *testing.T) {
-	n, w := newNode(1)
+	n, net := newNode(1)
 	n.settings.Probing = true
 	h := n.hosts["s-0"]
 	n.Probe(&h.Server)
-	id := w.connectLast()
-	w.receive(id, "PONG\r\n")
+	id := net.connectLast()
+	net.receive(id, "PONG\r\n")
 	n.Probe(&h.Server)
-	w.expect(t, id, "PING\r\nPING\r\n", "")
-	w.run(300*ms, func() {})
-	if w.ended[id] != "close" || n.Count.ProbesFailed != 1 {
+	net.expect(t, id, "PING\r\nPING\r\n", "")
+	net.run(300*ms, func() {})
+	if net.ended[id] != "close" || n.Count.ProbesFailed != 1 {
 		t.Fatal("a probe without an answer goes on")
 	}
 }
 
 // Guards descriptors against clients that say nothing or do not end their line; the front's connection stays.
-func TestLinesAreOwedInTime(t *testing.T) {
-	n, w := newNode(1)
-	mute, half, front, later := w.openClient(""), w.openClient("OPEN 1"), w.openClient("PING\r\n"), w.openClient("PING\r\n")
-	w.run(firstLineTimeout, func() {})
-	w.expect(t, mute, "BUSY\r\n", "shut") // its line may be on its way: nothing of it was tried
-	w.expect(t, half, "ERR\r\n", "shut")
-	w.receive(later, "PIN")
-	w.run(firstLineTimeout, func() {})
-	w.expect(t, later, "PONG\r\nERR\r\n", "shut")
-	w.run(60*second, func() {})
-	w.expect(t, front, "PONG\r\n", "")
+func TestFirstLineTimeout(t *testing.T) {
+	n, net := newNode(1)
+	mute, half, front, later := net.openClient(""), net.openClient("OPEN 1"), net.openClient("PING\r\n"), net.openClient("PING\r\n")
+	net.run(firstLineTimeout, func() {})
+	net.expect(t, mute, "BUSY\r\n", "shut") // its line may be on its way: nothing of it was tried
+	net.expect(t, half, "ERR\r\n", "shut")
+	net.receive(later, "PIN")
+	net.run(firstLineTimeout, func() {})
+	net.expect(t, later, "PONG\r\nERR\r\n", "shut")
+	net.run(60*second, func() {})
+	net.expect(t, front, "PONG\r\n", "")
 	if n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
 
 // Guards usual clients, connects and probes against crowds that ask nothing: those are shed, the oldest first.
-func TestCrowdsThatAskNothingAreShed(t *testing.T) {
-	n, w := newNode(1)
-	w.room = reservedDescriptors + 2
-	front := w.openClient("PING\r\n")
-	idle := w.openClient("PING\r\n")
-	old := w.openClient("")
-	w.run(shedAfterSilence, func() {})
-	young := w.openClient("")
-	w.run(1, func() {
+func TestIdleCrowdIsShed(t *testing.T) {
+	n, net := newNode(1)
+	net.room = reservedDescriptors + 2
+	front := net.openClient("PING\r\n")
+	idle := net.openClient("PING\r\n")
+	old := net.openClient("")
+	net.run(shedAfterSilence, func() {})
+	young := net.openClient("")
+	net.run(1, func() {
 		if !n.Spare() {
 			t.Error("nobody was shed for one more client")
 		}
 	})
-	w.expect(t, old, "BUSY\r\n", "part")
-	w.expect(t, young, "", "")
-	w.room = 0
-	w.receive(w.openClient(""), openLine)
-	if w.expect(t, idle, "PONG\r\nBUSY\r\n", "part"); w.ended[front] != "" || n.Count.Shed != 2 {
-		t.Fatal(w.ended, n.Count)
+	net.expect(t, old, "BUSY\r\n", "part")
+	net.expect(t, young, "", "")
+	net.room = 0
+	net.receive(net.openClient(""), openLine)
+	if net.expect(t, idle, "PONG\r\nBUSY\r\n", "part"); net.ended[front] != "" || n.Count.Shed != 2 {
+		t.Fatal(net.ended, n.Count)
 	}
 }
 
 // Guards a client that reads slowly: its last line is not cut off for want of a descriptor.
-func TestLastLinesOnTheirWayAreNotShed(t *testing.T) {
-	n, w := newNode(1)
-	c, _ := w.establish()
-	w.up[c] = false // reads nothing
-	w.run(1, func() { n.Move(&n.conns.get(c).flow.Flow) })
-	w.run(shedAfterSilence, func() {})
-	w.run(1, func() {
+func TestUnsentLastLineIsNotShed(t *testing.T) {
+	n, net := newNode(1)
+	c, _ := net.establish()
+	net.up[c] = false // reads nothing
+	net.run(1, func() { n.Move(&n.conns.get(c).flow.Flow) })
+	net.run(shedAfterSilence, func() {})
+	net.run(1, func() {
 		for n.shedOne() {
 		}
 	})
-	if w.ended[c] != "shut" {
-		t.Fatal(w.ended[c], "with MOVE unsent")
+	if net.ended[c] != "shut" {
+		t.Fatal(net.ended[c], "with MOVE unsent")
 	}
 }
 
 // Guards hosts' standing against a node that is short itself: what was never sent says nothing of them.
-func TestWithoutDescriptorsNothingIsLearned(t *testing.T) {
-	n, w := newNode(2)
-	c := w.openClient(openLine)
-	w.room = 0
-	w.run(1, func() { n.Ended(w.lastConn(), unix.ECONNREFUSED) })
-	w.run(1, func() {})
-	w.expect(t, c, "BUSY\r\n", "shut")
+func TestNoDescriptorSaysNothingAboutHosts(t *testing.T) {
+	n, net := newNode(2)
+	c := net.openClient(openLine)
+	net.room = 0
+	net.run(1, func() { n.Ended(net.lastConn(), unix.ECONNREFUSED) })
+	net.run(1, func() {})
+	net.expect(t, c, "BUSY\r\n", "shut")
 	if n.Count.Connects != 1 || n.upstreamCount != 0 {
 		t.Fatal(n.Count)
 	}
 	h := n.hosts["s-0"]
 	n.Probe(&h.Server)
-	w.run(1, func() {})
+	net.run(1, func() {})
 	if h.probeSentAt != 0 || h.probe != nil {
 		t.Fatal("a probe without a descriptor")
 	}
 }
 
 // Guards a flow against another that calls itself the same, also after its end: a host may not have heard of that.
-func TestIdsComeOnce(t *testing.T) {
-	n, w := newNode(1)
-	w.establish()
+func TestRequestIDsAreUnique(t *testing.T) {
+	n, net := newNode(1)
+	net.establish()
 	for range 2 {
-		c := w.openClient("")
-		w.receive(c, openLine)
-		w.expect(t, c, "ERR\r\n", "shut")
-		w.run(1, func() { n.Ended(w.ids[1], nil) })
+		c := net.openClient("")
+		net.receive(c, openLine)
+		net.expect(t, c, "ERR\r\n", "shut")
+		net.run(1, func() { n.Ended(net.ids[1], nil) })
 	}
 	for i := range uint64(3 * defaultMaxIDs) {
 		n.recentIDs.add(i)
@@ -552,110 +552,110 @@
 }
 
 // Guards hosts against what a client says before it may.
-func TestClientsWaitForTheirAnswer(t *testing.T) {
-	n, w := newNode(1)
-	c := w.openClient(openLine + "OPEN 3 4 c=chat,d=9\r\n")
-	w.expect(t, c, "ERR\r\n", "shut")
-	c = w.openClient(openLine)
-	h := w.connectLast()
-	w.receive(c, "M")
-	w.expect(t, c, "ERR\r\n", "shut")
-	if w.ended[h] != "close" || n.flows.count != 0 || n.upstreamCount != 0 {
-		t.Fatal(w.ended[h], n.flows.count, n.upstreamCount)
+func TestDataBeforeAnswerIsRejected(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine + "OPEN 3 4 c=chat,d=9\r\n")
+	net.expect(t, c, "ERR\r\n", "shut")
+	c = net.openClient(openLine)
+	h := net.connectLast()
+	net.receive(c, "M")
+	net.expect(t, c, "ERR\r\n", "shut")
+	if net.ended[h] != "close" || n.flows.count != 0 || n.upstreamCount != 0 {
+		t.Fatal(net.ended[h], n.flows.count, n.upstreamCount)
 	}
 }
 
 func TestManyPingsAtOnce(t *testing.T) {
-	n, w := newNode(1)
-	c := w.openClient(strings.Repeat("PING\r\n", maxPingsPerRead+1))
-	w.expect(t, c, strings.Repeat("PONG\r\n", maxPingsPerRead)+"ERR\r\n", "shut")
-	c = w.openClient("")
-	w.out[c].Put(make([]byte, lines.RingSize)) // it reads nothing for a while
-	w.up[c] = false
-	w.receive(c, "PING\r\n")
-	w.out[c].Drop(lines.RingSize)
-	w.up[c] = true
-	w.run(1, func() { n.Sent(c) })
-	w.expect(t, c, "PONG\r\n", "")
+	n, net := newNode(1)
+	c := net.openClient(strings.Repeat("PING\r\n", maxPingsPerRead+1))
+	net.expect(t, c, strings.Repeat("PONG\r\n", maxPingsPerRead)+"ERR\r\n", "shut")
+	c = net.openClient("")
+	net.out[c].Put(make([]byte, lines.RingSize)) // it reads nothing for a while
+	net.up[c] = false
+	net.receive(c, "PING\r\n")
+	net.out[c].Drop(lines.RingSize)
+	net.up[c] = true
+	net.run(1, func() { n.Sent(c) })
+	net.expect(t, c, "PONG\r\n", "")
 }
 
 // Guards the loop against a client that has its last line and sends on.
-func TestSendersWithoutEndAreCutOff(t *testing.T) {
-	_, w := newNode(1)
-	c := w.openClient("frob\r\n")
+func TestEndlessSenderIsClosed(t *testing.T) {
+	_, net := newNode(1)
+	c := net.openClient("frob\r\n")
 	for range maxDrainedBytes/lines.RingSize + 1 {
-		w.receive(c, strings.Repeat("x", lines.RingSize))
+		net.receive(c, strings.Repeat("x", lines.RingSize))
 	}
-	w.expect(t, c, "ERR\r\n", "close")
+	net.expect(t, c, "ERR\r\n", "close")
 }
 
 // Guards the loop against waiting on its log, and the memory against names of flows long gone.
-func TestFloodsLeaveLittleBehind(t *testing.T) {
-	n, w := newNode(1)
+func TestFloodsAreBounded(t *testing.T) {
+	n, net := newNode(1)
 	var text bytes.Buffer
 	log.SetOutput(&text)
 	defer log.SetOutput(os.Stderr)
 	n.settings.Groups = true
 	for i := range 500 {
-		w.openClient("frob\r\n")
-		c := w.openClient(fmt.Sprintf("OPEN 1 2 c=chat,d=2000,g=%d\r\n", i))
-		w.run(1, func() { n.Ended(c, nil) })
+		net.openClient("frob\r\n")
+		c := net.openClient(fmt.Sprintf("OPEN 1 2 c=chat,d=2000,g=%d\r\n", i))
+		net.run(1, func() { n.Ended(c, nil) })
 	}
-	w.run(second, func() {})
+	net.run(second, func() {})
 	if got := text.String(); strings.Count(got, "bad_line") != 2 || !strings.Contains(got, " count=499") {
 		t.Fatal(got)
 	}
-	w.run(second, func() {})
+	net.run(second, func() {})
 	if len(n.logKinds) != 0 || len(n.groups) != 0 {
 		t.Fatal(n.logKinds, n.groups)
 	}
 }
 
-func TestShortOfDescriptors(t *testing.T) {
-	n, w := newNode(1)
-	w.room = reservedDescriptors - 1
-	w.expect(t, w.openClient(openLine), "BUSY\r\n", "shut")
+func TestBusyWithoutDescriptors(t *testing.T) {
+	n, net := newNode(1)
+	net.room = reservedDescriptors - 1
+	net.expect(t, net.openClient(openLine), "BUSY\r\n", "shut")
 	if n.Count.Crowded != 1 || n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
 
 // Guards all other connections against a panic over one.
-func TestPanicCostsItsConnectionOnly(t *testing.T) {
-	n, w := newNode(1)
-	a, _ := w.establish()
-	b, h := w.establish()
+func TestPanicClosesOneConnection(t *testing.T) {
+	n, net := newNode(1)
+	a, _ := net.establish()
+	b, h := net.establish()
 	n.conns.get(b).flow.Type = nil
 	n.conns.get(b).flow.host = nil
-	w.receive(b, "M\r\n")
-	w.receive(h, "M\r\n")
-	if n.Count.Panics == 0 || w.ended[h] != "close" || w.ended[a] != "" {
-		t.Fatal(n.Count, w.ended)
+	net.receive(b, "M\r\n")
+	net.receive(h, "M\r\n")
+	if n.Count.Panics == 0 || net.ended[h] != "close" || net.ended[a] != "" {
+		t.Fatal(n.Count, net.ended)
 	}
-	w.receive(a, "M\r\n")
+	net.receive(a, "M\r\n")
 }
 
 // Guards clients against waiting for a node to come back, and that node against all of them at once.
-func TestOrderlyEndSpreadsMoves(t *testing.T) {
-	n, w := newNode(1)
+func TestStopSpreadsMoves(t *testing.T) {
+	n, net := newNode(1)
 	for range 20 {
-		w.establish()
+		net.establish()
 	}
 	n.Stop()
-	w.run((n.stopDeadline-moveMargin-n.now)/firstMoveDivisor-1, func() {})
+	net.run((n.stopDeadline-moveMargin-n.now)/firstMoveDivisor-1, func() {})
 	if n.Count.Moves != 0 {
 		t.Fatal(n.Count.Moves, "moved while they would come back here")
 	}
 	half := (n.stopDeadline - moveMargin - n.now) / 2
 	for from := n.now; n.now < from+half; {
-		w.run(moveInterval, func() {})
+		net.run(moveInterval, func() {})
 	}
 	if n.Count.Moves < 8 || n.Count.Moves > 12 {
 		t.Fatal(n.Count.Moves, "moved by half of the time")
 	}
 	for !n.Done() && n.now < n.stopDeadline {
-		w.run(moveInterval, func() {
-			for id, how := range w.ended { // those who were told end as well
+		net.run(moveInterval, func() {
+			for id, how := range net.ended { // those who were told end as well
 				if how == "shut" {
 					n.Ended(id, nil)
 				}
@@ -668,19 +668,19 @@
 }
 
 // Guards what comes after the word to stop against being cut off without an answer.
-func TestFlowsThatComeAtTheEndAreAnswered(t *testing.T) {
-	n, w := newNode(1)
+func TestLateFlowsAreAnsweredAtStop(t *testing.T) {
+	n, net := newNode(1)
 	n.Stop()
-	w.run(400*ms, func() {})
-	c := w.openClient("OPEN 1 2 c=chat,d=9000\r\n")
-	w.connectLast()
+	net.run(400*ms, func() {})
+	c := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	net.connectLast()
 	for !n.Done() {
-		w.run(moveInterval, func() {})
+		net.run(moveInterval, func() {})
 	}
-	w.expect(t, c, "BUSY\r\n", "shut")
+	net.expect(t, c, "BUSY\r\n", "shut")
 }
 
-func TestStaleIdsFindNothing(t *testing.T) {
+func TestStaleSlotIDs(t *testing.T) {
 	var s slots[int]
 	a := s.add(new(int))
 	s.remove(a)
@@ -690,7 +690,7 @@
 	}
 }
 
-func TestDeadlinesKeepTheirOrder(t *testing.T) {
+func TestDeadlinesInOrder(t *testing.T) {
 	var h deadlines
 	var all [50]deadline
 	for i := range all {
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -8,17 +8,17 @@
 )
 
 // A probe asks for the report where hosts have one; a figure without sense leaves the host well and teaches nothing.
-func TestProbeBringsTheReport(t *testing.T) {
+func TestProbeCarriesReport(t *testing.T) {
 	for answer, want := range map[string]float64{"PONG 3,0.62\r\n": 0.62, "PONG 3\r\n": 0, "PONG 3,-1\r\n": 0, "PONG\r\n": 0} {
-		n, w := newNode(1)
+		n, net := newNode(1)
 		n.settings.Reports, n.settings.Report = true, 1
-		w.run(1, func() { n.Probe(&n.hosts["s-0"].Server) })
-		id := w.ids[len(w.ids)-1]
-		w.up[id] = true
-		w.run(1, func() { n.Connected(id) })
-		w.run(1, func() { w.in[id].Put([]byte(answer)); n.Received(id) })
-		if got := n.hosts["s-0"].Busy(); got != want || w.sent[id] != "STATS\r\n" || n.Count.ProbesFailed > 0 {
-			t.Fatalf("%q: %v %q, %d probes failed", answer, got, w.sent[id], n.Count.ProbesFailed)
+		net.run(1, func() { n.Probe(&n.hosts["s-0"].Server) })
+		id := net.ids[len(net.ids)-1]
+		net.up[id] = true
+		net.run(1, func() { n.Connected(id) })
+		net.run(1, func() { net.in[id].Put([]byte(answer)); n.Received(id) })
+		if got := n.hosts["s-0"].Busy(); got != want || net.sent[id] != "STATS\r\n" || n.Count.ProbesFailed > 0 {
+			t.Fatalf("%q: %v %q, %d probes failed", answer, got, net.sent[id], n.Count.ProbesFailed)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 func (h *heldCounter) Held(*balance.Group, *balance.Server) { h.held++ }
 
 // What others hold counts from the first flow of the group on, also if this node had not met it when it was told.
-func TestHomesAreKeptUntilTheGroupIsMet(t *testing.T) {
+func TestPeerPlacementsKeptUntilGroupIsKnown(t *testing.T) {
 	n, w := newNode(1)
 	h := &heldCounter{Decider: n.decider}
 	n.decider, n.settings.Groups = h, true
@@ -47,16 +47,16 @@
 }
 
 // The first seconds after the switch: what was learnt of hosts counts, none is full before its first report, flows are placed.
-func TestFirstSecondsAfterTheMove(t *testing.T) {
-	old, w := newNode(1)
+func TestStartWithRestoredMemory(t *testing.T) {
+	old, net := newNode(1)
 	s := &old.hosts["s-0"].Server
-	w.run(1, func() { old.decider.Probed(s, balance.Completed, 3*ms) })
+	net.run(1, func() { old.decider.Probed(s, balance.Completed, 3*ms) })
 	kept := old.decider.(balancerMemory).MemoryOf(s)
-	n, w := newNode(1)
+	n, net := newNode(1)
 	n.settings.Reports, n.settings.Peers = true, true
 	f := &flow{}
 	f.Flow = balance.Flow{Type: &n.settings.Types[0], Deadline: startTime + 2*second, Ref: f}
-	w.run(1, func() { n.decider.(balancerMemory).RecallOf(&n.hosts["s-0"].Server, kept); n.decider.Demand(&f.Flow) })
+	net.run(1, func() { n.decider.(balancerMemory).RecallOf(&n.hosts["s-0"].Server, kept); n.decider.Demand(&f.Flow) })
 	if got := n.decider.(balancerMemory).MemoryOf(&n.hosts["s-0"].Server); n.upstreamCount != 1 || got.Rank != kept.Rank || got.Rank == 0 {
 		t.Fatal(n.upstreamCount, got, kept)
 	}
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -20,7 +20,7 @@
 
 // Guards the operators' bound as a sum of what is waited for at the most: silence noticed, a call, that call lost, another,
 // answered; and a call refused after many, the next one answered, or lost and the one after it.
-func TestChangesAreTakenInWithinTheBound(t *testing.T) {
+func TestChangesApplyWithinBound(t *testing.T) {
 	if sum := watchSilenceTimeout + secondCallWithin + callTimeout + thirdCallWithin + roundTripMargin; sum > maxChangeDelay {
 		t.Error("a silent watch and a lost call:", sum)
 	}
@@ -31,7 +31,7 @@
 		t.Error("a line that comes in time counts as missing")
 	}
 	for _, nodes := range []int{1, 6, 80, 350} { // what the sums go by is what the module does
-		n, w := newNode(1)
+		n, net := newNode(1)
 		n.settings.Nodes = nodes
 		n.callRefused = true
 		if sum := n.settings.RefusedMost() + n.callPatience() + roundTripMargin; sum > maxChangeDelay || n.callPatience() < callTimeout {
@@ -44,9 +44,9 @@
 				if n.now-from > laterCallWithin || failed == 1 && n.now-from > secondCallWithin || failed == 2 && n.now-from > thirdCallWithin {
 					t.Fatalf("%d nodes: %d us after %d failed calls", nodes, n.now-from, failed)
 				}
-				w.run(10*ms, func() {})
+				net.run(10*ms, func() {})
 			}
-			w.run(1, func() { n.watchLost(n.pendingCall, "refused") })
+			net.run(1, func() { n.watchLost(n.pendingCall, "refused") })
 			failed++
 		}
 	}
@@ -54,66 +54,66 @@
 
 // Thirty-two nodes gave their calls up after 1.5 s each, and a discovery that answers some five a second worked for calls
 // that nobody waited for any more: half of the nodes had no watch after 17 s (throng+brink at kingston-replay's settings).
-func TestCallsWaitTheirTurnWhereOthersWereTurnedAway(t *testing.T) {
-	n, w := newNode(1)
+func TestCallsWaitLongerAfterRefusal(t *testing.T) {
+	n, net := newNode(1)
 	n.settings.Nodes = 32
 	for n.pendingCall == nil {
-		w.run(ms, func() {})
+		net.run(ms, func() {})
 	}
-	w.receive(w.connectLast(), "HTTP/1.1 503 Service Unavailable\r\n\r\n")
+	net.receive(net.connectLast(), "HTTP/1.1 503 Service Unavailable\r\n\r\n")
 	for n.pendingCall == nil {
-		w.run(ms, func() {})
+		net.run(ms, func() {})
 	}
-	call := w.connectLast()
-	w.run(3*second, func() {})
-	if n.pendingCall == nil || n.pendingCall.id != call || w.ended[call] != "" {
+	call := net.connectLast()
+	net.run(3*second, func() {})
+	if n.pendingCall == nil || n.pendingCall.id != call || net.ended[call] != "" {
 		t.Fatal("given up while discovery still has it in its queue")
 	}
-	w.receive(call, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	net.receive(call, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	if n.watch == nil || n.watch.id != call {
 		t.Fatal("no watch by the answer that came late")
 	}
-	w.run(1, func() { n.watchLost(n.watch, "ended") })
+	net.run(1, func() { n.watchLost(n.watch, "ended") })
 	for n.pendingCall == nil {
-		w.run(ms, func() {})
+		net.run(ms, func() {})
 	}
 	call = n.pendingCall.id
-	if w.run(callTimeout, func() {}); n.pendingCall != nil && n.pendingCall.id == call {
+	if net.run(callTimeout, func() {}); n.pendingCall != nil && n.pendingCall.id == call {
 		t.Fatal("a lost call is waited for where discovery turned nobody away")
 	}
 	n.callRefused = true
 	if n.Follow("d9"); n.callRefused {
 		t.Fatal("what one discovery did counts at another")
 	}
-	first := w.connectLast()
-	w.run(1, func() { n.Ended(first, syscall.ECONNRESET) })
+	first := net.connectLast()
+	net.run(1, func() { n.Ended(first, syscall.ECONNRESET) })
 	for n.pendingCall == nil {
-		w.run(ms, func() {})
+		net.run(ms, func() {})
 	}
-	call = w.connectLast()
-	if w.run(3*second, func() {}); w.ended[call] != "" {
+	call = net.connectLast()
+	if net.run(3*second, func() {}); net.ended[call] != "" {
 		t.Fatal("given up though discovery had reset another")
 	}
-	if w.run(queuedCallTimeout-3*second, func() {}); w.ended[call] != "close" {
+	if net.run(queuedCallTimeout-3*second, func() {}); net.ended[call] != "close" {
 		t.Fatal("waited for without end")
 	}
 }
 
 // A change in the worst moment, step by step: the watch falls silent right before it, the next call is lost, and the one
 // after that brings it.
-func TestAChangeBehindASilentWatch(t *testing.T) {
-	n, w := newNode(2)
-	first := w.connectLast()
-	w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+func TestChangeAfterSilentWatch(t *testing.T) {
+	n, net := newNode(2)
+	first := net.connectLast()
+	net.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	from := n.now
 	calls := n.Count.Calls
 	for n.Count.Calls < calls+2 {
 		if n.now-from > maxChangeDelay {
 			t.Fatal("no second call")
 		}
-		w.run(10*ms, func() {})
+		net.run(10*ms, func() {})
 	}
-	w.receive(w.connectLast(), watchHead+chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}`))
+	net.receive(net.connectLast(), watchHead+chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-1","state":"draining"}]}`))
 	if n.hosts["s-1"].State != balance.Draining || n.now-from > maxChangeDelay {
 		t.Fatal(n.hosts["s-1"].State, n.now-from)
 	}
@@ -131,23 +131,23 @@
 			return chunk("")
 		},
 	} {
-		n, w := newNode(1)
-		first := w.connectLast()
-		w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+		n, net := newNode(1)
+		first := net.connectLast()
+		net.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 		for i := range int(watchSilenceTimeout / (100 * ms)) {
-			w.receive(first, more(i))
-			w.run(100*ms-1, func() {})
+			net.receive(first, more(i))
+			net.run(100*ms-1, func() {})
 		}
-		if w.run(100*ms, func() {}); n.Count.CallsFailed != 1 {
+		if net.run(100*ms, func() {}); n.Count.CallsFailed != 1 {
 			t.Error(name, "keeps a watch")
 		}
 	}
-	n, w := newNode(1)
-	first := w.connectLast()
-	w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	n, net := newNode(1)
+	first := net.connectLast()
+	net.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	for range 5 {
-		w.run(watchLineInterval, func() {})
-		w.receive(first, chunk(""))
+		net.run(watchLineInterval, func() {})
+		net.receive(first, chunk(""))
 	}
 	if n.Count.CallsFailed != 0 {
 		t.Fatal("a watch with its empty lines is given up")
@@ -155,21 +155,21 @@
 }
 
 // Guards hosts of a discovery that began anew: its versions are lower, and what it says has changed is not all.
-func TestDiscoveryThatBeganAnew(t *testing.T) {
-	n, w := newNode(2)
-	first := w.connectLast()
-	w.receive(first, watchHead+chunk(`{"rev":41,"all":false,"targets":[]}`))
-	w.run(1, func() { n.Ended(first, nil) })
-	w.run(250*ms, func() {})
-	call := w.connectLast()
-	if !strings.Contains(w.sent[call], "after=41 ") {
-		t.Fatal(w.sent[call])
-	}
-	w.receive(call, watchHead+chunk(`{"rev":2,"all":false,"targets":[]}`))
-	if call = w.connectLast(); strings.Contains(w.sent[call], "after=") {
+func TestDiscoveryRestart(t *testing.T) {
+	n, net := newNode(2)
+	first := net.connectLast()
+	net.receive(first, watchHead+chunk(`{"rev":41,"all":false,"targets":[]}`))
+	net.run(1, func() { n.Ended(first, nil) })
+	net.run(250*ms, func() {})
+	call := net.connectLast()
+	if !strings.Contains(net.sent[call], "after=41 ") {
+		t.Fatal(net.sent[call])
+	}
+	net.receive(call, watchHead+chunk(`{"rev":2,"all":false,"targets":[]}`))
+	if call = net.connectLast(); strings.Contains(net.sent[call], "after=") {
 		t.Fatal("its versions are taken for the old ones")
 	}
-	w.receive(call, watchHead+chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-0","endpoint":"h0","state":"ready"}]}`))
+	net.receive(call, watchHead+chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-0","endpoint":"h0","state":"ready"}]}`))
 	if len(n.hosts) != 1 || n.listRev != 2 || n.watch == nil {
 		t.Fatal(len(n.hosts), n.listRev)
 	}
@@ -177,114 +177,114 @@
 
 // Discovery moves, moves back, and old watches and calls end meanwhile, in any order: what is watched in the end is the
 // last address, and one call is out at most.
-func TestDiscoveryMovesTwice(t *testing.T) {
-	n, w := newNode(1)
-	old := w.connectLast()
-	w.receive(old, watchHead+chunk(`{"rev":30,"all":false,"targets":[]}`))
-	w.run(1, func() { n.Follow("d2") })
-	call := w.connectLast()
-	w.run(1, func() { n.Follow("") }) // back, while the call is out
-	if w.ended[call] != "close" || w.ended[old] != "" || n.pendingCall != nil {
-		t.Fatal("the old watch is not gone on with", w.ended[call], w.ended[old])
-	}
-	w.run(1, func() { n.Follow("d2") })
-	w.run(1, func() { n.Ended(old, nil) }) // while the second call is out
-	second := w.lastConn()
-	w.run(300*ms, func() {})
-	if w.lastConn() != second || n.pendingCall == nil || n.watch != nil {
+func TestDiscoveryAddressChangesTwice(t *testing.T) {
+	n, net := newNode(1)
+	old := net.connectLast()
+	net.receive(old, watchHead+chunk(`{"rev":30,"all":false,"targets":[]}`))
+	net.run(1, func() { n.Follow("d2") })
+	call := net.connectLast()
+	net.run(1, func() { n.Follow("") }) // back, while the call is out
+	if net.ended[call] != "close" || net.ended[old] != "" || n.pendingCall != nil {
+		t.Fatal("the old watch is not gone on with", net.ended[call], net.ended[old])
+	}
+	net.run(1, func() { n.Follow("d2") })
+	net.run(1, func() { n.Ended(old, nil) }) // while the second call is out
+	second := net.lastConn()
+	net.run(300*ms, func() {})
+	if net.lastConn() != second || n.pendingCall == nil || n.watch != nil {
 		t.Fatal("two calls")
 	}
-	w.connectLast()
-	w.receive(second, watchHead+chunk(`{"rev":1,"all":true,"targets":[{"uid":"s-7","endpoint":"h7","state":"ready"}]}`))
+	net.connectLast()
+	net.receive(second, watchHead+chunk(`{"rev":1,"all":true,"targets":[{"uid":"s-7","endpoint":"h7","state":"ready"}]}`))
 	if n.hosts["s-7"] == nil || n.hosts["s-0"] != nil || n.watch == nil || n.watch.discoveryAddr != "d2" {
 		t.Fatal(n.hosts)
 	}
-	w.run(1, func() { n.Follow("d3") })
-	third := w.connectLast()
-	w.receive(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // in the instant of the switch
-	w.receive(third, watchHead+chunk(`{"rev":9,"all":true,"targets":[{"uid":"s-8","endpoint":"h8","state":"ready"}]}`))
-	if w.ended[second] != "close" || n.listAddr != "d3" || n.listRev != 9 || n.hosts["s-7"] != nil {
-		t.Fatal(w.ended[second], n.listAddr, n.listRev)
+	net.run(1, func() { n.Follow("d3") })
+	third := net.connectLast()
+	net.receive(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // in the instant of the switch
+	net.receive(third, watchHead+chunk(`{"rev":9,"all":true,"targets":[{"uid":"s-8","endpoint":"h8","state":"ready"}]}`))
+	if net.ended[second] != "close" || n.listAddr != "d3" || n.listRev != 9 || n.hosts["s-7"] != nil {
+		t.Fatal(net.ended[second], n.listAddr, n.listRev)
 	}
-	if w.run(1, func() { n.Received(second) }); n.listAddr != "d3" {
+	if net.run(1, func() { n.Received(second) }); n.listAddr != "d3" {
 		t.Fatal("a list of the old address after one of the new")
 	}
 }
 
 func newPushedNode(hosts int) (*Node, *fakeNet) {
-	n, w := newNode(hosts)
+	n, net := newNode(hosts)
 	set := *n.settings
 	set.OnRequest, set.Grace = false, 400*ms
-	w2 := &fakeNet{address: w.address, in: w.in, out: w.out, sent: w.sent, ended: w.ended, up: w.up, endedUnread: w.endedUnread, room: 100}
-	w2.node = New(&set, Config{}, w2)
-	w2.node.Begin(startTime, entries("ready", hosts))
-	return w2.node, w2
+	otherNet := &fakeNet{address: net.address, in: net.in, out: net.out, sent: net.sent, ended: net.ended, up: net.up, endedUnread: net.endedUnread, room: 100}
+	otherNet.node = New(&set, Config{}, otherNet)
+	otherNet.node.Begin(startTime, entries("ready", hosts))
+	return otherNet.node, otherNet
 }
 
 // Guards hosts that drained while a process was away: where lists are pushed, they count as told from its first moment.
-func TestPushedListsAreWaitedForFirst(t *testing.T) {
-	n, w := newPushedNode(2)
-	front := w.openClient("PING\r\n")
+func TestFlowsWaitForFirstPushedList(t *testing.T) {
+	n, net := newPushedNode(2)
+	front := net.openClient("PING\r\n")
 	if n.pendingCall == nil {
-		w.run(1, func() {})
+		net.run(1, func() {})
 	}
-	watch := w.ids[0]
-	c := w.openClient(openLine)
-	if w.expect(t, front, "NO\r\n", ""); n.upstreamCount != 0 || w.sent[c] != "" {
-		t.Fatal("sent by a list that may be old", n.upstreamCount, w.sent[c])
+	watch := net.ids[0]
+	c := net.openClient(openLine)
+	if net.expect(t, front, "NO\r\n", ""); n.upstreamCount != 0 || net.sent[c] != "" {
+		t.Fatal("sent by a list that may be old", n.upstreamCount, net.sent[c])
 	}
-	w.up[watch] = true
-	w.run(1, func() { n.Connected(watch) })
-	w.receive(watch, watchHead+chunk(`{"rev":3,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
-	if w.address[w.lastConn()] != "h1" || n.upstreamCount != 1 {
-		t.Fatal("not sent on by the list that came", w.address[w.lastConn()])
+	net.up[watch] = true
+	net.run(1, func() { n.Connected(watch) })
+	net.receive(watch, watchHead+chunk(`{"rev":3,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
+	if net.address[net.lastConn()] != "h1" || n.upstreamCount != 1 {
+		t.Fatal("not sent on by the list that came", net.address[net.lastConn()])
 	}
-	w.receive(front, "PING\r\n")
-	w.expect(t, front, "NO\r\nPONG\r\n", "")
+	net.receive(front, "PING\r\n")
+	net.expect(t, front, "NO\r\nPONG\r\n", "")
 
-	n, w = newPushedNode(1) // discovery says nothing
-	c = w.openClient("OPEN 1 2 c=chat,d=1000\r\n")
-	w.run(500*ms, func() {})
-	w.expect(t, c, "BUSY\r\n", "shut")
-	late := w.openClient("OPEN 1 2 c=chat,d=9000\r\n")
-	gone := w.openClient("OPEN 1 2 c=chat,d=9000\r\n")
-	w.run(1, func() { n.Ended(gone, nil) })
-	w.run(firstListWait, func() {})
-	if n.upstreamCount != 1 || n.flows.count != 1 || w.sent[late] != "" {
+	n, net = newPushedNode(1) // discovery says nothing
+	c = net.openClient("OPEN 1 2 c=chat,d=1000\r\n")
+	net.run(500*ms, func() {})
+	net.expect(t, c, "BUSY\r\n", "shut")
+	late := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	gone := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	net.run(1, func() { n.Ended(gone, nil) })
+	net.run(firstListWait, func() {})
+	if n.upstreamCount != 1 || n.flows.count != 1 || net.sent[late] != "" {
 		t.Fatal("waits for ever", n.upstreamCount, n.flows.count)
 	}
-	w.receive(w.openClient("PING\r\n"), "")
-	if w.sent[w.lastConn()] != "PONG\r\n" {
+	net.receive(net.openClient("PING\r\n"), "")
+	if net.sent[net.lastConn()] != "PONG\r\n" {
 		t.Fatal("not ready by the list that it has")
 	}
 }
 
 // Guards clients and the front of a node whose version is rolled where lists are pushed: what was handed on is no old list.
-func TestAnHeirWaitsForNoFirstList(t *testing.T) {
+func TestSuccessorDoesNotWaitForFirstList(t *testing.T) {
 	old, p := newPredecessor(t, 1)
 	s, _ := old.node.Heir(p)
-	n, w := newPushedNode(0)
-	young := New(n.settings, Config{}, w)
+	n, net := newPushedNode(0)
+	young := New(n.settings, Config{}, net)
 	young.settings.Pushed = true
-	w.node = young
+	net.node = young
 	young.Inherit(&fakePeer{t: t}, s)
 	young.Begin(n.now, discovery.List{})
-	w.run(joinTimeout, func() {})
-	w.expect(t, w.openClient("PING\r\n"), "PONG\r\n", "")
-	if w.openClient(openLine); young.upstreamCount != 1 || len(young.heldFlows) != 0 {
+	net.run(joinTimeout, func() {})
+	net.expect(t, net.openClient("PING\r\n"), "PONG\r\n", "")
+	if net.openClient(openLine); young.upstreamCount != 1 || len(young.heldFlows) != 0 {
 		t.Fatal("held", young.upstreamCount, len(young.heldFlows))
 	}
 }
 
 // Guards the time without a call where lists are pushed: what discovery has at its return counts at once.
-func TestPushedListsAreAskedForWithinTheGrace(t *testing.T) {
-	n, w := newPushedNode(1)
-	w.run(1, func() {})
+func TestPushedListsRequestedWithinGrace(t *testing.T) {
+	n, net := newPushedNode(1)
+	net.run(1, func() {})
 	for range 20 {
-		w.run(1, func() { n.watchLost(n.pendingCall, "refused") })
+		net.run(1, func() { n.watchLost(n.pendingCall, "refused") })
 		from := n.now
 		for n.pendingCall == nil {
-			w.run(ms, func() {})
+			net.run(ms, func() {})
 		}
 		if n.now-from > n.settings.Grace/2+2*ms {
 			t.Fatal("no call is out for", n.now-from)
@@ -295,16 +295,16 @@
 // Guards a fleet that starts while discovery is down, with no list to begin with: its front is told yes, and clients no.
 func TestReadyWithoutAnyList(t *testing.T) {
 	for _, push := range []bool{false, true} {
-		_, w := newNode(0)
+		_, net := newNode(0)
 		if push {
-			_, w = newPushedNode(0)
+			_, net = newPushedNode(0)
 		}
-		front := w.openClient("PING\r\n")
-		w.expect(t, front, "NO\r\n", "")
-		w.run(readyWithoutListAfter, func() {})
-		w.receive(front, "PING\r\n")
-		w.expect(t, front, "NO\r\nPONG\r\n", "")
-		w.expect(t, w.openClient(openLine), "BUSY\r\n", "shut")
+		front := net.openClient("PING\r\n")
+		net.expect(t, front, "NO\r\n", "")
+		net.run(readyWithoutListAfter, func() {})
+		net.receive(front, "PING\r\n")
+		net.expect(t, front, "NO\r\nPONG\r\n", "")
+		net.expect(t, net.openClient(openLine), "BUSY\r\n", "shut")
 	}
 	if readyWithoutListAfter >= 10*second {
 		t.Fatal("nine in ten are to be ready by then")
@@ -312,29 +312,29 @@
 }
 
 // Guards the call that is due, SIGHUP's new address and probes against idle clients that hold every descriptor.
-func TestCallsFindAPlace(t *testing.T) {
-	n, w := newNode(1)
+func TestCallShedsForDescriptor(t *testing.T) {
+	n, net := newNode(1)
 	var idle []uint64
 	for range 5 {
-		idle = append(idle, w.openClient("PING\r\n"))
+		idle = append(idle, net.openClient("PING\r\n"))
 	}
-	w.run(shedAfterPing, func() {})
-	w.room = 0
-	w.run(1, func() { n.Follow("d2") })
-	if n.Count.Shed == 0 || w.ended[idle[1]] != "part" || w.address[w.lastConn()] != "d2" {
-		t.Fatal(n.Count.Shed, w.ended[idle[1]], w.address[w.lastConn()])
+	net.run(shedAfterPing, func() {})
+	net.room = 0
+	net.run(1, func() { n.Follow("d2") })
+	if n.Count.Shed == 0 || net.ended[idle[1]] != "part" || net.address[net.lastConn()] != "d2" {
+		t.Fatal(n.Count.Shed, net.ended[idle[1]], net.address[net.lastConn()])
 	}
 }
 
 // Guards two nodes in one process, with settings of two customers, against each other.
 func TestNodesShareNothing(t *testing.T) {
-	n, w := newNode(1)
+	n, net := newNode(1)
 	shared := &settings.Settings{Settings: balance.Settings{Types: []balance.ServiceType{{SetupTarget: 300 * ms, MessageTarget: 60 * ms},
 		{SetupTarget: 90 * ms, MessageTarget: 9 * ms}}, Nodes: 1, MaxConnects: 1, AskWithin: second, ColdTime: second}, Names: map[string]int{"toll": 1, "chat": 0},
 		Limits: []int64{0, 0}}
 	was := fmt.Sprintf("%+v", *shared)
-	w2 := &fakeNet{address: map[uint64]string{}, in: w.in, out: w.out, sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, endedUnread: map[uint64]bool{}, room: 100}
-	other := New(shared, Config{Discovery: "d9"}, w2)
+	otherNet := &fakeNet{address: map[uint64]string{}, in: net.in, out: net.out, sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, endedUnread: map[uint64]bool{}, room: 100}
+	other := New(shared, Config{Discovery: "d9"}, otherNet)
 	if fmt.Sprintf("%+v", *shared) != was {
 		t.Error("a node changed settings that were handed to it:", *shared)
 	}
@@ -342,16 +342,16 @@
 	if n.settings.Pushed || !other.settings.Pushed || n.config.Discovery == other.config.Discovery || len(n.hosts) == len(other.hosts) {
 		t.Fatal("settings or hosts of one at the other")
 	}
-	c := w.openClient("OPEN 1 2 c=toll,d=2000\r\n")
-	w.expect(t, c, "ERR\r\n", "shut")
-	w.receive(w.openClient(""), "half a line") // a ring of one's
+	c := net.openClient("OPEN 1 2 c=toll,d=2000\r\n")
+	net.expect(t, c, "ERR\r\n", "shut")
+	net.receive(net.openClient(""), "half a line") // a ring of one's
 	if mine, _ := n.ringBudget.Held(); mine != 1 {
 		t.Fatal(mine)
 	}
 	if theirs, _ := other.ringBudget.Held(); theirs != 0 {
 		t.Fatal("memory of one counts at the other", theirs)
 	}
-	w.run(1, func() { n.Drain() })
+	net.run(1, func() { n.Drain() })
 	if other.drainAt != 0 || other.stopAt != 0 || other.Count.Accepted != 0 || len(other.logKinds) != 0 {
 		t.Fatal("what one was told, the other does")
 	}
@@ -359,35 +359,35 @@
 
 // Guards hosts and discovery against the blame for descriptors that the system had none of, and a flow that was taken and a
 // call that is due against idle clients that hold them all.
-func TestNoDescriptorIsNobodysFault(t *testing.T) {
-	n, w := newNode(1)
-	w.openClient("PING\r\n")
-	idle := w.openClient("PING\r\n")
-	w.run(shedAfterPing, func() {})
-	c := w.openClient(openLine)
-	h := w.lastConn()
-	w.run(1, func() { n.Ended(h, syscall.EMFILE) })
-	if w.lastConn() != h || len(w.ids) < 2 || w.ended[idle] != "part" || w.sent[c] != "" || n.upstreamCount != 1 {
-		t.Fatal("not tried again with another's place", w.ended[idle], w.sent[c], n.upstreamCount)
-	}
-	w.receive(w.connectLast(), "UP 1\r\n")
-	w.expect(t, c, "UP 1\r\n", "")
-	c = w.openClient(openLine)
-	h = w.lastConn()
+func TestNoDescriptorBlamesNobody(t *testing.T) {
+	n, net := newNode(1)
+	net.openClient("PING\r\n")
+	idle := net.openClient("PING\r\n")
+	net.run(shedAfterPing, func() {})
+	c := net.openClient(openLine)
+	h := net.lastConn()
+	net.run(1, func() { n.Ended(h, syscall.EMFILE) })
+	if net.lastConn() != h || len(net.ids) < 2 || net.ended[idle] != "part" || net.sent[c] != "" || n.upstreamCount != 1 {
+		t.Fatal("not tried again with another's place", net.ended[idle], net.sent[c], n.upstreamCount)
+	}
+	net.receive(net.connectLast(), "UP 1\r\n")
+	net.expect(t, c, "UP 1\r\n", "")
+	c = net.openClient(openLine)
+	h = net.lastConn()
 	for range maxRedials + 1 { // and nobody is left to be let go
-		w.run(1, func() { n.Ended(h, syscall.ENFILE) })
+		net.run(1, func() { n.Ended(h, syscall.ENFILE) })
 	}
-	w.expect(t, c, "BUSY\r\n", "shut")
+	net.expect(t, c, "BUSY\r\n", "shut")
 	if n.hosts["s-0"].Avoided(n.now) {
 		t.Fatal("the host is to blame")
 	}
-	w.openClient("PING\r\n")
-	w.run(shedAfterPing, func() {})
+	net.openClient("PING\r\n")
+	net.run(shedAfterPing, func() {})
 	for n.pendingCall == nil {
-		w.run(ms, func() {})
+		net.run(ms, func() {})
 	}
 	failed, call, shed := n.Count.CallsFailed, n.pendingCall, n.Count.Shed
-	w.run(1, func() { n.Ended(call.id, syscall.EMFILE) })
+	net.run(1, func() { n.Ended(call.id, syscall.EMFILE) })
 	if n.pendingCall != call || n.Count.CallsFailed != failed || n.Count.Shed != shed+1 {
 		t.Fatal("the call is lost for want of a descriptor", n.Count.CallsFailed, n.Count.Shed)
 	}
@@ -395,13 +395,13 @@
 
 // Guards effects against two zones that the settings don't name being taken for one: what is known as a repeat in one is
 // not in the other.
-func TestUnnamedZonesAreTwo(t *testing.T) {
-	n, w := newNode(0)
+func TestUnnamedZonesDiffer(t *testing.T) {
+	n, net := newNode(0)
 	l := entries("ready", 4)
 	for i, zone := range []string{"x", "y z", "x", ""} {
 		l.Entries[i].Zone = zone
 	}
-	w.run(1, func() { n.applyList(balance.Whole, l) })
+	net.run(1, func() { n.applyList(balance.Whole, l) })
 	at := func(i int) int { return n.hosts[fmt.Sprintf("s-%d", i)].Zone }
 	if at(0) == at(1) || at(0) != at(2) || at(3) == at(0) || at(0) >= 0 || at(1) >= 0 || at(3) >= 0 {
 		t.Fatal(at(0), at(1), at(2), at(3))
