--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -118,12 +118,12 @@
 func TestAcceptingStopsInOrder(t *testing.T) {
 	for name, flow := range map[string]bool{"nothing in hand": false, "a flow to the last": true} {
 		n, net := newNode(1)
-		rests, asked, half := net.openClient(""), net.openClient("PING\r\n"), net.openClient("OPEN 1 2 c=ch")
-		n.deadlines.cancel(&n.conns.get(rests).timer)
+		silent, pinged, half := net.openClient(""), net.openClient("PING\r\n"), net.openClient("OPEN 1 2 c=ch")
+		n.deadlines.cancel(&n.conns.get(silent).timer)
 		n.deadlines.cancel(&n.conns.get(half).timer)
-		stays := uint64(0)
+		established := uint64(0)
 		if flow {
-			stays, _ = net.establish()
+			established, _ = net.establish()
 		}
 		net.run(1, func() { n.Stop() })
 		if take, _ := n.Quota(); take == 0 {
@@ -135,18 +135,18 @@
 		if left := n.stopDeadline - n.now; left < lastLineTime-moveInterval || !flow && n.now > n.stopAt+minStopTime+moveInterval {
 			t.Fatal(name, "shut late", left)
 		}
-		net.expect(t, rests, "BUSY\r\n", "shut")
-		net.expect(t, asked, "PONG\r\nBUSY\r\n", "shut")
+		net.expect(t, silent, "BUSY\r\n", "shut")
+		net.expect(t, pinged, "PONG\r\nBUSY\r\n", "shut")
 		net.expect(t, half, "BUSY\r\n", "shut")
 		if take, refuse := n.Quota(); take != 0 || refuse == 0 {
 			t.Fatal("taken behind the door", take, refuse)
 		}
-		net.receive(rests, openLine) // crossed its last word
-		if n.Done() || n.Count.Taken > 1 || len(net.sent[rests]) != len("BUSY\r\n") {
-			t.Fatal(name, n.Done(), n.Count.Taken, net.sent[rests])
+		net.receive(silent, openLine) // crossed its last word
+		if n.Done() || n.Count.Taken > 1 || len(net.sent[silent]) != len("BUSY\r\n") {
+			t.Fatal(name, n.Done(), n.Count.Taken, net.sent[silent])
 		}
 		net.run(1, func() {
-			for _, c := range []uint64{rests, asked, half, stays} {
+			for _, c := range []uint64{silent, pinged, half, established} {
 				if c != 0 {
 					n.Ended(c, nil)
 				}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -17,7 +17,7 @@
 	"coursewinch/settings"
 )
 
-// fakeNet is a Net without sockets: what is sent gathers here, by connection, in the order in which they were made.
+// fakeNet is a Net without sockets. It collects what the node sends on each connection.
 type fakeNet struct {
 	node        *Node
 	ids         []uint64
@@ -25,12 +25,12 @@
 	in          map[uint64]*lines.Ring
 	out         map[uint64]*lines.Ring
 	sent        map[uint64]string
-	ended       map[uint64]string // how it was ended by the node
+	ended       map[uint64]string // how the node closed the connection
 	up          map[uint64]bool
-	endedUnread map[uint64]bool // its other side has ended, and nobody was told
+	endedUnread map[uint64]bool // the other side has closed, and the node has not been told
 	room        int
-	clients     int // clients so far
-	from        netip.AddrPort
+	clients     int            // clients opened so far
+	from        netip.AddrPort // address of the clients
 }
 
 func (net *fakeNet) register(id uint64, to string, in, out *lines.Ring) {
@@ -38,9 +38,9 @@
 	net.address[id], net.in[id], net.out[id] = to, in, out
 }
 func (net *fakeNet) Dial(id uint64, to string, in, out *lines.Ring) { net.register(id, to, in, out) }
-func (w *fakeNet) Touch(id uint64) {
-	for r := w.out[id]; w.up[id] && r.Len() > 0; {
-		w.sent[id] += string(r.Head())
+func (net *fakeNet) Touch(id uint64) {
+	for r := net.out[id]; net.up[id] && r.Len() > 0; {
+		net.sent[id] += string(r.Head())
 		r.Drop(len(r.Head()))
 	}
 }
@@ -48,28 +48,51 @@
 func (net *fakeNet) Close(id uint64) { net.ended[id] = "close" }
 func (net *fakeNet) Reset(id uint64) { net.ended[id] = "reset" }
 func (net *fakeNet) Room() int       { return net.room }
-func (w *fakeNet) Part(id uint64) {
-	w.Touch(id)
-	w.ended[id] = "part"
+func (net *fakeNet) Part(id uint64) {
+	net.Touch(id)
+	net.ended[id] = "part"
 }
 func (net *fakeNet) Gone(id uint64) bool { return net.endedUnread[id] }
 
 const startTime = 1_000 * second
 
-// newNode gives a node that knows hosts s-0, s-1... and probes none for now.
+// newNode returns a node that knows hosts s-0, s-1, ... and sends no probes.
 func newNode(hosts int) (*Node, *fakeNet) { return newNodeWith(hosts, Config{}) }
 
+// newNodeWith is newNode with a configuration.
 func newNodeWith(hosts int, conf Config) (*Node, *fakeNet) {
-	set := &settings.Settings{Settings: balance.Settings{Types: []balance.ServiceType{{SetupTarget: 300 * ms,
-		MessageTarget: 60 * ms}}, Nodes: 1, MaxConnects: 3, OnRequest: true, AskWithin: 10 * second, ColdFrom: 0.1,
-		ColdTime: 20 * second, FallMultiple: 3}, Names: map[string]int{"chat": 0}, Dial: 250 * ms, Longest: 2 * second, Limits: []int64{0}}
-	w := &fakeNet{address: map[uint64]string{}, in: map[uint64]*lines.Ring{}, out: map[uint64]*lines.Ring{},
-		sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, endedUnread: map[uint64]bool{}, room: 100}
-	w.node = New(set, conf, w)
-	w.node.Begin(startTime, entries("ready", hosts))
-	return w.node, w
-}
-
+	nodeSettings := &settings.Settings{
+		Settings: balance.Settings{
+			Types:        []balance.ServiceType{{SetupTarget: 300 * ms, MessageTarget: 60 * ms}},
+			Nodes:        1,
+			MaxConnects:  3,
+			OnRequest:    true,
+			AskWithin:    10 * second,
+			ColdFrom:     0.1,
+			ColdTime:     20 * second,
+			FallMultiple: 3,
+		},
+		Names:   map[string]int{"chat": 0},
+		Dial:    250 * ms,
+		Longest: 2 * second,
+		Limits:  []int64{0},
+	}
+	net := &fakeNet{
+		address:     map[uint64]string{},
+		in:          map[uint64]*lines.Ring{},
+		out:         map[uint64]*lines.Ring{},
+		sent:        map[uint64]string{},
+		ended:       map[uint64]string{},
+		up:          map[uint64]bool{},
+		endedUnread: map[uint64]bool{},
+		room:        100,
+	}
+	net.node = New(nodeSettings, conf, net)
+	net.node.Begin(startTime, entries("ready", hosts))
+	return net.node, net
+}
+
+// entries returns a list of hosts s-0, s-1, ... with addresses h0, h1, ...
 func entries(state string, hosts int) (l discovery.List) {
 	for i := range hosts {
 		l.Entries = append(l.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("h%d", i),
@@ -80,28 +103,28 @@
 
 func (net *fakeNet) run(after int64, in func()) { net.node.Turn(net.node.now+after, in) }
 
-// receive gives a connection text that has come.
-func (w *fakeNet) receive(id uint64, text string) {
-	w.run(1, func() {
-		w.in[id].Put([]byte(text))
-		w.node.Received(id)
+// receive delivers text on a connection.
+func (net *fakeNet) receive(id uint64, text string) {
+	net.run(1, func() {
+		net.in[id].Put([]byte(text))
+		net.node.Received(id)
 	})
 }
 
 func (net *fakeNet) lastConn() uint64 { return net.ids[len(net.ids)-1] }
 
-// connectLast lets the last connection that was asked for come up.
-func (w *fakeNet) connectLast() uint64 {
-	id := w.lastConn()
-	w.up[id] = true
-	w.run(1, func() { w.node.Connected(id) })
+// connectLast makes the connection that was dialled last come up.
+func (net *fakeNet) connectLast() uint64 {
+	id := net.lastConn()
+	net.up[id] = true
+	net.run(1, func() { net.node.Connected(id) })
 	return id
 }
 
-// openClient opens a client's connection and says something on it.
+// openClient opens a client's connection and sends a text on it.
 func (net *fakeNet) openClient(text string) uint64 {
 	var id uint64
-	net.clients++ // each has an id of its own
+	net.clients++ // each request has an id of its own
 	text = strings.Replace(text, "OPEN 1 ", fmt.Sprintf("OPEN %d ", net.clients), 1)
 	net.run(1, func() {
 		var in, out *lines.Ring
@@ -117,7 +140,7 @@
 
 const openLine = "OPEN 1 2 c=chat,d=2000\r\n"
 
-// establish gives an established flow.
+// establish returns the connections of a new established flow.
 func (net *fakeNet) establish() (client, host uint64) {
 	client = net.openClient(openLine)
 	host = net.connectLast()
@@ -136,7 +159,7 @@
 	n, net := newNode(1)
 	c := net.openClient(openLine)
 	h := net.connectLast()
-	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\n", "") // 5 ms are kept back and 2 us have gone
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\n", "") // answerMargin is 5 ms, and 2 us have passed
 	net.receive(h, "U")
 	net.receive(h, "P 7\r\nLOAD 9\r\nx")
 	net.expect(t, c, "UP 7\r\nLOAD 9\r\n", "")
@@ -151,15 +174,16 @@
 	}
 }
 
-// Guards the module against being called from within its own call: a connect that fails at once is told later.
+// A connect that fails at once is reported to the module in the next iteration, because the module must not be called from
+// within its own call.
 func TestConnectFailsInNextIteration(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(openLine)
-	n.Move(&n.conns.get(net.lastConn()).flow.Flow) // not established: nothing to move
+	n.Move(&n.conns.get(net.lastConn()).flow.Flow) // not established, so this does nothing
 	net.run(0, func() {
 		net.node.Ended(net.lastConn(), unix.ECONNREFUSED)
 		if net.sent[c] != "BUSY\r\n" {
-			t.Error("the only host refuses, and the client waits")
+			t.Error("the only host refused the connection and the client has no answer")
 		}
 	})
 }
@@ -171,7 +195,7 @@
 	n.Move(&f.Flow)
 	n.Move(&f.Flow)
 	if n.flows.count != 1 {
-		t.Fatal("the module's flow is gone before its round has ended")
+		t.Fatal("the flow was removed within the module's own call")
 	}
 	net.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
 	if net.ended[h] != "shut" {
@@ -204,18 +228,13 @@
 	n, net := newNode(2)
 	c := net.openClient(openLine)
 	first := net.connectLast()
-	for _, line := range []string{"", "ERR\r\n"} {
-		if line == "" {
-			continue
-		}
-		net.receive(first, line)
-	}
+	net.receive(first, "ERR\r\n")
 	second := net.connectLast()
 	if first == second || net.ended[first] != "close" || net.address[first] == net.address[second] {
-		t.Fatal("no second connect, or the first is still out")
+		t.Fatal("no second connect, or the first connection is still open")
 	}
-	net.receive(second, "what is this\r\n") // nonsense counts as an error
-	net.expect(t, c, "BUSY\r\n", "shut")    // both hosts have failed it
+	net.receive(second, "what is this\r\n") // an invalid line counts as an error
+	net.expect(t, c, "BUSY\r\n", "shut")    // both hosts have failed
 	if n.Count.Connects != 2 || n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
@@ -227,13 +246,13 @@
 	first := net.lastConn()
 	net.run(250*ms, func() {})
 	if net.lastConn() == first || net.ended[first] != "close" {
-		t.Fatal("a connection that does not come up is waited for")
+		t.Fatal("no further connect after the dial timeout")
 	}
 	net.connectLast()
 	net.run(2*second, func() {})
 	net.expect(t, c, "BUSY\r\n", "shut")
 	if n.flows.count != 0 {
-		t.Fatal("the flow stays")
+		t.Fatal("the flow was not removed")
 	}
 }
 
@@ -267,20 +286,21 @@
 	}
 }
 
-// Guards clients of a host that goes silent: no end ever tells of it.
+// A host that goes silent never closes its connections. A flow is moved when the oldest line passed to the host has had no
+// answer for hostSilenceTimeout.
 func TestSilentHostLosesItsFlows(t *testing.T) {
 	n, net := newNode(1)
-	n.deadlines.cancel(&n.messageTimeTimer) // or the module moves it before
+	n.deadlines.cancel(&n.messageTimeTimer) // otherwise the module moves the flow earlier
 	c, h := net.establish()
 	net.receive(c, "M 1\r\n")
 	net.receive(h, "M 1\r\n")
 	net.run(6*second, func() {})
 	if n.flows.count != 1 {
-		t.Fatal("moved with no line out")
+		t.Fatal("moved without an unanswered line")
 	}
 	net.receive(c, "M 2\r\n")
 	net.run(2*second, func() {})
-	net.receive(c, "M 3\r\n") // counts from the first
+	net.receive(c, "M 3\r\n") // the timeout counts from the first line
 	net.run(3*second, func() {})
 	net.expect(t, c, "UP 7\r\nM 1\r\nMOVE\r\n", "shut")
 	if n.flows.count != 0 || n.Count.Silent != 1 {
@@ -291,10 +311,10 @@
 func TestMoveNeverSplitsALine(t *testing.T) {
 	n, net := newNode(1)
 	c, h := net.establish()
-	net.receive(h, strings.Repeat("x", lines.RingSize)) // longer than any line may be, and passed on all the same
+	net.receive(h, strings.Repeat("x", lines.RingSize)) // longer than any line may be, but passed on
 	n.Move(&n.conns.get(c).flow.Flow)
 	if strings.Contains(net.sent[c], "MOVE") || net.ended[c] != "" {
-		t.Fatal("MOVE within a line, or cut off in the middle of one")
+		t.Fatal("MOVE sent within a line, or connection closed within a line")
 	}
 	net.receive(h, "x\r\nLOAD 1\r\n")
 	if !strings.HasSuffix(net.sent[c], "x\r\nLOAD 1\r\nMOVE\r\n") || net.ended[c] != "shut" || n.flows.count != 0 {
@@ -302,31 +322,31 @@
 	}
 }
 
-// Guards lines that wait for room at a slow client against a move that comes then.
+// A move waits for the host's lines that wait for room at a slow client.
 func TestMoveFollowsQueuedLines(t *testing.T) {
 	n, net := newNode(1)
 	c, h := net.establish()
-	net.up[c] = false // it reads nothing
-	line, told := strings.Repeat("y", 3000)+"\r\n", "UP 7\r\n"
-	for n.conns.get(h).in.Len() == 0 { // until one finds no room
+	net.up[c] = false // the client reads nothing
+	line, expected := strings.Repeat("y", 3000)+"\r\n", "UP 7\r\n"
+	for n.conns.get(h).in.Len() == 0 { // until a line finds no room
 		net.receive(h, line)
-		told += line
+		expected += line
 	}
 	n.Move(&n.conns.get(c).flow.Flow)
 	if net.ended[c] != "" {
-		t.Fatal("cut off with lines under way")
+		t.Fatal("closed with lines waiting")
 	}
 	net.up[c] = true
 	net.run(1, func() {
 		net.Touch(c)
 		n.Sent(c)
 	})
-	if net.expect(t, c, told+"MOVE\r\n", "shut"); n.flows.count != 0 {
+	if net.expect(t, c, expected+"MOVE\r\n", "shut"); n.flows.count != 0 {
 		t.Fatal(n.flows.count)
 	}
 }
 
-// Guards a full ring: what does not fit waits, and goes on when there is room.
+// Lines that don't fit into the client's ring stay in the host's and follow when there is room.
 func TestFullRingHoldsLinesBack(t *testing.T) {
 	n, net := newNode(1)
 	c, h := net.establish()
@@ -358,71 +378,73 @@
 func TestListUpdatesHosts(t *testing.T) {
 	n, net := newNode(2)
 	h := n.hosts["s-1"]
-	l := entries("ready", 2)
-	l.Rev = 8
-	l.Entries[1].Endpoint, l.Entries[1].BootMs = "h9", startTime/ms
-	net.run(1, func() { n.applyList(balance.Changes, l) })
+	update := entries("ready", 2)
+	update.Rev = 8
+	update.Entries[1].Endpoint, update.Entries[1].BootMs = "h9", startTime/ms
+	net.run(1, func() { n.applyList(balance.Changes, update) })
 	if n.hosts["s-1"] != h || h.addr != "h9" || h.Started != startTime || h.Hash != hash("s-1") {
 		t.Fatal(h)
 	}
 	net.run(1, func() { n.applyList(balance.Whole, entries("ready", 1)) })
 	if len(n.hosts) != 1 || h.State != balance.Removed {
-		t.Fatal("a host absent from the whole list stays")
+		t.Fatal("a host absent from the whole list was kept")
 	}
 }
 
+// chunk returns an HTTP chunk with a line of text.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(text)+1, text) }
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Guards changes against a watch that is silent, and the watch against being given up for one that may not come.
+// A silent watch leads to a new call, but stays open and is listened to until the new call has brought a list.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	n, w := newNode(1)
-	first := w.connectLast()
-	w.receive(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
-	w.run(watchSilenceTimeout-1, func() {})
-	if w.lastConn() != first || n.Count.CallsFailed != 0 {
-		t.Fatal("given up early")
-	}
-	w.run(1, func() {})
-	w.run(250*ms, func() {})
-	call := w.connectLast()
-	if w.ended[first] != "" || call == first || n.Count.CallsFailed != 1 {
-		t.Fatal("not remade, or the old one is gone", w.ended[first])
-	}
-	w.receive(first, chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
+	n, net := newNode(1)
+	old := net.connectLast()
+	net.receive(old, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	net.run(watchSilenceTimeout-1, func() {})
+	if net.lastConn() != old || n.Count.CallsFailed != 0 {
+		t.Fatal("replaced too early")
+	}
+	net.run(1, func() {})
+	net.run(250*ms, func() {})
+	call := net.connectLast()
+	if net.ended[old] != "" || call == old || n.Count.CallsFailed != 1 {
+		t.Fatal("no new call, or the old watch was closed", net.ended[old])
+	}
+	net.receive(old, chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
 	if n.hosts["s-0"].State != balance.Draining {
-		t.Fatal("what it says after all is not taken in")
+		t.Fatal("a late list of the old watch was ignored")
 	}
-	w.receive(call, watchHead+chunk(`{"rev":5,"all":false,"targets":[]}`))
-	if w.ended[first] != "close" || n.watch == nil || n.listRev != 5 {
-		t.Fatal("two watches", n.listRev)
+	net.receive(call, watchHead+chunk(`{"rev":5,"all":false,"targets":[]}`))
+	if net.ended[old] != "close" || n.watch == nil || n.listRev != 5 {
+		t.Fatal("the new call did not replace the old watch", n.listRev)
 	}
 }
 
-// Guards a change of discovery: versions count at one address only, and what is known goes on until the new one speaks.
+// When the address of discovery changes, the old watch is kept until the new address has brought a list. Versions of the old
+// address are not used at the new one.
 func TestOldWatchKeptUntilNewDiscoveryAnswers(t *testing.T) {
 	n, net := newNode(1)
 	old := net.connectLast()
 	net.receive(old, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(`{"rev":30,"all":false,"targets":[]}`))
 	net.run(1, func() { n.Follow("d2") })
-	net.run(1, func() { n.Follow("d3") }) // the last one holds
+	net.run(1, func() { n.Follow("d3") }) // the last address counts
 	call := net.connectLast()
 	if net.address[call] != "d3" || net.ended[old] != "" || strings.Contains(net.sent[call], "after=") {
 		t.Fatal(net.address[call], net.ended[old], net.sent[call])
 	}
-	net.run(callTimeout, func() {}) // it hangs: asked again well before it counts as told
+	net.run(callTimeout, func() {}) // the call hangs: the next one follows well before maxChangeDelay
 	net.run(250*ms, func() {})
 	again := net.connectLast()
 	if again == call || net.ended[call] != "close" || net.ended[old] != "" {
-		t.Fatal("a call that hangs is waited for, or the old watch is gone")
+		t.Fatal("the hanging call was not replaced, or the old watch was closed")
 	}
 	net.receive(again, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-9","endpoint":"h9","state":"ready"}]}`))
 	if net.ended[old] != "close" || net.ended[call] != "close" || n.hosts["s-9"] == nil || n.hosts["s-0"] != nil {
-		t.Fatal("the new one spoke")
+		t.Fatal("the list of the new address was not taken over in full")
 	}
-	net.run(1, func() { n.Ended(again, nil) }) // so soon that it counts as refused, the second time
+	net.run(1, func() { n.Ended(again, nil) }) // so soon that it counts as the second refusal
 	net.run(2*second, func() {})
 	if net.connectLast(); !strings.Contains(net.sent[net.lastConn()], "after=2 ") {
 		t.Fatal(net.sent[net.lastConn()])
@@ -454,16 +476,17 @@
 	net.expect(t, id, "PING\r\nPING\r\n", "")
 	net.run(300*ms, func() {})
 	if net.ended[id] != "close" || n.Count.ProbesFailed != 1 {
-		t.Fatal("a probe without an answer goes on")
+		t.Fatal("a probe without an answer did not fail")
 	}
 }
 
-// Guards descriptors against clients that say nothing or do not end their line; the front's connection stays.
+// Clients that send nothing or don't end their line are closed, so that they don't hold descriptors. The connection of the
+// front-end load balancer, which sends PING, stays.
 func TestFirstLineTimeout(t *testing.T) {
 	n, net := newNode(1)
-	mute, half, front, later := net.openClient(""), net.openClient("OPEN 1"), net.openClient("PING\r\n"), net.openClient("PING\r\n")
+	silent, half, front, later := net.openClient(""), net.openClient("OPEN 1"), net.openClient("PING\r\n"), net.openClient("PING\r\n")
 	net.run(firstLineTimeout, func() {})
-	net.expect(t, mute, "BUSY\r\n", "shut") // its line may be on its way: nothing of it was tried
+	net.expect(t, silent, "BUSY\r\n", "shut") // its request may be on its way and was not tried
 	net.expect(t, half, "ERR\r\n", "shut")
 	net.receive(later, "PIN")
 	net.run(firstLineTimeout, func() {})
@@ -475,7 +498,7 @@
 	}
 }
 
-// Guards usual clients, connects and probes against crowds that ask nothing: those are shed, the oldest first.
+// Clients that request nothing are shed, oldest first, so that ordinary clients, connects and probes find descriptors.
 func TestIdleCrowdIsShed(t *testing.T) {
 	n, net := newNode(1)
 	net.room = reservedDescriptors + 2
@@ -486,7 +509,7 @@
 	young := net.openClient("")
 	net.run(1, func() {
 		if !n.Spare() {
-			t.Error("nobody was shed for one more client")
+			t.Error("no client was shed for a new one")
 		}
 	})
 	net.expect(t, old, "BUSY\r\n", "part")
@@ -498,11 +521,11 @@
 	}
 }
 
-// Guards a client that reads slowly: its last line is not cut off for want of a descriptor.
+// A client that reads slowly is not shed while its last line is unsent.
 func TestUnsentLastLineIsNotShed(t *testing.T) {
 	n, net := newNode(1)
 	c, _ := net.establish()
-	net.up[c] = false // reads nothing
+	net.up[c] = false // the client reads nothing
 	net.run(1, func() { n.Move(&n.conns.get(c).flow.Flow) })
 	net.run(shedAfterSilence, func() {})
 	net.run(1, func() {
@@ -510,11 +533,11 @@
 		}
 	})
 	if net.ended[c] != "shut" {
-		t.Fatal(net.ended[c], "with MOVE unsent")
+		t.Fatal("shed with MOVE unsent:", net.ended[c])
 	}
 }
 
-// Guards hosts' standing against a node that is short itself: what was never sent says nothing of them.
+// A node without descriptors sends nothing, and what it did not send must not count against hosts.
 func TestNoDescriptorSaysNothingAboutHosts(t *testing.T) {
 	n, net := newNode(2)
 	c := net.openClient(openLine)
@@ -529,11 +552,11 @@
 	n.Probe(&h.Server)
 	net.run(1, func() {})
 	if h.probeSentAt != 0 || h.probe != nil {
-		t.Fatal("a probe without a descriptor")
+		t.Fatal("the unsent probe is still outstanding")
 	}
 }
 
-// Guards a flow against another that calls itself the same, also after its end: a host may not have heard of that.
+// A request id can't be used again, even after the end of its flow, because the host may not know of that end yet.
 func TestRequestIDsAreUnique(t *testing.T) {
 	n, net := newNode(1)
 	net.establish()
@@ -547,11 +570,11 @@
 		n.recentIDs.add(i)
 	}
 	if len(n.recentIDs.known) != defaultMaxIDs || len(n.recentIDs.ring) != defaultMaxIDs || !n.recentIDs.add(hash("1")) {
-		t.Fatal("ids are kept for ever")
+		t.Fatal("the number of remembered ids is not bounded")
 	}
 }
 
-// Guards hosts against what a client says before it may.
+// A client that sends data before its answer is rejected, and no host receives that data.
 func TestDataBeforeAnswerIsRejected(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(openLine + "OPEN 3 4 c=chat,d=9\r\n")
@@ -570,7 +593,7 @@
 	c := net.openClient(strings.Repeat("PING\r\n", maxPingsPerRead+1))
 	net.expect(t, c, strings.Repeat("PONG\r\n", maxPingsPerRead)+"ERR\r\n", "shut")
 	c = net.openClient("")
-	net.out[c].Put(make([]byte, lines.RingSize)) // it reads nothing for a while
+	net.out[c].Put(make([]byte, lines.RingSize)) // the client reads nothing for a while
 	net.up[c] = false
 	net.receive(c, "PING\r\n")
 	net.out[c].Drop(lines.RingSize)
@@ -579,7 +602,7 @@
 	net.expect(t, c, "PONG\r\n", "")
 }
 
-// Guards the loop against a client that has its last line and sends on.
+// A client that goes on sending after its last line is closed, so that it does not keep the loop busy.
 func TestEndlessSenderIsClosed(t *testing.T) {
 	_, net := newNode(1)
 	c := net.openClient("frob\r\n")
@@ -589,7 +612,8 @@
 	net.expect(t, c, "ERR\r\n", "close")
 }
 
-// Guards the loop against waiting on its log, and the memory against names of flows long gone.
+// Invalid lines are logged at most once a second, so that the loop does not block on its log. Groups of flows that ended
+// without being established are forgotten.
 func TestFloodsAreBounded(t *testing.T) {
 	n, net := newNode(1)
 	var text bytes.Buffer
@@ -620,7 +644,7 @@
 	}
 }
 
-// Guards all other connections against a panic over one.
+// A panic closes the connection that caused it and no other.
 func TestPanicClosesOneConnection(t *testing.T) {
 	n, net := newNode(1)
 	a, _ := net.establish()
@@ -635,7 +659,8 @@
 	net.receive(a, "M\r\n")
 }
 
-// Guards clients against waiting for a node to come back, and that node against all of them at once.
+// A stop moves clients evenly over the time, and not at once: clients moved early might come back here or wait for a node that
+// is not back yet, and all at once would overload it.
 func TestStopSpreadsMoves(t *testing.T) {
 	n, net := newNode(1)
 	for range 20 {
@@ -644,18 +669,18 @@
 	n.Stop()
 	net.run((n.stopDeadline-moveMargin-n.now)/firstMoveDivisor-1, func() {})
 	if n.Count.Moves != 0 {
-		t.Fatal(n.Count.Moves, "moved while they would come back here")
+		t.Fatal(n.Count.Moves, "clients moved too early")
 	}
 	half := (n.stopDeadline - moveMargin - n.now) / 2
 	for from := n.now; n.now < from+half; {
 		net.run(moveInterval, func() {})
 	}
 	if n.Count.Moves < 8 || n.Count.Moves > 12 {
-		t.Fatal(n.Count.Moves, "moved by half of the time")
+		t.Fatal(n.Count.Moves, "clients moved by half of the time; want 8 to 12")
 	}
 	for !n.Done() && n.now < n.stopDeadline {
 		net.run(moveInterval, func() {
-			for id, how := range net.ended { // those who were told end as well
+			for id, how := range net.ended { // clients that were moved close their connection
 				if how == "shut" {
 					n.Ended(id, nil)
 				}
@@ -667,7 +692,7 @@
 	}
 }
 
-// Guards what comes after the word to stop against being cut off without an answer.
+// Requests that come after a stop get an answer before the end.
 func TestLateFlowsAreAnsweredAtStop(t *testing.T) {
 	n, net := newNode(1)
 	n.Stop()
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -33,14 +33,14 @@
 
 // What others hold counts from the first flow of the group on, also if this node had not met it when it was told.
 func TestPeerPlacementsKeptUntilGroupIsKnown(t *testing.T) {
-	n, w := newNode(1)
+	n, net := newNode(1)
 	h := &heldCounter{Decider: n.decider}
 	n.decider, n.settings.Groups = h, true
 	hear := func() { n.Heard([]byte("GET / HTTP/1.1")); n.Heard(nil) }
 	homes := []balance.Home{{Group: &balance.Group{Hash: hash("grp")}, Server: &n.hosts["s-0"].Server}}
 	peers.Write(nil, homes, func(p []byte) { bad := hear; hear = func() { bad(); n.Heard(p) } })
 	for want, in := range []func(){hear, func() { (&flow{}).joinNamedGroup(n, "grp") }, hear} {
-		if w.run(1, in); h.held != want {
+		if net.run(1, in); h.held != want {
 			t.Fatal(h.held, "homes told, want", want)
 		}
 	}
