--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -10,17 +10,17 @@
 	"coursewinch/lines"
 )
 
-// Two events that cross, in the bad order: docs/design/crossings.md has the table.
+// The tests of this file let two events cross in the unfavourable order. docs/design/crossings.md has the table.
 
-// Guards an answer that is still to go against its client ending first: it may only have closed its own half.
+// A client that closes its sending side still gets an answer that has not been sent yet.
 func TestAnswerSentAfterClientClosed(t *testing.T) {
 	n, net := newNode(0)
 	c := net.openClient("")
-	net.up[c] = false // nothing of what is put for it has gone yet
+	net.up[c] = false // nothing is sent yet
 	net.receive(c, openLine)
 	net.run(1, func() { n.Ended(c, nil) })
 	if net.ended[c] != "shut" {
-		t.Fatal("closed over its answer:", net.ended[c])
+		t.Fatal("closed before its answer was sent:", net.ended[c])
 	}
 	net.up[c] = true
 	net.run(1, func() {
@@ -33,12 +33,11 @@
 	net.receive(c, openLine)
 	net.run(1, func() { n.Ended(c, unix.ECONNRESET) })
 	if net.ended[c] != "close" || n.conns.count != 1 { // the watch
-		t.Fatal("waits for a client whose connection is broken", net.ended[c], n.conns.count)
+		t.Fatal("a broken connection was not closed", net.ended[c], n.conns.count)
 	}
 }
 
-// Guards hosts against connects for clients that have left while nobody was told: their end lies unread. The first
-// connect and each further one.
+// No connect, first or further, is made for a client that has left, even if its end has not been read yet.
 func TestNoConnectForClientThatLeft(t *testing.T) {
 	for name, before := range map[string]func(net *fakeNet) (client uint64){
 		"first": func(net *fakeNet) uint64 {
@@ -65,23 +64,23 @@
 		}
 		net.run(0, func() {})
 		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 || net.ended[c] != "close" || n.Count.Left != 1 {
-			t.Errorf("%s: %d connects, %d flows, %d links, client %q, %d left", name, made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.Left)
+			t.Errorf("%s: %d connects, %d flows, %d upstreams, client %q, %d left", name, made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.Left)
 		}
 		for _, h := range n.hostList {
 			if h.Flows() != 0 {
-				t.Errorf("%s: the module counts %d at %s still", name, h.Flows(), h.uid)
+				t.Errorf("%s: the module still counts %d flows at %s", name, h.Flows(), h.uid)
 			}
 		}
 	}
 }
 
-// Guards hosts against the line of a connect that came up late: its client has left, its time is over, or a first connect
-// may have run so long ago that a repeat is not known as one.
+// A connection that comes up late may no longer be used: its client has left, its time is over, or an earlier connect may have
+// run the flow so long ago that the host does not recognise a repeat. The host is sent no request then.
 func TestLateConnectsSendNothing(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		late         int64
-		so           func(n *Node, net *fakeNet, client uint64)
+		prepare      func(n *Node, net *fakeNet, client uint64)
 	}{
 		{"client left", "", ms, func(n *Node, net *fakeNet, client uint64) { net.endedUnread[client] = true }},
 		{"no time left", "BUSY\r\n", 2 * second, nil},
@@ -94,10 +93,10 @@
 		n.settings.Dial = 0
 		client := net.openClient(openLine)
 		first := net.connectLast()
-		if c.so != nil {
-			c.so(n, net, client)
+		if c.prepare != nil {
+			c.prepare(n, net, client)
 		}
-		net.receive(first, "ERR\r\n") // it may have run
+		net.receive(first, "ERR\r\n") // the first host may have run the flow
 		if c.name == "client left" {
 			net.endedUnread[client] = false // so that a second connect goes out
 			n, net = newNode(1)
@@ -114,9 +113,9 @@
 	}
 }
 
-// Guards clients that rest without a flow, and those who come late, against the exit of the process: each has a last word.
+// Before the process ends, clients without a flow and clients that arrive late are all sent a last line.
 func TestAcceptingStopsInOrder(t *testing.T) {
-	for name, flow := range map[string]bool{"nothing in hand": false, "a flow to the last": true} {
+	for name, flow := range map[string]bool{"no flow": false, "a flow until the end": true} {
 		n, net := newNode(1)
 		silent, pinged, half := net.openClient(""), net.openClient("PING\r\n"), net.openClient("OPEN 1 2 c=ch")
 		n.deadlines.cancel(&n.conns.get(silent).timer)
@@ -127,21 +126,21 @@
 		}
 		net.run(1, func() { n.Stop() })
 		if take, _ := n.Quota(); take == 0 {
-			t.Fatal("the door is shut at once")
+			t.Fatal("accepting stopped at once")
 		}
 		for n.acceptStoppedAt == 0 && n.now < n.stopDeadline {
 			net.run(moveInterval, func() {})
 		}
 		if left := n.stopDeadline - n.now; left < lastLineTime-moveInterval || !flow && n.now > n.stopAt+minStopTime+moveInterval {
-			t.Fatal(name, "shut late", left)
+			t.Fatal(name, "accepting stopped too late", left)
 		}
 		net.expect(t, silent, "BUSY\r\n", "shut")
 		net.expect(t, pinged, "PONG\r\nBUSY\r\n", "shut")
 		net.expect(t, half, "BUSY\r\n", "shut")
 		if take, refuse := n.Quota(); take != 0 || refuse == 0 {
-			t.Fatal("taken behind the door", take, refuse)
+			t.Fatal("connections accepted after the stop of accepting", take, refuse)
 		}
-		net.receive(silent, openLine) // crossed its last word
+		net.receive(silent, openLine) // crosses the last line sent to it
 		if n.Done() || n.Count.Taken > 1 || len(net.sent[silent]) != len("BUSY\r\n") {
 			t.Fatal(name, n.Done(), n.Count.Taken, net.sent[silent])
 		}
@@ -153,7 +152,7 @@
 			}
 		})
 		if !n.Done() {
-			t.Fatal(name, "all have ended, and it stays")
+			t.Fatal(name, "all clients have closed, and the node is not done")
 		}
 	}
 	n, net := newNode(1)
@@ -163,12 +162,11 @@
 		net.run(moveInterval, func() {})
 	}
 	if n.now > n.stopAt+minStopTime+lastLineTime+2*moveInterval {
-		t.Fatal("waits for ever for a client that has vanished", n.now-n.stopAt)
+		t.Fatal("waits too long for a client that has vanished", n.now-n.stopAt)
 	}
 }
 
-// Guards a line against being taken for sent where its write failed: it never ran, and goes on also where a repeat would not be
-// known.
+// A request whose write failed has not been run, so it is sent to another host, even where a repeat would not be recognised.
 func TestFailedWriteIsRetried(t *testing.T) {
 	n, net := newNode(2)
 	n.settings.Types[0].Effect = balance.OnceOnly
@@ -177,14 +175,14 @@
 	net.run(1, func() { n.Connected(first) }) // the line stays in its ring
 	net.run(1, func() { n.Ended(first, unix.EPIPE) })
 	if net.lastConn() == first || net.sent[c] != "" {
-		t.Fatalf("given up: %q", net.sent[c])
+		t.Fatalf("no further connect; client got %q", net.sent[c])
 	}
 	net.receive(net.connectLast(), "UP 1\r\n")
 	net.expect(t, c, "UP 1\r\n", "")
 }
 
-// Guards each order of a host's word and the end of its connection within one turn, or with the word cut: what the flow's
-// outcome is, and that its client has one answer.
+// A host's answer and the end of its connection may arrive in one loop iteration, and the answer may be cut. In each case the
+// client gets one answer and the flow the right outcome.
 func TestHostAnswerAndClose(t *testing.T) {
 	for _, c := range []struct {
 		text   string
@@ -193,15 +191,15 @@
 		sent   string // to the client
 		ended  string
 	}{
-		{"BUSY\r\n", unix.ECONNRESET, balance.OnceOnly, "", ""}, // never ran: a second connect is out
+		{"BUSY\r\n", unix.ECONNRESET, balance.OnceOnly, "", ""}, // not run: a second connect is made
 		{"BUSY\r\n", nil, balance.OnceOnly, "", ""},
-		{"BUS", unix.ECONNRESET, balance.OnceOnly, "ERR\r\n", "shut"}, // cut: it may have run
+		{"BUS", unix.ECONNRESET, balance.OnceOnly, "ERR\r\n", "shut"}, // cut: the host may have run the flow
 		{"BUS", nil, balance.Repeatable, "", ""},
 		{"UP 1\r\n", nil, balance.OnceOnly, "UP 1\r\n", "shut"},
 		{"UP 1\r\nBYE\r\n", nil, balance.OnceOnly, "UP 1\r\nBYE\r\n", "shut"},
 		{"UP 1\r\n", unix.ECONNRESET, balance.OnceOnly, "UP 1\r\n", "reset"},
 		{"UP ", nil, balance.OnceOnly, "ERR\r\n", "shut"},
-		{"ERR\r\nUP 1\r\n", nil, balance.OnceOnly, "ERR\r\n", "shut"}, // a second answer behind the first
+		{"ERR\r\nUP 1\r\n", nil, balance.OnceOnly, "ERR\r\n", "shut"}, // a second answer after the first
 		{"UP 1\r\nUP 2\r\n", nil, balance.OnceOnly, "UP 1\r\nUP 2\r\n", "shut"},
 		{strings.Repeat("x", lines.Longest+3), nil, balance.OnceOnly, "ERR\r\n", "shut"}, // an answer that never ends
 	} {
@@ -223,8 +221,8 @@
 	}
 }
 
-// Guards a client that was served to its end against being told to come again: its host's last word lies unread as the node
-// moves it, for the module or because the node ends. At the last moment all are moved.
+// A flow whose host has ended it, with the last line still unread, is not moved, neither for the module nor because the node
+// stops. At the last moment all flows are moved.
 func TestNoMoveAfterHostClosed(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		n, net := newNode(1)
@@ -246,7 +244,7 @@
 		net.run(1, func() { n.Ended(h, nil) })
 		net.expect(t, c, "UP 7\r\nBYE\r\n", "shut")
 		if n.Count.Moves != 0 || n.Count.Completed != 1 {
-			t.Errorf("stops %t: %d moves, %d served to their end", stops, n.Count.Moves, n.Count.Completed)
+			t.Errorf("stops %t: %d moves, %d flows completed", stops, n.Count.Moves, n.Count.Completed)
 		}
 	}
 	n, net := newNode(1)
--- a/node/ending_test.go
+++ b/node/ending_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards flows that came before the word to end, and whose clients would wait for longer than the process has left,
-// against the kill: each has its answer by then, at whatever stage its connect is.
+// Flows that came before a stop and whose clients would wait for longer than the process has left get their answer before the
+// process is killed, at whatever stage their connect is.
 func TestPendingFlowsAreAnsweredBeforeStop(t *testing.T) {
 	for name, begin := range map[string]func(net *fakeNet){
 		"not up yet": func(net *fakeNet) {}, "asked": func(net *fakeNet) { net.connectLast() },
@@ -17,12 +17,13 @@
 			net.run(moveInterval, func() {})
 		}
 		if net.sent[c] != "BUSY\r\n" || n.flows.count != 0 {
-			t.Errorf("%s: told %q, %d flows in hand %d us before the end", name, net.sent[c], n.flows.count, n.stopDeadline-n.now)
+			t.Errorf("%s: answered %q, %d flows left %d us before the end", name, net.sent[c], n.flows.count, n.stopDeadline-n.now)
 		}
 	}
 }
 
-// Guards a deployment whose clients wait for less than a second: the platform kills 0.7 s after the longest of these.
+// The platform kills the process 0.7 s after the longest connect timeout, which may be less than a second. The node has to be
+// done before that.
 func TestStopEndsBeforeKill(t *testing.T) {
 	for _, longest := range []int64{300 * ms, 800 * ms, 2 * second, 9 * second} {
 		n, net := newNode(1)
@@ -31,13 +32,13 @@
 		net.run(1, func() { n.Stop() })
 		for from := n.now; !n.Done(); {
 			if n.now-from > min(longest, 3*second)+700*ms-100*ms {
-				t.Fatal(longest, "killed")
+				t.Fatal(longest, "not done before the process is killed")
 			}
 			net.run(moveInterval, func() {})
 		}
 		net.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
 		if n.now-n.stopAt < 400*ms {
-			t.Fatal(longest, "ends while connections go on coming")
+			t.Fatal(longest, "done while new connections may still arrive")
 		}
 	}
 }
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -14,7 +14,7 @@
 	"coursewinch/handover"
 )
 
-// fakePeer is the other process as a node reaches it; what it is given goes to the other node.
+// fakePeer is the peer process as a node reaches it. It passes what it is given to another node.
 type fakePeer struct {
 	t         *testing.T
 	from      *fakeNet
@@ -22,7 +22,7 @@
 	messages  []*handover.Message
 	refuses   bool
 	accepting bool
-	moved     map[uint64]uint64 // connections of the one to those of the other
+	moved     map[uint64]uint64 // ids of connections at the successor by ids at the predecessor
 }
 
 func (peer *fakePeer) Tell(m *handover.Message) { peer.messages = append(peer.messages, m) }
@@ -58,39 +58,40 @@
 	return true
 }
 
-// newPredecessor gives a node that runs, and how it reaches another that is to take over.
+// newPredecessor returns a running node and the peer process that is to take over from it.
 func newPredecessor(t *testing.T, hosts int) (*fakeNet, *fakePeer) {
 	t.Helper()
-	_, old := newNode(hosts)
-	old.node.settings.Groups = true
-	return old, &fakePeer{t: t, from: old, moved: map[uint64]uint64{}}
+	_, predecessor := newNode(hosts)
+	predecessor.node.settings.Groups = true
+	return predecessor, &fakePeer{t: t, from: predecessor, moved: map[uint64]uint64{}}
 }
 
-// startSuccessor lets a new process take in what the old one knows.
-func (peer *fakePeer) startSuccessor(s *handover.State) *fakeNet {
+// startSuccessor starts a new process with the state that the predecessor sent.
+func (peer *fakePeer) startSuccessor(state *handover.State) *fakeNet {
 	peer.t.Helper()
 	n, net := newNode(1)
-	fresh := New(n.settings, Config{Admission: admission.Limits{PerAddress: 100}}, net)
+	successor := New(n.settings, Config{Admission: admission.Limits{PerAddress: 100}}, net)
 	net.from = netip.MustParseAddrPort("127.0.0.9:1")
-	fresh.settings.Groups = true
-	net.node = fresh
+	successor.settings.Groups = true
+	net.node = successor
 	peer.to = net
 	back := &fakePeer{t: peer.t}
-	fresh.Inherit(back, s)
-	fresh.Begin(peer.from.node.now, discovery.List{})
+	successor.Inherit(back, state)
+	successor.Begin(peer.from.node.now, discovery.List{})
 	return net
 }
 
+// steps runs n handover steps of a node.
 func (peer *fakePeer) steps(net *fakeNet, n int) {
 	for range n {
 		net.run(handOverInterval, func() {})
 	}
 }
 
-// Guards a roll to a file with other service types: what belongs to one goes by its name, and of one that is gone the
-// clients are told to come again.
+// A new version may be configured with other service types. State is handed over by the type's name, and clients of a type
+// that no longer exists are moved.
 func TestHandoverMatchesTypesByName(t *testing.T) {
-	named3 := func(net *fakeNet, names ...string) *Node {
+	newTypedNode := func(net *fakeNet, names ...string) *Node {
 		set := *net.node.settings
 		set.Types, set.Names, set.Limits = nil, map[string]int{}, nil
 		for i, name := range names {
@@ -99,205 +100,206 @@
 		}
 		return New(&set, Config{}, net)
 	}
-	old, p := newPredecessor(t, 2)
-	now := old.node.now
-	old.node = named3(old, "chat", "toll", "gone")
-	old.node.Begin(now, entries("ready", 2))
-	n := old.node
-	stands := func(class string) (client, host uint64) {
-		client = old.openClient("OPEN 1 2 c=" + class + ",d=2000\r\n")
-		host = old.connectLast()
-		old.receive(host, "UP 7\r\nLOAD 900\r\n")
+	predecessor, peer := newPredecessor(t, 2)
+	now := predecessor.node.now
+	predecessor.node = newTypedNode(predecessor, "chat", "toll", "gone")
+	predecessor.node.Begin(now, entries("ready", 2))
+	n := predecessor.node
+	establish := func(class string) (client, host uint64) {
+		client = predecessor.openClient("OPEN 1 2 c=" + class + ",d=2000\r\n")
+		host = predecessor.connectLast()
+		predecessor.receive(host, "UP 7\r\nLOAD 900\r\n")
 		return client, host
 	}
-	toll, _ := stands("toll")
-	gone, _ := stands("gone")
-	s, _ := n.Heir(p)
-	_, young := newNode(1)
-	young.node = named3(young, "toll", "chat")
-	p.to = young
-	young.node.Inherit(&fakePeer{t: t}, s)
-	young.node.Begin(n.now, discovery.List{})
-	young.run(joinTimeout, func() {})
-	m := s.Node.By(s.Types, young.node.typeNames())
-	if len(m.Loads) != 2 || m.Loads[0] != s.Node.Loads[1] || m.Loads[1] != s.Node.Loads[0] || len(s.Types) != 3 {
-		t.Fatal(m.Loads, s.Node.Loads)
-	}
-	if lost := s.Node.By(s.Types[:1], young.node.typeNames()); lost.Loads != nil {
-		t.Fatal("figures without names are taken", lost.Loads)
-	}
-	old.run(1, func() { n.Yield(); n.Stop() })
-	p.steps(old, 3)
-	f := young.node.conns.get(p.moved[toll]).flow
+	toll, _ := establish("toll")
+	gone, _ := establish("gone")
+	state, _ := n.Heir(peer)
+	_, successor := newNode(1)
+	successor.node = newTypedNode(successor, "toll", "chat")
+	peer.to = successor
+	successor.node.Inherit(&fakePeer{t: t}, state)
+	successor.node.Begin(n.now, discovery.List{})
+	successor.run(joinTimeout, func() {})
+	m := state.Node.By(state.Types, successor.node.typeNames())
+	if len(m.Loads) != 2 || m.Loads[0] != state.Node.Loads[1] || m.Loads[1] != state.Node.Loads[0] || len(state.Types) != 3 {
+		t.Fatal(m.Loads, state.Node.Loads)
+	}
+	if lost := state.Node.By(state.Types[:1], successor.node.typeNames()); lost.Loads != nil {
+		t.Fatal("figures without type names were used", lost.Loads)
+	}
+	predecessor.run(1, func() { n.Yield(); n.Stop() })
+	peer.steps(predecessor, 3)
+	f := successor.node.conns.get(peer.moved[toll]).flow
 	if f.TypeNo != 0 || f.movePending {
-		t.Fatal("toll is of another type there", f.TypeNo, f.movePending)
+		t.Fatal("the flow has another service type at the successor", f.TypeNo, f.movePending)
 	}
-	young.expect(t, p.moved[gone], "MOVE\r\n", "shut")
+	successor.expect(t, peer.moved[gone], "MOVE\r\n", "shut")
 }
 
-// Guards clients of a rolled node: no flow is moved or cut off, no byte lost, and what the old process knew goes on.
+// A handover moves or breaks no flow and loses no byte, and the successor has the predecessor's knowledge.
 func TestHandoverKeepsFlows(t *testing.T) {
-	old, p := newPredecessor(t, 3)
-	n := old.node
-	c, h := old.establish()
-	grouped := old.openClient("OPEN 1 2 c=chat,d=2000,g=team\r\n")
-	gh := old.connectLast()
-	old.receive(gh, "UP 8\r\nLOAD 700\r\n")
-	old.receive(c, "half a li")
-	front := old.openClient("PING\r\n")
-	mute := old.openClient("OPEN 77 2 c=ch")
-	under := old.openClient(openLine)
-	uh := old.connectLast()
-	s, ok := n.Heir(p)
-	if _, again := n.Heir(p); !ok || again {
-		t.Fatal("two at once")
-	}
-	young := p.startSuccessor(s)
-	if young.node.Ready() || young.node.state() != "joining" || len(s.List.Entries) != 3 || len(s.IDs) != 3 {
-		t.Fatal(young.node.state(), s)
-	}
-	young.run(joinTimeout, func() {})
-	if !young.node.Ready() || !young.node.handover.peer.(*fakePeer).accepting {
-		t.Fatal(young.node.state())
-	}
-	late := old.openClient(openLine) // its id is told with the yield
-	old.run(1, func() {
+	predecessor, peer := newPredecessor(t, 3)
+	n := predecessor.node
+	c, h := predecessor.establish()
+	grouped := predecessor.openClient("OPEN 1 2 c=chat,d=2000,g=team\r\n")
+	groupedHost := predecessor.connectLast()
+	predecessor.receive(groupedHost, "UP 8\r\nLOAD 700\r\n")
+	predecessor.receive(c, "half a li")
+	front := predecessor.openClient("PING\r\n")
+	silent := predecessor.openClient("OPEN 77 2 c=ch")
+	pending := predecessor.openClient(openLine)
+	pendingHost := predecessor.connectLast()
+	state, ok := n.Heir(peer)
+	if _, again := n.Heir(peer); !ok || again {
+		t.Fatal("the first handover was refused, or a second one accepted")
+	}
+	successor := peer.startSuccessor(state)
+	if successor.node.Ready() || successor.node.state() != "joining" || len(state.List.Entries) != 3 || len(state.IDs) != 3 {
+		t.Fatal(successor.node.state(), state)
+	}
+	successor.run(joinTimeout, func() {})
+	if !successor.node.Ready() || !successor.node.handover.peer.(*fakePeer).accepting {
+		t.Fatal(successor.node.state())
+	}
+	late := predecessor.openClient(openLine) // its id is sent when the predecessor yields
+	predecessor.run(1, func() {
 		if ids := n.Yield(); len(ids) != 1 {
 			t.Fatal(ids)
 		}
 	})
-	p.steps(old, 3)
-	if len(p.moved) != 0 || !n.answersFront() {
-		t.Fatal("handed on before it was told to end")
-	}
-	old.run(1, n.Stop)
-	p.steps(old, 2)
-	for _, id := range []uint64{c, h, grouped, gh, front, mute} {
-		if old.ended[id] != "close" || p.moved[id] == 0 || strings.Contains(old.sent[id], "MOVE") {
-			t.Fatalf("%d: %q, %v", id, old.ended[id], p.moved)
+	peer.steps(predecessor, 3)
+	if len(peer.moved) != 0 || !n.answersFront() {
+		t.Fatal("connections handed over before the stop")
+	}
+	predecessor.run(1, n.Stop)
+	peer.steps(predecessor, 2)
+	for _, id := range []uint64{c, h, grouped, groupedHost, front, silent} {
+		if predecessor.ended[id] != "close" || peer.moved[id] == 0 || strings.Contains(predecessor.sent[id], "MOVE") {
+			t.Fatalf("%d: %q, %v", id, predecessor.ended[id], peer.moved)
 		}
 	}
-	if n.Done() || old.ended[under] != "" {
-		t.Fatal("a set-up under way is finished first")
-	}
-	old.receive(uh, "UP 9\r\n")
-	old.connectLast()
-	old.receive(old.lastConn(), "UP 9\r\n")
-	p.steps(old, 2)
-	if p.moved[under] == 0 || p.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOn != 6 {
-		t.Fatal(p.moved, n.flows.count, n.Count)
-	}
-	if known, strangers := young.node.admissionGate.Held(); known+strangers != 1 {
-		t.Fatal("not counted for their address")
-	}
-	young.receive(p.moved[c], "ne\r\n")
-	young.expect(t, p.moved[h], "half a line\r\n", "")
-	young.receive(p.moved[h], "back\r\n")
-	young.expect(t, p.moved[c], "back\r\n", "")
-	young.receive(p.moved[front], "PING\r\n")
-	young.expect(t, p.moved[front], "PONG\r\n", "")
-	young.receive(p.moved[mute], "at,d=2000\r\n")
-	if !strings.HasPrefix(young.address[young.lastConn()], "h") {
-		t.Fatal("half a line came to nothing")
-	}
-	for _, f := range young.node.flows.entries {
+	if n.Done() || predecessor.ended[pending] != "" {
+		t.Fatal("a flow being set up was not finished first")
+	}
+	predecessor.receive(pendingHost, "UP 9\r\n")
+	predecessor.connectLast()
+	predecessor.receive(predecessor.lastConn(), "UP 9\r\n")
+	peer.steps(predecessor, 2)
+	if peer.moved[pending] == 0 || peer.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOn != 6 {
+		t.Fatal(peer.moved, n.flows.count, n.Count)
+	}
+	if known, strangers := successor.node.admissionGate.Held(); known+strangers != 1 {
+		t.Fatal("connections handed over are not counted for their address")
+	}
+	successor.receive(peer.moved[c], "ne\r\n")
+	successor.expect(t, peer.moved[h], "half a line\r\n", "")
+	successor.receive(peer.moved[h], "back\r\n")
+	successor.expect(t, peer.moved[c], "back\r\n", "")
+	successor.receive(peer.moved[front], "PING\r\n")
+	successor.expect(t, peer.moved[front], "PONG\r\n", "")
+	successor.receive(peer.moved[silent], "at,d=2000\r\n")
+	if !strings.HasPrefix(successor.address[successor.lastConn()], "h") {
+		t.Fatal("no connect for a request whose line was half received before the handover")
+	}
+	for _, f := range successor.node.flows.entries {
 		if f.value.Group != nil && f.value.reportedLoad != 700 {
 			t.Fatal(f.value.reportedLoad)
 		}
 	}
-	if got := young.metrics(t); got["inflight"] != 5 || got["success.chat"] != 0 {
+	if got := successor.metrics(t); got["inflight"] != 5 || got["success.chat"] != 0 {
 		t.Fatal(got)
 	}
-	young.receive(young.openClient(""), fmt.Sprintf("OPEN %d 2 c=chat,d=2000\r\n", old.clients-1))
-	if young.node.Count.Bad != 1 {
-		t.Fatal("an id that the old process had was taken again")
+	successor.receive(successor.openClient(""), fmt.Sprintf("OPEN %d 2 c=chat,d=2000\r\n", predecessor.clients-1))
+	if successor.node.Count.Bad != 1 {
+		t.Fatal("a request id used at the predecessor was accepted again")
 	}
 }
 
-// Guards against a hand-over that stops half way: at each step what is left goes on as without it.
+// A handover may fail at any step. What is left then goes on as without a handover.
 func TestFailedHandover(t *testing.T) {
-	old, p := newPredecessor(t, 1)
-	n := old.node
-	c, _ := old.establish()
-	s, _ := n.Heir(p)
+	predecessor, peer := newPredecessor(t, 1)
+	n := predecessor.node
+	c, _ := predecessor.establish()
+	state, _ := n.Heir(peer)
 	if take := n.OtherGone(); take {
-		t.Fatal("took again what it had not given up")
+		t.Fatal("told to accept connections that it had not given up")
 	}
-	young := p.startSuccessor(s)
-	young.run(1, func() {
-		if !young.node.OtherGone() {
-			t.Fatal("the old one died and nobody takes")
+	successor := peer.startSuccessor(state)
+	successor.run(1, func() {
+		if !successor.node.OtherGone() {
+			t.Fatal("the predecessor has ended and the successor does not accept connections")
 		}
 	})
-	if !young.node.Ready() {
-		t.Fatal(young.node.state())
+	if !successor.node.Ready() {
+		t.Fatal(successor.node.state())
 	}
-	if _, ok := n.Heir(p); !ok {
-		t.Fatal("no second try")
+	if _, ok := n.Heir(peer); !ok {
+		t.Fatal("a second handover was refused")
 	}
 	n.HeirKnows()
-	old.run(1, n.Stop) // before the other has taken
-	if len(p.messages) != 1 || !p.messages[0].Leave {
-		t.Fatal(p.messages)
+	predecessor.run(1, n.Stop) // before the successor has taken over
+	if len(peer.messages) != 1 || !peer.messages[0].Leave {
+		t.Fatal(peer.messages)
 	}
-	p.refuses = true
-	old.run(1, func() { n.Yield() })
+	peer.refuses = true
+	predecessor.run(1, func() { n.Yield() })
 	for !n.Done() {
-		p.steps(old, 1)
+		peer.steps(predecessor, 1)
 	}
-	if !strings.HasSuffix(old.sent[c], "MOVE\r\n") {
-		t.Fatalf("%q", old.sent[c])
+	if !strings.HasSuffix(predecessor.sent[c], "MOVE\r\n") {
+		t.Fatalf("%q", predecessor.sent[c])
 	}
 }
 
-// Guards the rule on drains: what one process was told holds in the other, until that hears for itself; and a drained
-// node, which stays so until an operator says otherwise.
+// A drain that one process learns of holds in the peer process, until that gets a list itself. A drained node stays drained
+// through a handover, until an operator resumes it.
 func TestDrainsHoldInBothProcesses(t *testing.T) {
-	old, p := newPredecessor(t, 2)
-	old.node.Drain()
-	s, _ := old.node.Heir(p)
-	young := p.startSuccessor(s)
-	if young.run(joinTimeout, func() {}); young.node.state() != "drained" {
-		t.Fatal(young.node.state())
-	}
-	l := entries("draining", 1)
-	old.run(1, func() { old.node.receiveList(&conn{}, l) })
-	if len(p.messages) != 1 || !slices.Equal(p.messages[0].Drains, []string{"s-0"}) {
-		t.Fatal(p.messages)
-	}
-	young.run(1, func() { young.node.HearDrains(append(p.messages[0].Drains, "unknown")) })
-	p.messages, old.node.settings.DrainsAlone = nil, true
-	old.run(1, func() { old.node.receiveList(&conn{}, entries("gone", 2)) })
-	if len(p.messages) != 0 {
-		t.Fatal("gone alone does not bind here, and was told to bind")
-	}
-	if young.node.hosts["s-0"].State != balance.Draining || young.node.hosts["s-1"].State != balance.Up {
-		t.Fatal(young.node.hosts)
+	predecessor, peer := newPredecessor(t, 2)
+	predecessor.node.Drain()
+	state, _ := predecessor.node.Heir(peer)
+	successor := peer.startSuccessor(state)
+	successor.run(joinTimeout, func() {})
+	if successor.node.state() != "drained" {
+		t.Fatal(successor.node.state())
+	}
+	update := entries("draining", 1)
+	predecessor.run(1, func() { predecessor.node.receiveList(&conn{}, update) })
+	if len(peer.messages) != 1 || !slices.Equal(peer.messages[0].Drains, []string{"s-0"}) {
+		t.Fatal(peer.messages)
+	}
+	successor.run(1, func() { successor.node.HearDrains(append(peer.messages[0].Drains, "unknown")) })
+	peer.messages, predecessor.node.settings.DrainsAlone = nil, true
+	predecessor.run(1, func() { predecessor.node.receiveList(&conn{}, entries("gone", 2)) })
+	if len(peer.messages) != 0 {
+		t.Fatal("an absent host was reported as draining, although only draining binds")
+	}
+	if successor.node.hosts["s-0"].State != balance.Draining || successor.node.hosts["s-1"].State != balance.Up {
+		t.Fatal(successor.node.hosts)
 	}
 }
 
-// What the module knew goes on; of a host started anew since, nothing does.
+// The successor's module has the predecessor's knowledge, except of a host that has restarted since.
 func TestHandoverKeepsKnowledge(t *testing.T) {
-	old, p := newPredecessor(t, 3)
+	predecessor, peer := newPredecessor(t, 3)
 	for range 20 {
-		old.establish()
-	}
-	c, h := old.establish()
-	old.receive(h, "LOAD 900\r\n")
-	old.run(1, func() { old.node.Ended(c, nil) }) // its key's load is kept
-	s, _ := old.node.Heir(p)
-	was := s.Hosts["s-1"]
-	was.Started = 5
-	s.Hosts["s-1"] = was
-	young := p.startSuccessor(s).node
-	m, none := young.decider.(balancerMemory), balance.ServerMemory{}
-	first, anew := m.MemoryOf(&young.hosts["s-0"].Server), m.MemoryOf(&young.hosts["s-1"].Server)
-	if first.Rank == 0 || !reflect.DeepEqual(first, s.Hosts["s-0"]) || anew.Latency != none.Latency {
+		predecessor.establish()
+	}
+	c, h := predecessor.establish()
+	predecessor.receive(h, "LOAD 900\r\n")
+	predecessor.run(1, func() { predecessor.node.Ended(c, nil) }) // the load of its key is remembered
+	state, _ := predecessor.node.Heir(peer)
+	known := state.Hosts["s-1"]
+	known.Started = 5
+	state.Hosts["s-1"] = known
+	successor := peer.startSuccessor(state).node
+	memory, none := successor.decider.(balancerMemory), balance.ServerMemory{}
+	first, anew := memory.MemoryOf(&successor.hosts["s-0"].Server), memory.MemoryOf(&successor.hosts["s-1"].Server)
+	if first.Rank == 0 || !reflect.DeepEqual(first, state.Hosts["s-0"]) || anew.Latency != none.Latency {
 		t.Fatal(first, anew)
 	}
-	if got := m.Memory(); !reflect.DeepEqual(got.Setups, s.Node.Setups) || len(got.Known) != 1 {
-		t.Fatal(got, s.Node)
+	if got := memory.Memory(); !reflect.DeepEqual(got.Setups, state.Node.Setups) || len(got.Known) != 1 {
+		t.Fatal(got, state.Node)
 	}
-	s.Node.Loads = nil // of another make: left out
-	p.startSuccessor(s)
+	state.Node.Loads = nil // a state without loads is accepted
+	peer.startSuccessor(state)
 }
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -150,14 +150,14 @@
 	n.limits.Idle, n.limits.Stalled = 10*second, 5*second
 	quiet, _ := net.establish()
 	stuck, host := net.establish()
-	sound, soundHost := net.establish()
+	active, activeHost := net.establish()
 	net.up[stuck] = false // takes nothing more
 	net.receive(stuck, "say\r\n")
 	net.receive(host, "say\r\n")
 	for range 9 {
 		net.run(second, func() {})
-		net.receive(sound, "say\r\n")
-		net.receive(soundHost, "say\r\n")
+		net.receive(active, "say\r\n")
+		net.receive(activeHost, "say\r\n")
 		if net.ended[stuck] == "" {
 			net.receive(stuck, "say\r\n")
 			net.receive(host, "say\r\n")
@@ -168,11 +168,11 @@
 	}
 	for range 3 {
 		net.run(second, func() {})
-		net.receive(sound, "say\r\n")
-		net.receive(soundHost, "say\r\n")
+		net.receive(active, "say\r\n")
+		net.receive(activeHost, "say\r\n")
 	}
-	if net.ended[quiet] == "" || net.ended[sound] != "" || n.Count.Vanished != 2 {
-		t.Errorf("the silent one ended %q, the sound one %q, %d vanished", net.ended[quiet], net.ended[sound], n.Count.Vanished)
+	if net.ended[quiet] == "" || net.ended[active] != "" || n.Count.Vanished != 2 {
+		t.Errorf("the silent one ended %q, the sound one %q, %d vanished", net.ended[quiet], net.ended[active], n.Count.Vanished)
 	}
 }
 
@@ -180,14 +180,14 @@
 // its core back, it takes them for what they are.
 func TestStarvedNodeBlamesNoHost(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
-	no := 0
+	number := 0
 	serve := func(flows int, late, took int64) {
 		for range flows {
 			n.Late(late, 0)
-			no++
-			was := n.Count.Connects
-			net.openClient(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", no, no))
-			if n.Count.Connects > was {
+			number++
+			before := n.Count.Connects
+			net.openClient(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", number, number))
+			if n.Count.Connects > before {
 				id := net.connectLast()
 				n.Late(late, 0)
 				net.run(took, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
@@ -195,14 +195,14 @@
 		}
 	}
 	serve(12, 0, 2*ms)
-	was := n.Types[0].Busy
+	before := n.Types[0].Busy
 	serve(20, 60*ms, 200*ms)
-	if n.Types[0].Busy > was {
-		t.Errorf("%d flows rejected by a node that is late itself", n.Types[0].Busy-was)
+	if n.Types[0].Busy > before {
+		t.Errorf("%d flows rejected by a node that is late itself", n.Types[0].Busy-before)
 	}
 	net.run(5*second, func() {})
 	serve(20, 0, 200*ms)
-	if n.Types[0].Busy == was {
+	if n.Types[0].Busy == before {
 		t.Error("slow set-ups mean nothing to a node that is in time")
 	}
 }
--- a/node/operators_test.go
+++ b/node/operators_test.go
@@ -128,13 +128,13 @@
 func TestDrainMovesAllAndResumeRestores(t *testing.T) {
 	n, net := newNode(3)
 	front := net.openClient("PING\r\n")
-	var held []uint64
+	var established []uint64
 	for range 20 {
 		c, _ := net.establish()
-		held = append(held, c)
+		established = append(established, c)
 	}
-	under := net.openClient(openLine) // its set-up is under way
-	underHost := net.connectLast()
+	pending := net.openClient(openLine) // its set-up is under way
+	pendingHost := net.connectLast()
 	if status, body := net.callOperator(t, "PUT", "/-/drain"); status != 200 || body != "drained\n" {
 		t.Fatal(status, body)
 	}
@@ -142,7 +142,7 @@
 	net.receive(front, "PING\r\n")
 	net.expect(t, front, "PONG\r\nNO\r\n", "")
 	late, _ := net.establish() // on a connection that was open
-	net.receive(underHost, "UP 9\r\n")
+	net.receive(pendingHost, "UP 9\r\n")
 	net.runUntil(from + drainMoveDelay - 20*ms)
 	if n.Count.Moves != 0 {
 		t.Fatal(n.Count.Moves, "moved before the front has turned away")
@@ -153,7 +153,7 @@
 	}
 	net.callOperator(t, "PUT", "/-/drain") // changes nothing
 	net.runUntil(from + drainDuration + 20*ms)
-	for _, c := range append(held, under, late) {
+	for _, c := range append(established, pending, late) {
 		if !strings.HasSuffix(net.sent[c], "MOVE\r\n") || net.ended[c] == "" {
 			t.Fatalf("%q %q", net.sent[c], net.ended[c])
 		}
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -34,24 +34,24 @@
 // What others hold counts from the first flow of the group on, also if this node had not met it when it was told.
 func TestPeerPlacementsKeptUntilGroupIsKnown(t *testing.T) {
 	n, net := newNode(1)
-	h := &heldCounter{Decider: n.decider}
-	n.decider, n.settings.Groups = h, true
-	hear := func() { n.Heard([]byte("GET / HTTP/1.1")); n.Heard(nil) }
+	counter := &heldCounter{Decider: n.decider}
+	n.decider, n.settings.Groups = counter, true
+	deliver := func() { n.Heard([]byte("GET / HTTP/1.1")); n.Heard(nil) }
 	homes := []balance.Home{{Group: &balance.Group{Hash: hash("grp")}, Server: &n.hosts["s-0"].Server}}
-	peers.Write(nil, homes, func(p []byte) { bad := hear; hear = func() { bad(); n.Heard(p) } })
-	for want, in := range []func(){hear, func() { (&flow{}).joinNamedGroup(n, "grp") }, hear} {
-		if net.run(1, in); h.held != want {
-			t.Fatal(h.held, "homes told, want", want)
+	peers.Write(nil, homes, func(p []byte) { invalid := deliver; deliver = func() { invalid(); n.Heard(p) } })
+	for want, in := range []func(){deliver, func() { (&flow{}).joinNamedGroup(n, "grp") }, deliver} {
+		if net.run(1, in); counter.held != want {
+			t.Fatal(counter.held, "homes told, want", want)
 		}
 	}
 }
 
 // The first seconds after the switch: what was learnt of hosts counts, none is full before its first report, flows are placed.
 func TestStartWithRestoredMemory(t *testing.T) {
-	old, net := newNode(1)
-	s := &old.hosts["s-0"].Server
-	net.run(1, func() { old.decider.Probed(s, balance.Completed, 3*ms) })
-	kept := old.decider.(balancerMemory).MemoryOf(s)
+	predecessor, net := newNode(1)
+	server := &predecessor.hosts["s-0"].Server
+	net.run(1, func() { predecessor.decider.Probed(server, balance.Completed, 3*ms) })
+	kept := predecessor.decider.(balancerMemory).MemoryOf(server)
 	n, net := newNode(1)
 	n.settings.Reports, n.settings.Peers = true, true
 	f := &flow{}
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -261,18 +261,18 @@
 
 // Guards clients and the front of a node whose version is rolled where lists are pushed: what was handed on is no old list.
 func TestSuccessorDoesNotWaitForFirstList(t *testing.T) {
-	old, p := newPredecessor(t, 1)
-	s, _ := old.node.Heir(p)
+	predecessor, peer := newPredecessor(t, 1)
+	state, _ := predecessor.node.Heir(peer)
 	n, net := newPushedNode(0)
-	young := New(n.settings, Config{}, net)
-	young.settings.Pushed = true
-	net.node = young
-	young.Inherit(&fakePeer{t: t}, s)
-	young.Begin(n.now, discovery.List{})
+	successor := New(n.settings, Config{}, net)
+	successor.settings.Pushed = true
+	net.node = successor
+	successor.Inherit(&fakePeer{t: t}, state)
+	successor.Begin(n.now, discovery.List{})
 	net.run(joinTimeout, func() {})
 	net.expect(t, net.openClient("PING\r\n"), "PONG\r\n", "")
-	if net.openClient(openLine); young.upstreamCount != 1 || len(young.heldFlows) != 0 {
-		t.Fatal("held", young.upstreamCount, len(young.heldFlows))
+	if net.openClient(openLine); successor.upstreamCount != 1 || len(successor.heldFlows) != 0 {
+		t.Fatal("held", successor.upstreamCount, len(successor.heldFlows))
 	}
 }
 
@@ -332,10 +332,10 @@
 	shared := &settings.Settings{Settings: balance.Settings{Types: []balance.ServiceType{{SetupTarget: 300 * ms, MessageTarget: 60 * ms},
 		{SetupTarget: 90 * ms, MessageTarget: 9 * ms}}, Nodes: 1, MaxConnects: 1, AskWithin: second, ColdTime: second}, Names: map[string]int{"toll": 1, "chat": 0},
 		Limits: []int64{0, 0}}
-	was := fmt.Sprintf("%+v", *shared)
+	before := fmt.Sprintf("%+v", *shared)
 	otherNet := &fakeNet{address: map[uint64]string{}, in: net.in, out: net.out, sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, endedUnread: map[uint64]bool{}, room: 100}
 	other := New(shared, Config{Discovery: "d9"}, otherNet)
-	if fmt.Sprintf("%+v", *shared) != was {
+	if fmt.Sprintf("%+v", *shared) != before {
 		t.Error("a node changed settings that were handed to it:", *shared)
 	}
 	other.Begin(startTime, discovery.List{})
@@ -345,11 +345,11 @@
 	c := net.openClient("OPEN 1 2 c=toll,d=2000\r\n")
 	net.expect(t, c, "ERR\r\n", "shut")
 	net.receive(net.openClient(""), "half a line") // a ring of one's
-	if mine, _ := n.ringBudget.Held(); mine != 1 {
-		t.Fatal(mine)
+	if own, _ := n.ringBudget.Held(); own != 1 {
+		t.Fatal(own)
 	}
-	if theirs, _ := other.ringBudget.Held(); theirs != 0 {
-		t.Fatal("memory of one counts at the other", theirs)
+	if others, _ := other.ringBudget.Held(); others != 0 {
+		t.Fatal("memory of one counts at the other", others)
 	}
 	net.run(1, func() { n.Drain() })
 	if other.drainAt != 0 || other.stopAt != 0 || other.Count.Accepted != 0 || len(other.logKinds) != 0 {
@@ -397,11 +397,11 @@
 // not in the other.
 func TestUnnamedZonesDiffer(t *testing.T) {
 	n, net := newNode(0)
-	l := entries("ready", 4)
+	update := entries("ready", 4)
 	for i, zone := range []string{"x", "y z", "x", ""} {
-		l.Entries[i].Zone = zone
+		update.Entries[i].Zone = zone
 	}
-	net.run(1, func() { n.applyList(balance.Whole, l) })
+	net.run(1, func() { n.applyList(balance.Whole, update) })
 	at := func(i int) int { return n.hosts[fmt.Sprintf("s-%d", i)].Zone }
 	if at(0) == at(1) || at(0) != at(2) || at(3) == at(0) || at(0) >= 0 || at(1) >= 0 || at(3) >= 0 {
 		t.Fatal(at(0), at(1), at(2), at(3))
