--- a/node/late_test.go
+++ b/node/late_test.go
@@ -7,7 +7,7 @@
 	"coursewinch/balance"
 )
 
-// recordingDecider is a Decider that notes what it is told of probes and set-ups.
+// recordingDecider is a Decider that records the probes and set-up times reported to it.
 type recordingDecider struct {
 	module
 	probes []probeResult
@@ -29,7 +29,7 @@
 	h.module.Established(f, took)
 }
 
-// newRecordingNode is a node whose module is listened to.
+// newRecordingNode returns a node with a recording decider.
 func newRecordingNode(t *testing.T) (*Node, *fakeNet, *recordingDecider) {
 	t.Helper()
 	n, net := newNode(2)
@@ -38,18 +38,19 @@
 	return n, net, h
 }
 
-// runLate plays a turn after a turn that took before, in which what came had waited for late.
+// runLate runs a loop iteration whose events have waited for late, after an iteration that took before.
 func (net *fakeNet) runLate(late, before int64, in func()) {
 	net.node.Late(late, before)
 	net.run(late+1, in)
 }
 
-// TestOwnLatenessInProbes answers probes while the node itself is late: what is taught is what is left without it.
+// Probes are answered while the node itself is late. The module is told the time without the node's own lateness, and told
+// that it is uncertain where the lateness is large.
 func TestOwnLatenessInProbes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		before int64 // how long the turn took in which PING was sent
-		late   int64 // how long PONG had waited
+		before int64 // length of the iteration that sent PING
+		late   int64 // how long PONG waited
 		want   probeResult
 	}{
 		{"in time", 50, 0, probeResult{balance.Completed, 2*ms - 50}},
@@ -69,24 +70,24 @@
 		n.Late(c.late, c.before)
 		net.run(2*ms+c.late, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		if len(h.probes) != 1 || h.probes[0] != c.want {
-			t.Errorf("%s: told %v, not %v", c.name, h.probes, c.want)
+			t.Errorf("%s: module was told %v, want %v", c.name, h.probes, c.want)
 		}
 	}
 }
 
-// TestOwnLatenessInSetUps wants both legs of a set-up without the node's own part.
+// The set-up time reported to the module contains the node's own lateness in neither of its two legs.
 func TestOwnLatenessInSetUps(t *testing.T) {
 	n, net, h := newRecordingNode(t)
 	n.Late(0, 0)
 	net.openClient(openLine)
 	id := net.lastConn()
 	net.up[id] = true
-	n.Late(30*ms, 10*ms) // the connection was up long before the node came to see it
+	n.Late(30*ms, 10*ms) // the connection was up long before the node noticed it
 	net.run(41*ms, func() { n.Connected(id) })
 	n.Late(5*ms, 2*ms)
 	net.run(8*ms, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 	if len(h.setups) != 1 || h.setups[0] > 3*ms {
-		t.Errorf("of a set-up of 2 ms beside 47 ms of the node's own the module is told %v", h.setups)
+		t.Errorf("a set-up of 2 ms with 47 ms of own lateness was reported as %v us", h.setups)
 	}
 }
 
@@ -95,7 +96,7 @@
 	want := func(on bool, when string) {
 		t.Helper()
 		if n.Measuring() != on {
-			t.Errorf("%s: measuring %t", when, !on)
+			t.Errorf("%s: Measuring is %t", when, !on)
 		}
 	}
 	want(false, "idle")
@@ -110,7 +111,7 @@
 	want(false, "given up")
 }
 
-// TestLatenessHistoryWraps reads no turn's length for another's whose place it has.
+// The lengths of past iterations are kept in a ring. A length must not be read for an older iteration at the same index.
 func TestLatenessHistoryWraps(t *testing.T) {
 	n, _ := newNode(1)
 	n.Late(0, 0)
@@ -124,8 +125,8 @@
 	}
 }
 
-// TestClockJumps lets an hour pass within a flow's set-up, and then a second go back: every flow has its answer, nothing
-// breaks, and the next is served.
+// The clock jumps an hour ahead during a flow's set-up, and later back by a second. Every flow has its answer, nothing panics,
+// and the next flow is served.
 func TestClockJumps(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
 	n.Late(0, 0)
@@ -140,18 +141,18 @@
 	net.run(-second, func() {})
 	net.run(2*second, func() {})
 	if client, _ := net.establish(); net.sent[client] != "UP 7\r\n" || n.Count.Panics > 0 {
-		t.Errorf("after it answered %q, %d panics", net.sent[client], n.Count.Panics)
+		t.Errorf("next flow answered %q, %d panics", net.sent[client], n.Count.Panics)
 	}
 }
 
-// TestStalledClientsAreClosed ends clients that say nothing, and those that take nothing, for longer than is allowed, and no others.
+// Clients that send nothing or read nothing for longer than the limits allow are closed, and no others.
 func TestStalledClientsAreClosed(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
 	n.limits.Idle, n.limits.Stalled = 10*second, 5*second
 	quiet, _ := net.establish()
 	stuck, host := net.establish()
 	active, activeHost := net.establish()
-	net.up[stuck] = false // takes nothing more
+	net.up[stuck] = false // the client reads nothing more
 	net.receive(stuck, "say\r\n")
 	net.receive(host, "say\r\n")
 	for range 9 {
@@ -164,7 +165,7 @@
 		}
 	}
 	if net.ended[stuck] == "" || n.Count.Vanished != 1 {
-		t.Errorf("the stalled one ended %q, %d vanished", net.ended[stuck], n.Count.Vanished)
+		t.Errorf("stalled client ended %q, %d counted", net.ended[stuck], n.Count.Vanished)
 	}
 	for range 3 {
 		net.run(second, func() {})
@@ -172,12 +173,11 @@
 		net.receive(activeHost, "say\r\n")
 	}
 	if net.ended[quiet] == "" || net.ended[active] != "" || n.Count.Vanished != 2 {
-		t.Errorf("the silent one ended %q, the sound one %q, %d vanished", net.ended[quiet], net.ended[active], n.Count.Vanished)
+		t.Errorf("silent client ended %q, active client %q, %d counted", net.ended[quiet], net.ended[active], n.Count.Vanished)
 	}
 }
 
-// TestStarvedNodeBlamesNobody: while the node gets little of its core, set-ups that take long put no host aside; given
-// its core back, it takes them for what they are.
+// While a node gets little processor time, slow set-ups take no host out of use. Once it gets its core back, they do.
 func TestStarvedNodeBlamesNoHost(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
 	number := 0
@@ -198,11 +198,11 @@
 	before := n.Types[0].Busy
 	serve(20, 60*ms, 200*ms)
 	if n.Types[0].Busy > before {
-		t.Errorf("%d flows rejected by a node that is late itself", n.Types[0].Busy-before)
+		t.Errorf("%d flows rejected while the node was late itself", n.Types[0].Busy-before)
 	}
 	net.run(5*second, func() {})
 	serve(20, 0, 200*ms)
 	if n.Types[0].Busy == before {
-		t.Error("slow set-ups mean nothing to a node that is in time")
+		t.Error("no flow rejected, although set-ups are slow and the node is in time")
 	}
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -9,17 +9,17 @@
 	"coursewinch/cluster/permits"
 )
 
-// newLimitedNode gives a node that is a fleet of its own and owns all keys, with limits.
+// newLimitedNode returns a node with fleet limits that is the only node of its fleet and owns all keys.
 func newLimitedNode(hosts int, all ...FleetLimit) (*Node, *fakeNet) {
 	n, net := newNodeWith(hosts, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Limits: all}})
 	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
-		net.run(50*ms, func() {}) // until no process before it may have owned or had anything
+		net.run(50*ms, func() {}) // until no earlier process can own keys or hold permits
 	}
 	return n, net
 }
 
-// openAndAnswer is a client that asks and, where the node connects it, is set up.
+// openAndAnswer opens a client with a request and establishes its flow if the node makes a connect for it.
 func (net *fakeNet) openAndAnswer(line string) uint64 {
 	id := net.openClient(line)
 	net.run(20*ms, func() {})
@@ -29,17 +29,18 @@
 	return id
 }
 
+// concurrentLimit returns a strict limit of concurrent flows.
 func concurrentLimit(over, of string, most int) FleetLimit {
 	return FleetLimit{Over: over, Of: of, AtOnce: permits.Limit{Most: most, Strict: true}, Rate: limits.Limit{Strict: true}}
 }
 
-// TestLimitsOfOneNode: each kind of limit refuses what is over it, at once, and what ends makes room.
+// Each kind of limit refuses flows over it at once, and flows that end make room.
 func TestLimitsOfOneNode(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		of   FleetLimit
-		line string
-		pass int // of four that come
+		name  string
+		limit FleetLimit
+		line  string
+		pass  int // flows that pass, of four
 	}{
 		{"address", concurrentLimit(OverAddress, "", 2), openLine, 2},
 		{"type", concurrentLimit(OverType, "chat", 3), openLine, 3},
@@ -50,8 +51,8 @@
 		{"one host", concurrentLimit(OverHost, "s-0", 1), openLine, 4},
 		{"rate", FleetLimit{Over: OverType, Rate: limits.Limit{Rate: 1, Burst: 3, Strict: true}}, openLine, 2},
 	} {
-		n, net := newLimitedNode(2, c.of)
-		if err := c.of.Check(1); err != nil {
+		n, net := newLimitedNode(2, c.limit)
+		if err := c.limit.Check(1); err != nil {
 			t.Fatal(err)
 		}
 		var clients []uint64
@@ -65,7 +66,7 @@
 			}
 		}
 		if 4-refused != c.pass {
-			t.Errorf("%s: %d of 4 are let pass, not %d", c.name, 4-refused, c.pass)
+			t.Errorf("%s: %d of 4 flows pass, want %d", c.name, 4-refused, c.pass)
 		}
 		for _, id := range clients {
 			if n.conns.get(id) != nil {
@@ -76,39 +77,39 @@
 			net.run(50*ms, func() {})
 		}
 		if l := n.cluster.limits[0]; l.concurrent != nil && l.concurrent.Used() != 0 {
-			t.Errorf("%s: %d in use after all have ended", c.name, l.concurrent.Used())
+			t.Errorf("%s: %d permits in use after all flows have ended", c.name, l.concurrent.Used())
 		}
 		if again := net.openAndAnswer(c.line); strings.HasPrefix(net.sent[again], "BUSY") {
-			t.Errorf("%s: refused after all have ended", c.name)
+			t.Errorf("%s: flow refused after all others have ended", c.name)
 		}
 	}
 }
 
-// TestLoweredWhileItRuns: figures change at once, and what is over ends; a limit that is not there waits for the next start.
+// New figures take effect at once, and flows over them end. A limit that is not kept yet waits for the next start.
 func TestLimitLoweredAtRuntime(t *testing.T) {
 	n, net := newLimitedNode(2, concurrentLimit(OverType, "", 4))
 	for range 4 {
 		net.openAndAnswer(openLine)
 	}
 	if n.SetLimits([]FleetLimit{concurrentLimit(OverGroup, "", 4)}) || n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 4), concurrentLimit(OverGroup, "", 4)}) || !n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 1)}) {
-		t.Error("which limits are there is not told apart")
+		t.Error("SetLimits reported wrongly whether all limits are kept")
 	}
 	for range 10 {
 		net.run(50*ms, func() {})
 	}
 	if used := n.cluster.limits[0].concurrent.Used(); used != 1 {
-		t.Errorf("%d in use of 1", used)
+		t.Errorf("%d permits in use of 1", used)
 	}
 	moved := 0
 	for _, sent := range net.sent {
 		moved += strings.Count(sent, moveLine)
 	}
 	if moved != 3 {
-		t.Errorf("%d were told to come again", moved)
+		t.Errorf("%d clients were moved, want 3", moved)
 	}
 }
 
-// BenchmarkLimits is what ten limits cost a flow at the node that owns them all, beside none.
+// BenchmarkLimits measures the cost of ten limits for a flow at the node that owns all keys, compared with none.
 func BenchmarkLimits(b *testing.B) {
 	for _, count := range []int{0, 10} {
 		var all []FleetLimit
@@ -124,7 +125,7 @@
 			c := &conn{limitPrefix: netip.MustParsePrefix("10.0.0.1/32")}
 			for i := 0; b.Loop(); i++ {
 				if i%1000 == 0 {
-					net.run(50*ms, func() {}) // what rates have is not used up
+					net.run(50*ms, func() {}) // so that the rates are not used up
 				}
 				f := &flow{client: c, id: 1}
 				f.Ref = f
@@ -137,7 +138,8 @@
 	}
 }
 
-// newCutOffNode gives a node that can't reach the owner of any key: it waits for its word, and then goes by its own part.
+// newCutOffNode returns a node that can't reach the owner of any key: its flows wait for an answer, and then the node uses its
+// own part of the limit.
 func newCutOffNode(all ...FleetLimit) (*Node, *fakeNet) {
 	n, net := newNodeWith(2, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Others: 1, Limits: all, Send: func(int, []byte) {}}})
 	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
@@ -147,17 +149,16 @@
 	return n, net
 }
 
-// TestAPermitForAClientThatLeftIsGivenBack: the word that lets a flow pass comes after its client has left, for each thing
-// that a number at once can be over.
+// The answer that lets a flow pass comes after its client has left. The permit is given back, for each kind of concurrent limit.
 func TestPermitOfDepartedClientIsReturned(t *testing.T) {
 	for _, over := range []string{OverAddress, OverType, OverGroup} {
-		of := concurrentLimit(over, "", 8)
-		of.AtOnce.Strict, of.Rate.Strict = false, false
-		n, net := newCutOffNode(of)
+		limit := concurrentLimit(over, "", 8)
+		limit.AtOnce.Strict, limit.Rate.Strict = false, false
+		n, net := newCutOffNode(limit)
 		for range 3 {
 			id := net.openClient("OPEN 1 2 c=chat,d=2000,g=red\r\n")
 			if f := n.conns.get(id).flow; f == nil || f.stage != Waiting || f.pendingKey == 0 {
-				t.Fatalf("over %s: it does not wait", over)
+				t.Fatalf("over %s: the flow does not wait for an answer", over)
 			}
 			net.run(1, func() { n.Ended(id, nil) })
 			for range 40 {
@@ -166,12 +167,12 @@
 		}
 		l := n.cluster.limits[0].concurrent
 		if l.Granted == 0 || l.Used() != 0 {
-			t.Errorf("over %s: %d let pass, %d in use after all have left", over, l.Granted, l.Used())
+			t.Errorf("over %s: %d granted, %d permits in use after all clients have left", over, l.Granted, l.Used())
 		}
 	}
 }
 
-// TestNoWordOfTheFleetInTime: a flow whose time is up before the fleet's word went nowhere, and its client may come again.
+// A flow whose time is over before the limit's answer comes has not reached a host, so its client is told to retry.
 func TestNoLimitAnswerInTime(t *testing.T) {
 	n, net := newCutOffNode(concurrentLimit(OverType, "", 8))
 	id := net.openClient("OPEN 1 2 c=chat,d=100\r\n")
--- a/node/operators_test.go
+++ b/node/operators_test.go
@@ -10,7 +10,7 @@
 	"coursewinch/lines"
 )
 
-// openCall opens an operator's connection and says something on it.
+// openCall opens an operator's connection and sends a text on it.
 func (net *fakeNet) openCall(text string) uint64 {
 	var id uint64
 	net.run(1, func() {
@@ -25,14 +25,14 @@
 	return id
 }
 
-// runUntil lets time pass in the steps of moves.
+// runUntil runs loop iterations in steps of 10 ms until a time.
 func (net *fakeNet) runUntil(until int64) {
 	for net.node.now < until {
 		net.run(10*ms, func() {})
 	}
 }
 
-// callOperator makes a whole call and gives the status and the body.
+// callOperator makes a complete call and returns the status and the body.
 func (net *fakeNet) callOperator(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
 	got := net.sent[net.openCall(method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")]
@@ -44,6 +44,7 @@
 	return status, body
 }
 
+// metrics fetches the metrics.
 func (net *fakeNet) metrics(t *testing.T) map[string]int {
 	t.Helper()
 	_, body := net.callOperator(t, "GET", "/-/metrics")
@@ -55,7 +56,7 @@
 	return got
 }
 
-// Guards whole calls against callers who never finish one, and clients' room against both.
+// Callers that never complete a request don't keep others from being answered, and the number of callers is bounded.
 func TestOperatorCallPlaces(t *testing.T) {
 	n, net := newNode(1)
 	var half []uint64
@@ -73,7 +74,7 @@
 	if n.operatorCalls.count > CallPlaces || n.Count.AdminShed != 1 {
 		t.Fatal(n.operatorCalls.count, n.Count.AdminShed)
 	}
-	net.receive(half[5], "/1.1\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n") // two at once: the first is answered
+	net.receive(half[5], "/1.1\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n") // of two requests at once, the first is answered
 	if strings.Count(net.sent[half[5]], "HTTP/1.1 200") != 1 {
 		t.Fatal(net.sent[half[5]])
 	}
@@ -83,7 +84,7 @@
 	}
 }
 
-// Every way that a flow can end, against the one set of figures.
+// The metrics count every way in which a flow can end.
 func TestMetricsMatchOutcomes(t *testing.T) {
 	_, net := newNode(2)
 	want := map[string]int{"success.chat": 0, "busy.chat": 0, "failure.chat": 0, "backend_calls": 0, "inflight": 0,
@@ -108,23 +109,24 @@
 	check("its client left")
 	net.openClient(openLine)
 	h := net.lastConn()
-	net.run(1, func() { net.node.Ended(h, errEnded) }) // never up: nothing written
+	net.run(1, func() { net.node.Ended(h, errEnded) }) // never up, so nothing was sent
 	net.receive(net.connectLast(), "UP 8\r\n")
 	check("established at the second connect", "success.chat", "backend_calls", "inflight")
 	net.openClient(openLine + "more\r\n")
-	check("more than a line", "failure.chat")
+	check("data after the request", "failure.chat")
 	net.receive(net.openClient(""), "OPEN 1 2 c=chat,d=x\r\n")
-	check("no class can be told of a line that can't be read")
+	check("an invalid line has no service type to count for")
 	full := net.openClient(openLine)
 	net.receive(net.connectLast(), "BUSY\r\n")
 	net.receive(net.connectLast(), "BUSY\r\n")
 	for net.sent[full] == "" {
 		net.run(second, func() {})
 	}
-	check("turned away by all hosts", "busy.chat", "backend_calls", "backend_calls")
+	check("BUSY from all hosts", "busy.chat", "backend_calls", "backend_calls")
 }
 
-// Guards clients of a node that is emptied: each is told to move in time, spread, and what still comes is answered.
+// A drained node moves all clients in time, spread over it, and answers requests that still come. Resume puts it back into
+// service.
 func TestDrainMovesAllAndResumeRestores(t *testing.T) {
 	n, net := newNode(3)
 	front := net.openClient("PING\r\n")
@@ -133,7 +135,7 @@
 		c, _ := net.establish()
 		established = append(established, c)
 	}
-	pending := net.openClient(openLine) // its set-up is under way
+	pending := net.openClient(openLine) // a flow that is being set up
 	pendingHost := net.connectLast()
 	if status, body := net.callOperator(t, "PUT", "/-/drain"); status != 200 || body != "drained\n" {
 		t.Fatal(status, body)
@@ -141,15 +143,15 @@
 	from := n.now
 	net.receive(front, "PING\r\n")
 	net.expect(t, front, "PONG\r\nNO\r\n", "")
-	late, _ := net.establish() // on a connection that was open
+	late, _ := net.establish() // requested after the drain
 	net.receive(pendingHost, "UP 9\r\n")
 	net.runUntil(from + drainMoveDelay - 20*ms)
 	if n.Count.Moves != 0 {
-		t.Fatal(n.Count.Moves, "moved before the front has turned away")
+		t.Fatal(n.Count.Moves, "clients moved before the front-end load balancer sends elsewhere")
 	}
 	net.runUntil(from + drainMoveDelay + (drainDuration-drainMoveDelay)/2)
 	if n.Count.Moves < 7 || n.Count.Moves > 14 {
-		t.Fatal(n.Count.Moves, "moved at half the time")
+		t.Fatal(n.Count.Moves, "clients moved by half of the time; want 7 to 14")
 	}
 	net.callOperator(t, "PUT", "/-/drain") // changes nothing
 	net.runUntil(from + drainDuration + 20*ms)
@@ -173,8 +175,8 @@
 	net.expect(t, front, "PONG\r\nNO\r\nPONG\r\n", "")
 }
 
-// Guards against a set-up that outlasts the drain, a resume that leaves the moves going, and an end while drained that
-// takes longer than either.
+// A flow that is being set up has its answer before a drain ends, a resume ends the moves, and a stop of a drained node takes no
+// longer than the drain would have.
 func TestDrainAnswersSetUpsAndResumeEndsMoves(t *testing.T) {
 	n, net := newNode(1)
 	slow := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
@@ -196,7 +198,7 @@
 	}
 }
 
-// Guards clients that take two seconds over their line against a crowd that asks PING once and stays.
+// Clients that take two seconds over their first line are not shed for a crowd that sends PING once and stays.
 func TestSlowLineOutlivesIdleCrowd(t *testing.T) {
 	n, net := newNode(1)
 	front := net.openClient("PING\r\n")
@@ -205,8 +207,8 @@
 	for i := range 20 {
 		net.openClient("PING\r\n")
 		net.run(shedAfterPing/10, func() {
-			if i >= 12 && !n.shedOne() { // one for each that comes
-				t.Error("nobody went")
+			if i >= 12 && !n.shedOne() { // one client is shed for each new one
+				t.Error("no client was shed")
 			}
 		})
 		if i%4 == 3 {
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -7,7 +7,7 @@
 	"coursewinch/cluster/peers"
 )
 
-// A probe asks for the report where hosts have one; a figure without sense leaves the host well and teaches nothing.
+// Where hosts give load reports, a probe asks for one. An invalid figure is ignored, and the probe still succeeds.
 func TestProbeCarriesReport(t *testing.T) {
 	for answer, want := range map[string]float64{"PONG 3,0.62\r\n": 0.62, "PONG 3\r\n": 0, "PONG 3,-1\r\n": 0, "PONG\r\n": 0} {
 		n, net := newNode(1)
@@ -23,7 +23,7 @@
 	}
 }
 
-// heldCounter counts the homes that its module is told of.
+// heldCounter counts the placements of other nodes that are reported to the module.
 type heldCounter struct {
 	Decider
 	held int
@@ -31,7 +31,7 @@
 
 func (h *heldCounter) Held(*balance.Group, *balance.Server) { h.held++ }
 
-// What others hold counts from the first flow of the group on, also if this node had not met it when it was told.
+// Another node's report of where it holds a group reaches the module also if it came before this node's first flow of the group.
 func TestPeerPlacementsKeptUntilGroupIsKnown(t *testing.T) {
 	n, net := newNode(1)
 	counter := &heldCounter{Decider: n.decider}
@@ -41,12 +41,13 @@
 	peers.Write(nil, homes, func(p []byte) { invalid := deliver; deliver = func() { invalid(); n.Heard(p) } })
 	for want, in := range []func(){deliver, func() { (&flow{}).joinNamedGroup(n, "grp") }, deliver} {
 		if net.run(1, in); counter.held != want {
-			t.Fatal(counter.held, "homes told, want", want)
+			t.Fatal(counter.held, "placements reported, want", want)
 		}
 	}
 }
 
-// The first seconds after the switch: what was learnt of hosts counts, none is full before its first report, flows are placed.
+// In the first seconds after a switch to load reports, restored knowledge of hosts is used, no host counts as saturated before
+// its first report, and flows are placed.
 func TestStartWithRestoredMemory(t *testing.T) {
 	predecessor, net := newNode(1)
 	server := &predecessor.hosts["s-0"].Server
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	watchLineInterval = 2 * second // a watch says so much at least
-	secondCallWithin  = 200 * ms   // after one failed call, at the latest
+	watchLineInterval = 2 * second // discovery sends at least one line in this time
+	secondCallWithin  = 200 * ms   // longest wait for the next call after one failed call
 	thirdCallWithin   = 400 * ms   // after two
 	laterCallWithin   = 3800 * ms  // after many
 )
 
-// Guards the operators' bound as a sum of what is waited for at the most: silence noticed, a call, that call lost, another,
-// answered; and a call refused after many, the next one answered, or lost and the one after it.
+// The bound on changes that operators are promised is the sum of the longest waits: a silence is noticed, a call is made and
+// lost, and the next one is answered; or a call is refused after many others, and the next one is answered, or lost and the
+// one after it answered.
 func TestChangesApplyWithinBound(t *testing.T) {
 	if sum := watchSilenceTimeout + secondCallWithin + callTimeout + thirdCallWithin + roundTripMargin; sum > maxChangeDelay {
 		t.Error("a silent watch and a lost call:", sum)
 	}
-	if maxChangeDelay != 6*second { // by the operators' terms
-		t.Error("told within", maxChangeDelay)
+	if maxChangeDelay != 6*second { // promised to operators
+		t.Error("changes may take", maxChangeDelay)
 	}
 	if watchSilenceTimeout <= watchLineInterval {
 		t.Error("a line that comes in time counts as missing")
 	}
-	for _, nodes := range []int{1, 6, 80, 350} { // what the sums go by is what the module does
+	for _, nodes := range []int{1, 6, 80, 350} { // the module keeps the waits that the sums assume
 		n, net := newNode(1)
 		n.settings.Nodes = nodes
 		n.callRefused = true
@@ -52,8 +53,8 @@
 	}
 }
 
-// Thirty-two nodes gave their calls up after 1.5 s each, and a discovery that answers some five a second worked for calls
-// that nobody waited for any more: half of the nodes had no watch after 17 s (throng+brink at kingston-replay's settings).
+// Thirty-two nodes gave up their calls after 1.5 s each, and a discovery that answers about five calls a second worked for
+// calls that had been given up: half of the nodes had no watch after 17 s (throng+brink at kingston-replay's settings).
 func TestCallsWaitLongerAfterRefusal(t *testing.T) {
 	n, net := newNode(1)
 	n.settings.Nodes = 32
@@ -67,11 +68,11 @@
 	call := net.connectLast()
 	net.run(3*second, func() {})
 	if n.pendingCall == nil || n.pendingCall.id != call || net.ended[call] != "" {
-		t.Fatal("given up while discovery still has it in its queue")
+		t.Fatal("call given up while it may still be in discovery's queue")
 	}
 	net.receive(call, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
 	if n.watch == nil || n.watch.id != call {
-		t.Fatal("no watch by the answer that came late")
+		t.Fatal("the late answer did not make the call the watch")
 	}
 	net.run(1, func() { n.watchLost(n.watch, "ended") })
 	for n.pendingCall == nil {
@@ -79,11 +80,11 @@
 	}
 	call = n.pendingCall.id
 	if net.run(callTimeout, func() {}); n.pendingCall != nil && n.pendingCall.id == call {
-		t.Fatal("a lost call is waited for where discovery turned nobody away")
+		t.Fatal("a lost call was kept although discovery had refused none")
 	}
 	n.callRefused = true
 	if n.Follow("d9"); n.callRefused {
-		t.Fatal("what one discovery did counts at another")
+		t.Fatal("a refusal of one address counts at another")
 	}
 	first := net.connectLast()
 	net.run(1, func() { n.Ended(first, syscall.ECONNRESET) })
@@ -92,15 +93,15 @@
 	}
 	call = net.connectLast()
 	if net.run(3*second, func() {}); net.ended[call] != "" {
-		t.Fatal("given up though discovery had reset another")
+		t.Fatal("call given up too early after discovery had reset another")
 	}
 	if net.run(queuedCallTimeout-3*second, func() {}); net.ended[call] != "close" {
-		t.Fatal("waited for without end")
+		t.Fatal("call not given up")
 	}
 }
 
-// A change in the worst moment, step by step: the watch falls silent right before it, the next call is lost, and the one
-// after that brings it.
+// A change at the worst moment: the watch falls silent right before it, the next call is lost, and the one after that brings
+// the change.
 func TestChangeAfterSilentWatch(t *testing.T) {
 	n, net := newNode(2)
 	first := net.connectLast()
@@ -119,7 +120,8 @@
 	}
 }
 
-// Guards against a watch that speaks and tells nothing: single bytes, a line that never ends, a list that is never whole.
+// A watch that brings bytes but no whole line counts as silent: single bytes, a line that never ends, a list that is never
+// complete.
 func TestOnlyWholeLinesCountAgainstSilence(t *testing.T) {
 	for name, more := range map[string]func(i int) string{
 		"a list that never ends": func(i int) string { return "1\r\n{\r\n" },
@@ -139,7 +141,7 @@
 			net.run(100*ms-1, func() {})
 		}
 		if net.run(100*ms, func() {}); n.Count.CallsFailed != 1 {
-			t.Error(name, "keeps a watch")
+			t.Error(name, "keeps the watch alive")
 		}
 	}
 	n, net := newNode(1)
@@ -150,11 +152,12 @@
 		net.receive(first, chunk(""))
 	}
 	if n.Count.CallsFailed != 0 {
-		t.Fatal("a watch with its empty lines is given up")
+		t.Fatal("a watch that brings empty lines was given up")
 	}
 }
 
-// Guards hosts of a discovery that began anew: its versions are lower, and what it says has changed is not all.
+// A discovery that has restarted has lower versions, and its changes since such a version are not the whole list. The node
+// requests the whole list then.
 func TestDiscoveryRestart(t *testing.T) {
 	n, net := newNode(2)
 	first := net.connectLast()
@@ -167,7 +170,7 @@
 	}
 	net.receive(call, watchHead+chunk(`{"rev":2,"all":false,"targets":[]}`))
 	if call = net.connectLast(); strings.Contains(net.sent[call], "after=") {
-		t.Fatal("its versions are taken for the old ones")
+		t.Fatal("a version of the restarted discovery was taken for an old one")
 	}
 	net.receive(call, watchHead+chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-0","endpoint":"h0","state":"ready"}]}`))
 	if len(n.hosts) != 1 || n.listRev != 2 || n.watch == nil {
@@ -175,8 +178,8 @@
 	}
 }
 
-// Discovery moves, moves back, and old watches and calls end meanwhile, in any order: what is watched in the end is the
-// last address, and one call is out at most.
+// The address of discovery changes, changes back, and old watches and calls end meanwhile. In the end the last address is
+// watched, and there is at most one call at any time.
 func TestDiscoveryAddressChangesTwice(t *testing.T) {
 	n, net := newNode(1)
 	old := net.connectLast()
@@ -185,7 +188,7 @@
 	call := net.connectLast()
 	net.run(1, func() { n.Follow("") }) // back, while the call is out
 	if net.ended[call] != "close" || net.ended[old] != "" || n.pendingCall != nil {
-		t.Fatal("the old watch is not gone on with", net.ended[call], net.ended[old])
+		t.Fatal("the old watch was not kept", net.ended[call], net.ended[old])
 	}
 	net.run(1, func() { n.Follow("d2") })
 	net.run(1, func() { n.Ended(old, nil) }) // while the second call is out
@@ -201,27 +204,38 @@
 	}
 	net.run(1, func() { n.Follow("d3") })
 	third := net.connectLast()
-	net.receive(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // in the instant of the switch
+	net.receive(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // just before the switch
 	net.receive(third, watchHead+chunk(`{"rev":9,"all":true,"targets":[{"uid":"s-8","endpoint":"h8","state":"ready"}]}`))
 	if net.ended[second] != "close" || n.listAddr != "d3" || n.listRev != 9 || n.hosts["s-7"] != nil {
 		t.Fatal(net.ended[second], n.listAddr, n.listRev)
 	}
 	if net.run(1, func() { n.Received(second) }); n.listAddr != "d3" {
-		t.Fatal("a list of the old address after one of the new")
+		t.Fatal("a list of the old address was applied after one of the new")
 	}
 }
 
+// newPushedNode is newNode with settings for pushed lists.
 func newPushedNode(hosts int) (*Node, *fakeNet) {
 	n, net := newNode(hosts)
 	set := *n.settings
 	set.OnRequest, set.Grace = false, 400*ms
-	otherNet := &fakeNet{address: net.address, in: net.in, out: net.out, sent: net.sent, ended: net.ended, up: net.up, endedUnread: net.endedUnread, room: 100}
+	otherNet := &fakeNet{
+		address:     net.address,
+		in:          net.in,
+		out:         net.out,
+		sent:        net.sent,
+		ended:       net.ended,
+		up:          net.up,
+		endedUnread: net.endedUnread,
+		room:        100,
+	}
 	otherNet.node = New(&set, Config{}, otherNet)
 	otherNet.node.Begin(startTime, entries("ready", hosts))
 	return otherNet.node, otherNet
 }
 
-// Guards hosts that drained while a process was away: where lists are pushed, they count as told from its first moment.
+// Where lists are pushed, changes count as known from a process's start, also drains that happened while no process ran. Flows
+// therefore wait for the first list.
 func TestFlowsWaitForFirstPushedList(t *testing.T) {
 	n, net := newPushedNode(2)
 	front := net.openClient("PING\r\n")
@@ -231,18 +245,18 @@
 	watch := net.ids[0]
 	c := net.openClient(openLine)
 	if net.expect(t, front, "NO\r\n", ""); n.upstreamCount != 0 || net.sent[c] != "" {
-		t.Fatal("sent by a list that may be old", n.upstreamCount, net.sent[c])
+		t.Fatal("flow sent by a list that may be old", n.upstreamCount, net.sent[c])
 	}
 	net.up[watch] = true
 	net.run(1, func() { n.Connected(watch) })
 	net.receive(watch, watchHead+chunk(`{"rev":3,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
 	if net.address[net.lastConn()] != "h1" || n.upstreamCount != 1 {
-		t.Fatal("not sent on by the list that came", net.address[net.lastConn()])
+		t.Fatal("flow not sent by the first list", net.address[net.lastConn()])
 	}
 	net.receive(front, "PING\r\n")
 	net.expect(t, front, "NO\r\nPONG\r\n", "")
 
-	n, net = newPushedNode(1) // discovery says nothing
+	n, net = newPushedNode(1) // discovery sends nothing
 	c = net.openClient("OPEN 1 2 c=chat,d=1000\r\n")
 	net.run(500*ms, func() {})
 	net.expect(t, c, "BUSY\r\n", "shut")
@@ -251,15 +265,15 @@
 	net.run(1, func() { n.Ended(gone, nil) })
 	net.run(firstListWait, func() {})
 	if n.upstreamCount != 1 || n.flows.count != 1 || net.sent[late] != "" {
-		t.Fatal("waits for ever", n.upstreamCount, n.flows.count)
+		t.Fatal("flow still waits for the first list", n.upstreamCount, n.flows.count)
 	}
 	net.receive(net.openClient("PING\r\n"), "")
 	if net.sent[net.lastConn()] != "PONG\r\n" {
-		t.Fatal("not ready by the list that it has")
+		t.Fatal("not ready by the remembered list")
 	}
 }
 
-// Guards clients and the front of a node whose version is rolled where lists are pushed: what was handed on is no old list.
+// Where lists are pushed, a successor does not wait for a first list, because the list handed over is not old.
 func TestSuccessorDoesNotWaitForFirstList(t *testing.T) {
 	predecessor, peer := newPredecessor(t, 1)
 	state, _ := predecessor.node.Heir(peer)
@@ -272,11 +286,11 @@
 	net.run(joinTimeout, func() {})
 	net.expect(t, net.openClient("PING\r\n"), "PONG\r\n", "")
 	if net.openClient(openLine); successor.upstreamCount != 1 || len(successor.heldFlows) != 0 {
-		t.Fatal("held", successor.upstreamCount, len(successor.heldFlows))
+		t.Fatal("flow held", successor.upstreamCount, len(successor.heldFlows))
 	}
 }
 
-// Guards the time without a call where lists are pushed: what discovery has at its return counts at once.
+// Where lists are pushed, changes count as known as soon as discovery is back, so the node is never long without a call.
 func TestPushedListsRequestedWithinGrace(t *testing.T) {
 	n, net := newPushedNode(1)
 	net.run(1, func() {})
@@ -287,12 +301,12 @@
 			net.run(ms, func() {})
 		}
 		if n.now-from > n.settings.Grace/2+2*ms {
-			t.Fatal("no call is out for", n.now-from)
+			t.Fatal("no call for", n.now-from)
 		}
 	}
 }
 
-// Guards a fleet that starts while discovery is down, with no list to begin with: its front is told yes, and clients no.
+// A fleet that starts while discovery is down and without a list answers PONG after a while, and rejects clients.
 func TestReadyWithoutAnyList(t *testing.T) {
 	for _, push := range []bool{false, true} {
 		_, net := newNode(0)
@@ -307,11 +321,11 @@
 		net.expect(t, net.openClient(openLine), "BUSY\r\n", "shut")
 	}
 	if readyWithoutListAfter >= 10*second {
-		t.Fatal("nine in ten are to be ready by then")
+		t.Fatal("nine in ten nodes have to be ready within 10 s")
 	}
 }
 
-// Guards the call that is due, SIGHUP's new address and probes against idle clients that hold every descriptor.
+// When idle clients hold every descriptor, a call to discovery, also one for a new address after SIGHUP, sheds one of them.
 func TestCallShedsForDescriptor(t *testing.T) {
 	n, net := newNode(1)
 	var idle []uint64
@@ -326,39 +340,59 @@
 	}
 }
 
-// Guards two nodes in one process, with settings of two customers, against each other.
+// Two nodes in one process, with the settings of two customers, share nothing.
 func TestNodesShareNothing(t *testing.T) {
 	n, net := newNode(1)
-	shared := &settings.Settings{Settings: balance.Settings{Types: []balance.ServiceType{{SetupTarget: 300 * ms, MessageTarget: 60 * ms},
-		{SetupTarget: 90 * ms, MessageTarget: 9 * ms}}, Nodes: 1, MaxConnects: 1, AskWithin: second, ColdTime: second}, Names: map[string]int{"toll": 1, "chat": 0},
-		Limits: []int64{0, 0}}
+	shared := &settings.Settings{
+		Settings: balance.Settings{
+			Types: []balance.ServiceType{
+				{SetupTarget: 300 * ms, MessageTarget: 60 * ms},
+				{SetupTarget: 90 * ms, MessageTarget: 9 * ms},
+			},
+			Nodes:       1,
+			MaxConnects: 1,
+			AskWithin:   second,
+			ColdTime:    second,
+		},
+		Names:  map[string]int{"toll": 1, "chat": 0},
+		Limits: []int64{0, 0},
+	}
 	before := fmt.Sprintf("%+v", *shared)
-	otherNet := &fakeNet{address: map[uint64]string{}, in: net.in, out: net.out, sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, endedUnread: map[uint64]bool{}, room: 100}
+	otherNet := &fakeNet{
+		address:     map[uint64]string{},
+		in:          net.in,
+		out:         net.out,
+		sent:        map[uint64]string{},
+		ended:       map[uint64]string{},
+		up:          map[uint64]bool{},
+		endedUnread: map[uint64]bool{},
+		room:        100,
+	}
 	other := New(shared, Config{Discovery: "d9"}, otherNet)
 	if fmt.Sprintf("%+v", *shared) != before {
-		t.Error("a node changed settings that were handed to it:", *shared)
+		t.Error("a node changed the settings given to it:", *shared)
 	}
 	other.Begin(startTime, discovery.List{})
 	if n.settings.Pushed || !other.settings.Pushed || n.config.Discovery == other.config.Discovery || len(n.hosts) == len(other.hosts) {
-		t.Fatal("settings or hosts of one at the other")
+		t.Fatal("the nodes share settings or hosts")
 	}
 	c := net.openClient("OPEN 1 2 c=toll,d=2000\r\n")
 	net.expect(t, c, "ERR\r\n", "shut")
-	net.receive(net.openClient(""), "half a line") // a ring of one's
+	net.receive(net.openClient(""), "half a line") // takes a ring of the first node
 	if own, _ := n.ringBudget.Held(); own != 1 {
 		t.Fatal(own)
 	}
 	if others, _ := other.ringBudget.Held(); others != 0 {
-		t.Fatal("memory of one counts at the other", others)
+		t.Fatal("the memory of one node counts at the other", others)
 	}
 	net.run(1, func() { n.Drain() })
 	if other.drainAt != 0 || other.stopAt != 0 || other.Count.Accepted != 0 || len(other.logKinds) != 0 {
-		t.Fatal("what one was told, the other does")
+		t.Fatal("a command to one node took effect at the other")
 	}
 }
 
-// Guards hosts and discovery against the blame for descriptors that the system had none of, and a flow that was taken and a
-// call that is due against idle clients that hold them all.
+// A connect or call that fails because the system has no descriptor left is repeated after an idle client has been shed. It does
+// not count against the host or discovery.
 func TestNoDescriptorBlamesNobody(t *testing.T) {
 	n, net := newNode(1)
 	net.openClient("PING\r\n")
@@ -368,18 +402,18 @@
 	h := net.lastConn()
 	net.run(1, func() { n.Ended(h, syscall.EMFILE) })
 	if net.lastConn() != h || len(net.ids) < 2 || net.ended[idle] != "part" || net.sent[c] != "" || n.upstreamCount != 1 {
-		t.Fatal("not tried again with another's place", net.ended[idle], net.sent[c], n.upstreamCount)
+		t.Fatal("not repeated with a shed client's descriptor", net.ended[idle], net.sent[c], n.upstreamCount)
 	}
 	net.receive(net.connectLast(), "UP 1\r\n")
 	net.expect(t, c, "UP 1\r\n", "")
 	c = net.openClient(openLine)
 	h = net.lastConn()
-	for range maxRedials + 1 { // and nobody is left to be let go
+	for range maxRedials + 1 { // no client is left to be shed
 		net.run(1, func() { n.Ended(h, syscall.ENFILE) })
 	}
 	net.expect(t, c, "BUSY\r\n", "shut")
 	if n.hosts["s-0"].Avoided(n.now) {
-		t.Fatal("the host is to blame")
+		t.Fatal("the failure counts against the host")
 	}
 	net.openClient("PING\r\n")
 	net.run(shedAfterPing, func() {})
@@ -389,12 +423,12 @@
 	failed, call, shed := n.Count.CallsFailed, n.pendingCall, n.Count.Shed
 	net.run(1, func() { n.Ended(call.id, syscall.EMFILE) })
 	if n.pendingCall != call || n.Count.CallsFailed != failed || n.Count.Shed != shed+1 {
-		t.Fatal("the call is lost for want of a descriptor", n.Count.CallsFailed, n.Count.Shed)
+		t.Fatal("the call failed for want of a descriptor", n.Count.CallsFailed, n.Count.Shed)
 	}
 }
 
-// Guards effects against two zones that the settings don't name being taken for one: what is known as a repeat in one is
-// not in the other.
+// Two zones that the settings don't name must not be taken for one, because a repeat that is recognised in one zone is not
+// recognised in the other.
 func TestUnnamedZonesDiffer(t *testing.T) {
 	n, net := newNode(0)
 	update := entries("ready", 4)
@@ -407,6 +441,6 @@
 		t.Fatal(at(0), at(1), at(2), at(3))
 	}
 	if n.listEntry(n.hosts["s-1"]).Zone != "y z" {
-		t.Fatal("handed on as another zone")
+		t.Fatal("handed over as another zone")
 	}
 }
