--- a/node/capture.go
+++ b/node/capture.go
@@ -25,8 +25,18 @@
 	}
 	n.capturedFlows++
 	request := f.request
-	f.record = &captureRecord{flow: capture.Flow{No: n.capturedFlows, At: n.now, Type: request.Class, Key: request.Key, Group: request.Group, Again: request.Again,
-		Wait: request.Wait}, end: capture.End{No: n.capturedFlows, How: capture.Severed}}
+	f.record = &captureRecord{
+		flow: capture.Flow{
+			No:    n.capturedFlows,
+			At:    n.now,
+			Type:  request.Class,
+			Key:   request.Key,
+			Group: request.Group,
+			Again: request.Again,
+			Wait:  request.Wait,
+		},
+		end: capture.End{No: n.capturedFlows, How: capture.Severed},
+	}
 }
 
 // captureAnswer writes a flow's answer to the capture.
--- a/node/conns.go
+++ b/node/conns.go
@@ -65,7 +65,9 @@
 // that sends one PING and stays. The front-end load balancer outlasts it too: it is the first that sent PING, or sends
 // PING repeatedly.
 func (n *Node) shedOne() bool {
-	if n.shedOldest(&n.closingConns, shedAfterSilence) || n.shedOldest(&n.pingedConns, shedAfterPing) || n.shedOldest(&n.silentConns, shedAfterSilence) {
+	if n.shedOldest(&n.closingConns, shedAfterSilence) ||
+		n.shedOldest(&n.pingedConns, shedAfterPing) ||
+		n.shedOldest(&n.silentConns, shedAfterSilence) {
 		return true
 	}
 	if c := n.pingedConns.Back(); c != nil && n.pingedConns.Len() > 1 && c.Value != n.frontConn {
@@ -108,7 +110,7 @@
 	n.forgetConn(c)
 }
 
-// Accept adds a new connection of a client. ok is false where the admission gate refuses its address; the loop then closes
+// Accept adds a new connection of a client. ok is false where the admission control refuses its address; the loop then closes
 // the connection.
 func (n *Node) Accept(from netip.AddrPort) (id uint64, in, out *lines.Ring, ok bool) {
 	n.acceptQuota.accepted++
@@ -116,9 +118,9 @@
 	if n.limitsByAddress() {
 		c.limitPrefix = admission.Key(from.Addr())
 	}
-	if n.admissionGate != nil {
-		c.gatePrefix = admission.Key(from.Addr())
-		if reason := n.admissionGate.Come(c.gatePrefix, n.now, n.net.Room()-n.owedDescriptors()); reason != admission.Taken {
+	if n.admission != nil {
+		c.admissionPrefix = admission.Key(from.Addr())
+		if reason := n.admission.Come(c.admissionPrefix, n.now, n.net.Room()-n.owedDescriptors()); reason != admission.Taken {
 			n.Count.Refused++
 			n.logThrottled("refused", reason.String())
 			return 0, nil, nil, false
@@ -429,8 +431,8 @@
 
 // forgetConn removes a connection from all tables, without closing it.
 func (n *Node) forgetConn(c *conn) {
-	if c.gatePrefix.IsValid() {
-		n.admissionGate.Gone(c.gatePrefix)
+	if c.admissionPrefix.IsValid() {
+		n.admission.Gone(c.admissionPrefix)
 	}
 	if c.role == roleOperator {
 		n.operatorCalls.count--
--- a/node/counts.go
+++ b/node/counts.go
@@ -8,7 +8,7 @@
 	"coursewinch/capture"
 )
 
-// Counters count what a node has done since its start. Answers are counted by service type in Node.Types.
+// Counters count what a node has done since its start. Answers are counted apart from them, by service type; see Tally.
 type Counters struct {
 	Accepted     int   // clients' connections
 	Taken        int   // requests parsed
@@ -31,7 +31,7 @@
 	Reloads      int   // reloads of the configuration
 	Panics       int   // panics confined to a connection
 	Vanished     int   // clients that sent or read nothing for too long
-	Refused      int   // connections refused by the admission gate or the event loop
+	Refused      int   // connections refused by the admission control or the event loop
 	AdminCalls   int   // operators' calls answered
 	AdminShed    int   // operators' connections closed without a complete request
 	HandedOn     int   // clients and flows handed over to the successor process
@@ -71,10 +71,14 @@
 	return fmt.Sprintf("accepted=%d taken=%d stood=%d connects=%d backend_calls=%d success=%d busy=%d failure=%d left=%d "+
 		"bad=%d crowded=%d shed=%d completed=%d severed=%d moves=%d silent=%d probes=%d probes_failed=%d calls=%d "+
 		"calls_failed=%d lists=%d reloads=%d panics=%d vanished=%d refused=%d admin_calls=%d admin_shed=%d "+
-		"handed_on=%d taken_over=%d late_turns=%d late_us=%d", counts.Accepted, counts.Taken, counts.Stood, counts.Connects, counts.Asked, sum.Success, sum.Busy, sum.Failure,
-		counts.Left, counts.Bad, counts.Crowded, counts.Shed, counts.Completed, counts.Severed, counts.Moves, counts.Silent, counts.Probes, counts.ProbesFailed,
-		counts.Calls, counts.CallsFailed, counts.Lists, counts.Reloads, counts.Panics, counts.Vanished, counts.Refused, counts.AdminCalls, counts.AdminShed, counts.HandedOn, counts.TakenOver,
-		counts.LateTurns, counts.LateUs)
+		"handed_on=%d taken_over=%d late_turns=%d late_us=%d",
+		counts.Accepted, counts.Taken, counts.Stood, counts.Connects, counts.Asked,
+		sum.Success, sum.Busy, sum.Failure, counts.Left,
+		counts.Bad, counts.Crowded, counts.Shed, counts.Completed, counts.Severed, counts.Moves, counts.Silent,
+		counts.Probes, counts.ProbesFailed, counts.Calls,
+		counts.CallsFailed, counts.Lists, counts.Reloads, counts.Panics, counts.Vanished, counts.Refused,
+		counts.AdminCalls, counts.AdminShed,
+		counts.HandedOn, counts.TakenOver, counts.LateTurns, counts.LateUs)
 }
 
 // metricsText returns the metrics that operators fetch, a line each.
--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -63,8 +63,10 @@
 			}
 		}
 		net.run(0, func() {})
-		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 || net.ended[c] != "close" || n.Count.Left != 1 {
-			t.Errorf("%s: %d connects, %d flows, %d upstreams, client %q, %d left", name, made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.Left)
+		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 ||
+			net.ended[c] != "close" || n.Count.Left != 1 {
+			t.Errorf("%s: %d connects, %d flows, %d upstreams, client %q, %d left", name,
+				made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.Left)
 		}
 		for _, h := range n.hostList {
 			if h.Flows() != 0 {
--- a/node/ending.go
+++ b/node/ending.go
@@ -143,7 +143,12 @@
 
 // allHandedOver reports whether no client without a flow is left to hand over to the successor process.
 func (n *Node) allHandedOver() bool {
-	return !n.handover.yielded || !slices.ContainsFunc(n.conns.entries, func(s slot[conn]) bool { return s.value != nil && s.value.role == roleNew })
+	if !n.handover.yielded {
+		return true
+	}
+	return !slices.ContainsFunc(n.conns.entries, func(s slot[conn]) bool {
+		return s.value != nil && s.value.role == roleNew
+	})
 }
 
 // Done reports whether an orderly end is complete: each client has been sent its last line and has closed its connection,
--- a/node/figures.go
+++ b/node/figures.go
@@ -22,14 +22,15 @@
 // time.
 func (n *Node) receiveFigure(f *flow, figure float64) {
 	h := f.host
-	// Clients wait no longer than Longest for anything, so a larger figure is a load. So is 0: every message takes time.
+	// No client waits longer than the longest connect timeout, so a larger figure is a load. So is 0: every message takes time.
 	if !n.settings.TellsTime || figure > float64(n.settings.Longest/ms) || figure == 0 {
 		n.receiveLoad(f, figure)
 		return
 	}
 	since := n.now - h.reported.lastFigure
 	first := n.now-f.establishedAt < firstLoadWithin
-	series := h.reported.lastFigure > 0 && since > hostReportInterval-hostReportTolerance && since < hostReportInterval+hostReportTolerance
+	series := h.reported.lastFigure > 0 &&
+		since > hostReportInterval-hostReportTolerance && since < hostReportInterval+hostReportTolerance
 	switch {
 	case f.reportedLoad == 0 && first:
 		n.receiveLoad(f, figure)
--- a/node/flows.go
+++ b/node/flows.go
@@ -372,8 +372,8 @@
 		f.group.established = true
 	}
 	n.deadlines.cancel(&f.timer)
-	if f.client.gatePrefix.IsValid() {
-		n.admissionGate.Stood(f.client.gatePrefix, n.now)
+	if f.client.admissionPrefix.IsValid() {
+		n.admission.Stood(f.client.admissionPrefix, n.now)
 	}
 	if f.rejoins {
 		n.decider.Opened(&f.Flow, &c.host.Server)
@@ -615,8 +615,7 @@
 	n.endFlow(f, balance.Recalled)
 }
 
-// Connect starts a connect that the module decided. It implements balance.Writer, as do Reject, Abort, Move, Probe, Tell,
-// Watch, Alarm and Trace.
+// Connect starts a connect that the module decided. The node implements balance.Writer: its methods carry out the decisions.
 func (n *Node) Connect(decided *balance.Flow, server *balance.Server, timeout int64) {
 	n.dial(decided.Ref.(*flow), n.hosts[server.Name], timeout)
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -325,14 +325,14 @@
 	In, Out *lines.Ring
 }
 
-// countHandedOver counts a connection that was handed over for its address at the admission gate. The connection is already
+// countHandedOver counts a connection that was handed over for its address at the admission control. The connection is already
 // open, so it is never refused: one over the limit of its address stays uncounted.
 func (n *Node) countHandedOver(c *conn, from netip.AddrPort) {
-	if n.admissionGate == nil {
+	if n.admission == nil {
 		return
 	}
-	if key := admission.Key(from.Addr()); n.admissionGate.Come(key, n.now, n.net.Room()-n.owedDescriptors()) == admission.Taken {
-		c.gatePrefix = key
+	if key := admission.Key(from.Addr()); n.admission.Come(key, n.now, n.net.Room()-n.owedDescriptors()) == admission.Taken {
+		c.admissionPrefix = key
 	}
 }
 
@@ -368,8 +368,8 @@
 	client.id, upstream.id = n.register(client), n.register(upstream)
 	client.receivedAt, client.sentAt = n.now, n.now
 	n.countHandedOver(client, from)
-	if client.gatePrefix.IsValid() {
-		n.admissionGate.Stood(client.gatePrefix, n.now)
+	if client.admissionPrefix.IsValid() {
+		n.admission.Stood(client.admissionPrefix, n.now)
 	}
 	client.in.Put(handed.ClientIn)
 	client.out.Put(handed.ClientOut)
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -188,7 +188,7 @@
 	if peer.moved[pending] == 0 || peer.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOn != 6 {
 		t.Fatal(peer.moved, n.flows.count, n.Count)
 	}
-	if known, strangers := successor.node.admissionGate.Held(); known+strangers != 1 {
+	if known, strangers := successor.node.admission.Held(); known+strangers != 1 {
 		t.Fatal("connections handed over are not counted for their address")
 	}
 	successor.receive(peer.moved[c], "ne\r\n")
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -46,8 +46,8 @@
 		}
 	}
 	known, strangers := 0, 0
-	if n.admissionGate != nil {
-		known, strangers = n.admissionGate.Held()
+	if n.admission != nil {
+		known, strangers = n.admission.Held()
 	}
 	logs := 0
 	for key := range n.logKinds {
--- a/node/late.go
+++ b/node/late.go
@@ -30,7 +30,8 @@
 func (n *Node) Late(lateness, lastLength int64) {
 	n.lateness.current = max(lateness, 0)
 	n.adjustQuota(n.lateness.current, lastLength)
-	n.lateness.recent = n.lateness.recent*math.Exp(-float64(max(n.now-n.lateness.updatedAt, 0))/float64(second)) + float64(n.lateness.current)
+	decay := math.Exp(-float64(max(n.now-n.lateness.updatedAt, 0)) / float64(second))
+	n.lateness.recent = n.lateness.recent*decay + float64(n.lateness.current)
 	n.lateness.updatedAt = n.now
 	lastLength = min(max(lastLength, 0), second)
 	n.lateness.lengths[n.lateness.iteration%keptIterations] = int32(lastLength)
--- a/node/limits.go
+++ b/node/limits.go
@@ -256,12 +256,14 @@
 	if cluster.leases == nil {
 		return
 	}
-	if cluster.desiredSlots = cluster.desiredSlots[:0]; n.config.Cluster.Others > 0 {
+	cluster.desiredSlots = cluster.desiredSlots[:0]
+	if n.config.Cluster.Others > 0 {
 		for slot := range lease.Slots {
 			cluster.desiredSlots = append(cluster.desiredSlots, n.believedOwner(slot) < 0)
 		}
 	}
-	cluster.leases.Ask(func(slot int) bool { return len(cluster.desiredSlots) == 0 || cluster.desiredSlots[slot] }, func(payload []byte) {
+	desired := func(slot int) bool { return len(cluster.desiredSlots) == 0 || cluster.desiredSlots[slot] }
+	cluster.leases.Ask(desired, func(payload []byte) {
 		for to := range n.config.Cluster.Others {
 			n.sendToNode(to, payload)
 		}
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -91,7 +91,9 @@
 	for range 4 {
 		net.openAndAnswer(openLine)
 	}
-	if n.SetLimits([]FleetLimit{concurrentLimit(OverGroup, "", 4)}) || n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 4), concurrentLimit(OverGroup, "", 4)}) || !n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 1)}) {
+	if n.SetLimits([]FleetLimit{concurrentLimit(OverGroup, "", 4)}) ||
+		n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 4), concurrentLimit(OverGroup, "", 4)}) ||
+		!n.SetLimits([]FleetLimit{concurrentLimit(OverType, "", 1)}) {
 		t.Error("SetLimits reported wrongly whether all limits are kept")
 	}
 	for range 10 {
@@ -141,7 +143,14 @@
 // newCutOffNode returns a node that can't reach the owner of any key: its flows wait for an answer, and then the node uses its
 // own part of the limit.
 func newCutOffNode(all ...FleetLimit) (*Node, *fakeNet) {
-	n, net := newNodeWith(2, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Others: 1, Limits: all, Send: func(int, []byte) {}}})
+	n, net := newNodeWith(2, Config{Cluster: Cluster{
+		On:      true,
+		Name:    "a",
+		Process: 7,
+		Others:  1,
+		Limits:  all,
+		Send:    func(int, []byte) {},
+	}})
 	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
 		net.run(50*ms, func() {})
--- a/node/node.go
+++ b/node/node.go
@@ -86,28 +86,43 @@
 
 // Capture records the outcomes of flows. Its methods must not block.
 type Capture interface {
-	Flow(capture.Flow)
-	End(capture.End)
-	Load(capture.Load)
+	Flow(capture.Flow) // a request and its answer
+	End(capture.End)   // the end of an established flow
+	Load(capture.Load) // a flow's load as reported by its host
 }
 
-// Decider receives what happens at the node and writes its decisions to the writer given to Round, as package balance
-// does. Other implementations exist only for comparison in rehearsals.
+// Decider receives what happens at the node and writes its decisions to a balance.Writer, as package balance does. Other
+// implementations exist only for comparison in rehearsals.
 type Decider interface {
+	// Round runs in, which reports the events of a loop iteration, and then writes the decisions to out.
 	Round(now int64, in func(), out balance.Writer)
+	// List begins a list of servers.
 	List(balance.ListKind)
+	// Entry reports a server of the list. started is when the server started.
 	Entry(s *balance.Server, state balance.State, size float64, started int64)
+	// ListEnd ends a list.
 	ListEnd(balance.ListKind)
+	// Demand reports a flow that needs a connection.
 	Demand(*balance.Flow)
+	// Opened reports a flow whose connection to a server was open before.
 	Opened(*balance.Flow, *balance.Server)
+	// Established reports that a flow's connect has succeeded.
 	Established(f *balance.Flow, took int64)
+	// Ended reports the end of a connect, or of an established flow. over is true if the flow has ended with it.
 	Ended(f *balance.Flow, s *balance.Server, end balance.Outcome, took int64, over bool)
+	// Expired reports that a flow without a connection has ended: its client has left or its time is over.
 	Expired(*balance.Flow)
+	// Reported reports a server's load. own is false if another node has passed the report on.
 	Reported(s *balance.Server, busy float64, own bool)
+	// Held reports that another node holds flows of a group at a server.
 	Held(*balance.Group, *balance.Server)
+	// Load reports a flow's load in microseconds of work per second.
 	Load(f *balance.Flow, perSecond float64)
+	// Slow reports how long messages take at a server.
 	Slow(s *balance.Server, us int64)
+	// Probed reports the end of a probe.
 	Probed(s *balance.Server, end balance.Outcome, took int64)
+	// Tick reports that the time has come that was requested from the writer's alarm.
 	Tick()
 }
 
@@ -161,29 +176,29 @@
 
 // conn is one connection, opened by either side.
 type conn struct {
-	id            uint64
-	role          role
-	in, out       lines.Ring
-	flow          *flow
-	host          *host
-	up            bool
-	midLine       bool // the last byte put into out does not end a line
-	inputEnded    bool // the other side sends no more; its last bytes may still be in the ring
-	err           error
-	timer         deadline
-	shedQueue     *list.List // the queue of connections that may be shed; nil when in none
-	queueElement  *list.Element
-	queuedAt      int64 // when it was put into shedQueue
-	drainedBytes  int
-	redials       int
-	reader        discovery.Reader
-	discoveryAddr string
-	receivedAt    int64        // when the other side last sent something
-	sentAt        int64        // when the other side last read something
-	limitPrefix   netip.Prefix // client address as counted by fleet limits; invalid where none needs it
-	gatePrefix    netip.Prefix // client address as counted by the admission gate; invalid where it is not counted
-	requestedRev  int64        // list version that a call to discovery asks to continue from; -1 for the whole list
-	stale         bool         // a watch that missed a line
+	id              uint64
+	role            role
+	in, out         lines.Ring
+	flow            *flow
+	host            *host
+	up              bool
+	midLine         bool // the last byte put into out does not end a line
+	inputEnded      bool // the other side sends no more; its last bytes may still be in the ring
+	err             error
+	timer           deadline
+	shedQueue       *list.List // the queue of connections that may be shed; nil when in none
+	queueElement    *list.Element
+	queuedAt        int64 // when it was put into shedQueue
+	drainedBytes    int
+	redials         int
+	reader          discovery.Reader
+	discoveryAddr   string
+	receivedAt      int64        // when the other side last sent something
+	sentAt          int64        // when the other side last read something
+	limitPrefix     netip.Prefix // client address as counted by fleet limits; invalid where none needs it
+	admissionPrefix netip.Prefix // client address as counted by the admission control; invalid where it is not counted
+	requestedRev    int64        // list version that a call to discovery asks to continue from; -1 for the whole list
+	stale           bool         // a watch that missed a line
 }
 
 // flow is one client's request for a connection and, once established, that connection.
@@ -250,7 +265,7 @@
 	lateness         lateness
 	acceptQuota      acceptQuota
 	limits           Limits
-	admissionGate    *admission.Gate // nil accepts every connection
+	admission        *admission.Gate // nil accepts every connection
 	activeProbes     int
 	establishedCount int
 	capturedFlows    uint64
@@ -305,7 +320,7 @@
 	n.recentIDs.limit = n.limits.IDs
 	n.ringBudget = lines.NewBudget(n.limits.Wide)
 	if conf.Admission.On() {
-		n.admissionGate = admission.New(conf.Admission)
+		n.admission = admission.New(conf.Admission)
 	}
 	n.newCluster()
 	if n.decider = (module{balance.New(&nodeSettings.Settings, conf.Seed)}); conf.Decide != nil {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -213,9 +213,13 @@
 		cause error
 		want  balance.Outcome
 	}{
-		{Dialing, errTimeout, balance.Unreachable}, {Dialing, unix.ECONNRESET, balance.Unreachable},
-		{AwaitingAnswer, errTimeout, balance.Overdue}, {AwaitingAnswer, unix.ECONNRESET, balance.Severed},
-		{AwaitingAnswer, errEnded, balance.Severed}, {AwaitingAnswer, errBusy, balance.Saturated}, {AwaitingAnswer, errAnswer, balance.Errored},
+		{Dialing, errTimeout, balance.Unreachable},
+		{Dialing, unix.ECONNRESET, balance.Unreachable},
+		{AwaitingAnswer, errTimeout, balance.Overdue},
+		{AwaitingAnswer, unix.ECONNRESET, balance.Severed},
+		{AwaitingAnswer, errEnded, balance.Severed},
+		{AwaitingAnswer, errBusy, balance.Saturated},
+		{AwaitingAnswer, errAnswer, balance.Errored},
 		{Dialing, errHostLeaving, balance.Saturated},
 	} {
 		if got := (&ConnectError{c.stage, c.cause}).Outcome(); got != c.want {
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -57,8 +57,12 @@
 	n.settings.Reports, n.settings.Peers = true, true
 	f := &flow{}
 	f.Flow = balance.Flow{Type: &n.settings.Types[0], Deadline: startTime + 2*second, Ref: f}
-	net.run(1, func() { n.decider.(balancerMemory).RecallOf(&n.hosts["s-0"].Server, kept); n.decider.Demand(&f.Flow) })
-	if got := n.decider.(balancerMemory).MemoryOf(&n.hosts["s-0"].Server); n.upstreamCount != 1 || got.Rank != kept.Rank || got.Rank == 0 {
+	net.run(1, func() {
+		n.decider.(balancerMemory).RecallOf(&n.hosts["s-0"].Server, kept)
+		n.decider.Demand(&f.Flow)
+	})
+	got := n.decider.(balancerMemory).MemoryOf(&n.hosts["s-0"].Server)
+	if n.upstreamCount != 1 || got.Rank != kept.Rank || got.Rank == 0 {
 		t.Fatal(n.upstreamCount, got, kept)
 	}
 }
--- a/node/writer.go
+++ b/node/writer.go
@@ -8,7 +8,7 @@
 
 var _ balance.Writer = (*Node)(nil)
 
-// Alarm schedules a call of the decider's Tick.
+// Alarm schedules the decider's next alarm.
 func (n *Node) Alarm(at int64) { n.deadlines.set(&n.tickAlarm, at) }
 
 // Trace logs a line of the decider.
