--- a/node/counts.go
+++ b/node/counts.go
@@ -31,7 +31,7 @@
 	Reloads      int   // reloads of the configuration
 	Panics       int   // panics confined to a connection
 	Vanished     int   // clients that sent or read nothing for too long
-	Refused      int   // connections refused by the admission control or the event loop
+	Refused      int   // connections refused by admission control or the event loop
 	AdminCalls   int   // operators' calls answered
 	AdminShed    int   // operators' connections closed without a complete request
 	HandedOn     int   // clients and flows handed over to the successor process
--- a/node/figures.go
+++ b/node/figures.go
@@ -1,5 +1,7 @@
 package node
 
+import "slices"
+
 // Where the settings say that hosts report message times, they use LOAD, the only line that carries a figure: milliseconds,
 // once a second on one connection of each node, while messages are slow and once more after. A message time that is taken for
 // a load makes an overloaded host look idle, so the two have to be told apart.
@@ -52,3 +54,38 @@
 	}
 	n.decider.Load(&f.Flow, load)
 }
+
+// reportMessageTimes reports to the module how long messages take at each host, while that is over a third of the shortest
+// target and once more after. The figure is the median of the times measured since the last report, together with the ages
+// of unanswered lines that are older than that median.
+func (n *Node) reportMessageTimes() {
+	n.closeStalledClients()
+	n.deadlines.set(&n.messageTimeTimer, n.now+messageTimeInterval)
+	for _, entry := range n.flows.entries {
+		if f := entry.value; f != nil && f.unansweredSince > 0 && !f.ended {
+			age, _ := n.elapsed(f.unansweredSpan)
+			f.host.pendingAges = append(f.host.pendingAges, age)
+		}
+	}
+	for _, h := range n.hostList {
+		slices.Sort(h.messageTimes)
+		median := int64(0)
+		if len(h.messageTimes) > 0 {
+			median = h.messageTimes[len(h.messageTimes)/2]
+		}
+		for _, age := range h.pendingAges {
+			if age > median {
+				h.messageTimes = append(h.messageTimes, age)
+			}
+		}
+		if len(h.messageTimes) > 0 {
+			slices.Sort(h.messageTimes)
+			selfMeasured := n.now-h.reported.lastMessageTime > hostReportValidity || h.reported.lastMessageTime == 0
+			if typical := h.messageTimes[len(h.messageTimes)/2]; selfMeasured && (typical > n.slowMessageTime || h.slowReported) {
+				h.slowReported = typical > n.slowMessageTime
+				n.decider.Slow(&h.Server, typical)
+			}
+		}
+		h.messageTimes, h.pendingAges = h.messageTimes[:0], h.pendingAges[:0]
+	}
+}
--- a/node/flows.go
+++ b/node/flows.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
 	"strconv"
@@ -387,163 +386,6 @@
 	n.relay(f)
 }
 
-// relay passes lines on in both directions. It passes whole lines so that a line of the node's own never falls into one.
-func (n *Node) relay(f *flow) {
-	for {
-		chunk, endsLine := nextChunk(f.client, f.upstream)
-		if len(chunk) == 0 {
-			break
-		}
-		n.relayToHost(f, chunk, endsLine)
-	}
-	for {
-		chunk, endsLine := nextChunk(f.upstream, f.client)
-		if len(chunk) == 0 {
-			break
-		}
-		n.relayToClient(f, chunk, endsLine)
-	}
-	n.net.Touch(f.client.id)
-	n.net.Touch(f.upstream.id)
-	if n.finishIfEnded(f); f.movePending && !f.ended && n.canMove(f) {
-		n.moveClient(f)
-		n.endFlow(f, balance.Recalled)
-	}
-}
-
-// nextChunk returns what can be passed on next: as many whole lines as are contiguous in the ring and fit into the output
-// ring, or the rest where no end of line will come. endsLine reports whether it ends with a line. The bytes stay in the ring.
-func nextChunk(from, to *conn) (chunk []byte, endsLine bool) {
-	head := from.in.Head()
-	if room := to.out.Free(); len(head) > room {
-		head = head[:room]
-	}
-	if i := bytes.LastIndexByte(head, '\n'); i >= 0 {
-		return head[:i+1], true
-	}
-	if from.in.Len() == 0 {
-		return nil, false
-	}
-	if line := from.in.Line(); line != nil {
-		if len(line) > to.out.Free() {
-			return nil, false
-		}
-		return line, true
-	}
-	if from.in.Free() == 0 || from.inputEnded {
-		return from.in.Peek(min(from.in.Len(), to.out.Free())), false
-	}
-	return nil, false
-}
-
-// enqueue puts bytes into a connection's output ring. Connections with bulk traffic get a wide ring, which moves more
-// bytes for the same number of system calls.
-func enqueue(to *conn, chunk []byte) {
-	if len(chunk) > lines.RingSize/2 {
-		to.out.Widen()
-	}
-	to.out.Put(chunk)
-}
-
-// relayToHost passes on what a client sent, and starts the silence timeout for a line that the host has to answer.
-func (n *Node) relayToHost(f *flow, chunk []byte, endsLine bool) {
-	to := f.upstream
-	// Whether the chunk holds a complete line of which no part was sent before.
-	startsLine := endsLine && (!to.midLine || bytes.IndexByte(chunk, '\n') < len(chunk)-1)
-	f.record.countLines(true, chunk)
-	enqueue(to, chunk)
-	to.midLine = !endsLine
-	f.client.in.Drop(len(chunk))
-	if startsLine && f.unansweredSince == 0 {
-		f.unansweredSince, f.unansweredSpan = n.now, n.startSpan()
-		n.deadlines.set(&f.timer, n.now+hostSilenceTimeout)
-	}
-}
-
-// relayToClient passes on what a host sent. It also reads the lines that concern the node: LOAD, BYE and MOVE.
-func (n *Node) relayToClient(f *flow, chunk []byte, endsLine bool) {
-	to, answered := f.client, false
-	for rest := chunk; len(rest) > 0; {
-		end := bytes.IndexByte(rest, '\n') + 1
-		if end == 0 {
-			end = len(rest)
-		}
-		switch first := rest[0]; {
-		case to.midLine || !endsLine || first != 'L' && first != 'B' && first != 'M':
-			answered = true
-		default:
-			word, load := lines.Answer(rest[:end])
-			answered = answered || word != lines.Load
-			switch word {
-			case lines.Load:
-				n.receiveFigure(f, load)
-			case lines.Bye, lines.Move:
-				f.lastWord = word
-			}
-		}
-		rest = rest[end:]
-		to.midLine = false
-	}
-	f.record.countLines(false, chunk)
-	if to.out.Len() == 0 {
-		to.sentAt = n.now
-	}
-	enqueue(to, chunk)
-	to.midLine = !endsLine
-	f.upstream.in.Drop(len(chunk))
-	if answered && f.unansweredSince > 0 {
-		took, _ := n.elapsed(f.unansweredSpan)
-		f.host.messageTimes = append(f.host.messageTimes, took)
-		f.unansweredSince = 0
-		n.deadlines.cancel(&f.timer)
-	}
-}
-
-// finishIfEnded ends an established flow once one side has closed its connection and its last bytes are passed on.
-func (n *Node) finishIfEnded(f *flow) {
-	client, upstream := f.client, f.upstream
-	switch {
-	case upstream.inputEnded && (upstream.in.Len() == 0 || upstream.err != nil):
-		end := balance.Severed
-		switch f.lastWord {
-		case lines.Bye:
-			end = balance.Completed
-		case lines.Move:
-			end = balance.Recalled
-		}
-		f.record.setEnd(hostEndKinds[end])
-		n.closeLikeOtherSide(client, upstream.err)
-		n.close(upstream)
-		n.endFlow(f, end)
-	case client.inputEnded && (client.in.Len() == 0 || client.err != nil):
-		f.record.setEnd(capture.Gone)
-		n.closeLikeOtherSide(upstream, client.err)
-		n.close(client)
-		n.endFlow(f, balance.Recalled)
-	}
-}
-
-// closeLikeOtherSide closes a connection as the flow's other connection ended: in order, or with a reset.
-func (n *Node) closeLikeOtherSide(c *conn, err error) {
-	if err != nil && c.out.Len() == 0 {
-		n.net.Reset(c.id)
-		n.forgetConn(c)
-		return
-	}
-	n.closeAfterSending(c)
-}
-
-// moveClient sends a client the MOVE line, which asks it to reconnect, and closes both connections.
-func (n *Node) moveClient(f *flow) {
-	n.Count.Moves++
-	f.record.setEnd(capture.Moved)
-	if !f.client.midLine {
-		f.client.out.Put([]byte(moveLine)) // may not fit at the last moment, but then the client reads nothing anyway
-	}
-	n.closeAfterSending(f.client)
-	n.closeAfterSending(f.upstream)
-}
-
 // endFlow reports the end of a flow to the module, once.
 func (n *Node) endFlow(f *flow, end balance.Outcome) {
 	if f.ended {
@@ -620,7 +462,7 @@
 	n.dial(decided.Ref.(*flow), n.hosts[server.Name], timeout)
 }
 
-// Reject answers a flow BUSY: no host has run it. wait is the time after which the client is asked to retry, 0 for none.
+// Reject answers a flow BUSY, so that its client may retry: after wait, or when it likes if wait is 0.
 func (n *Node) Reject(decided *balance.Flow, wait int64) {
 	f := decided.Ref.(*flow)
 	n.countAnswer(f, capture.Rejected)
@@ -632,7 +474,7 @@
 	n.sendFinalLine(f.client, "BUSY\r\n")
 }
 
-// Abort answers a flow ERR: a host may have run it, and it must not be repeated.
+// Abort answers a flow ERR: a host may have run it, and a retry might run it twice.
 func (n *Node) Abort(decided *balance.Flow) {
 	f := decided.Ref.(*flow)
 	n.countAnswer(f, capture.Aborted)
--- a/node/handover.go
+++ b/node/handover.go
@@ -325,7 +325,7 @@
 	In, Out *lines.Ring
 }
 
-// countHandedOver counts a connection that was handed over for its address at the admission control. The connection is already
+// countHandedOver counts a connection that was handed over for its address at admission control. The connection is already
 // open, so it is never refused: one over the limit of its address stays uncounted.
 func (n *Node) countHandedOver(c *conn, from netip.AddrPort) {
 	if n.admission == nil {
--- a/node/node.go
+++ b/node/node.go
@@ -196,7 +196,7 @@
 	receivedAt      int64        // when the other side last sent something
 	sentAt          int64        // when the other side last read something
 	limitPrefix     netip.Prefix // client address as counted by fleet limits; invalid where none needs it
-	admissionPrefix netip.Prefix // client address as counted by the admission control; invalid where it is not counted
+	admissionPrefix netip.Prefix // client address as counted by admission control; invalid where it is not counted
 	requestedRev    int64        // list version that a call to discovery asks to continue from; -1 for the whole list
 	stale           bool         // a watch that missed a line
 }
