--- a/node/cold.go
+++ b/node/cold.go
@@ -7,10 +7,10 @@
 )
 
 // The owner of a cold host's key grants the flows that all nodes together may send to the host, one at a time. Of the rate
-// that the cold-start rule allows, the owner may always grant coldBaseShare. coldLentShare is split evenly among all nodes;
-// each node lends its part to the owner with its lease vote, for as long as the vote lasts. A node that has lent its part
-// requests grants. A node that has not may send its part by its own estimate. So a part is used either by the owner or by the
-// node, never by both at once.
+// that the cold-start rule allows, the owner may always grant coldBaseShare, whatever the state of the links between nodes.
+// coldLentShare is split evenly among all nodes; each node lends its part to the owner with its lease vote, for as long as
+// the vote lasts. A node that has lent its part requests grants. A node that has not may send its part by its own estimate.
+// So a part is used either by the owner or by the node, never by both at once.
 const (
 	coldBaseShare   = 0.50
 	coldLentShare   = 0.35 // the share by which package overload estimates where a node has no messages
--- a/node/node.go
+++ b/node/node.go
@@ -218,7 +218,7 @@
 	ended           bool
 	awaitsList      bool       // waits for the first list
 	movePending     bool       // is moved as soon as its client can be sent the MOVE line
-	lastWord        lines.Word // BYE or MOVE from its host; Other before
+	lastWord        lines.Word // BYE or MOVE once the host has sent it
 	unansweredSince int64      // when the oldest line without an answer was passed to the host; 0 for none
 	unansweredSpan  span       // measures that line
 	timer           deadline
