--- a/node/capture.go
+++ b/node/capture.go
@@ -7,75 +7,87 @@
 	"coursewinch/capture"
 )
 
-// seen is what a capture will hold of a flow.
-type seen struct {
-	flow  capture.Flow
-	end   capture.End
-	noted bool // its answer is in the capture
+// captureRecord collects what a capture will hold of a flow.
+type captureRecord struct {
+	flow     capture.Flow
+	end      capture.End
+	answered bool // the answer has been written to the capture
 }
 
-// ends are the words for how a host's side of a flow ended.
-var ends = map[balance.Outcome]byte{balance.Completed: capture.Completed, balance.Recalled: capture.Moved,
+// hostEndKinds are the capture's codes for flows that ended at the host's side, by outcome.
+var hostEndKinds = map[balance.Outcome]byte{balance.Completed: capture.Completed, balance.Recalled: capture.Moved,
 	balance.Severed: capture.Severed}
 
-// look begins to keep what a capture wants of a flow.
-func (n *Node) look(f *flow) {
-	if n.conf.Capture == nil {
+// startCapture begins the record of a flow, where flows are captured.
+func (n *Node) startCapture(f *flow) {
+	if n.config.Capture == nil {
 		return
 	}
-	n.captured++
-	o := f.open
-	f.seen = &seen{flow: capture.Flow{No: n.captured, At: n.now, Type: o.Class, Key: o.Key, Group: o.Group, Again: o.Again,
-		Wait: o.Wait}, end: capture.End{No: n.captured, How: capture.Severed}}
+	n.capturedFlows++
+	request := f.request
+	f.record = &captureRecord{
+		flow: capture.Flow{
+			No:    n.capturedFlows,
+			At:    n.now,
+			Type:  request.Class,
+			Key:   request.Key,
+			Group: request.Group,
+			Again: request.Again,
+			Wait:  request.Wait,
+		},
+		end: capture.End{No: n.capturedFlows, How: capture.Severed},
+	}
 }
 
-// captureAnswer writes that a flow has its answer.
+// captureAnswer writes a flow's answer to the capture.
 func (n *Node) captureAnswer(f *flow, answer byte) {
-	s := f.seen
-	if s == nil || s.noted {
+	record := f.record
+	if record == nil || record.answered {
 		return
 	}
-	s.noted = true
-	s.flow.Answer, s.flow.Took, s.flow.Connects = answer, n.now-s.flow.At, f.Tries
+	record.answered = true
+	record.flow.Answer, record.flow.Took, record.flow.Connects = answer, n.now-record.flow.At, f.Tries
 	if f.host != nil {
-		s.flow.Host = f.host.uid
+		record.flow.Host = f.host.uid
 	}
-	n.conf.Capture.Flow(s.flow)
+	n.config.Capture.Flow(record.flow)
 }
 
-// captureEnd writes the end of an established flow, or that a client left before its answer.
+// captureEnd writes the end of an established flow, or that its client left before the answer.
 func (n *Node) captureEnd(f *flow) {
-	s := f.seen
+	record := f.record
 	switch {
-	case s == nil:
-	case !s.noted:
+	case record == nil:
+	case !record.answered:
 		n.captureAnswer(f, capture.Left)
-	case s.flow.Answer == capture.Established:
-		s.end.At = n.now
-		n.conf.Capture.End(s.end)
+	case record.flow.Answer == capture.Established:
+		record.end.At = n.now
+		n.config.Capture.End(record.end)
 	}
-	f.seen = nil
+	f.record = nil
 }
 
-func (s *seen) passed(up bool, p []byte) {
+// countLines counts the lines of a chunk passed up to the host or down to the client.
+func (s *captureRecord) countLines(up bool, chunk []byte) {
 	if s == nil {
 		return
 	}
-	if n := bytes.Count(p, []byte("\n")); up {
+	if n := bytes.Count(chunk, []byte("\n")); up {
 		s.end.Up += n
 	} else {
 		s.end.Down += n
 	}
 }
 
-// captureLoad writes what a flow's load is told to be.
+// captureLoad writes a flow's load as its host reported it.
 func (n *Node) captureLoad(f *flow, load float64) {
-	if f.seen != nil {
-		n.conf.Capture.Load(capture.Load{No: f.seen.flow.No, At: n.now, Load: load})
+	if f.record != nil {
+		n.config.Capture.Load(capture.Load{No: f.record.flow.No, At: n.now, Load: load})
 	}
 }
 
-func (s *seen) ended(how byte) {
+// setEnd sets how the flow ended.
+func (s *captureRecord) setEnd(how byte) {
 	if s != nil {
 		s.end.How = how
 	}
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -12,213 +12,221 @@
 	"coursewinch/cluster/verdicts"
 )
 
-// Where the node's file says so, the node bounds its module by what all nodes of the fleet together may place: by what it
-// sees itself, and, where it has others' addresses, by what they tell.
+// Where the configuration turns it on, the node bounds its module by what all nodes of the fleet together may place on hosts.
+// The bounds follow from the node's own observations and, where it has addresses of other nodes, from their messages.
 
-const (
-	tendEvery = 50 * ms
-)
+// clusterInterval is the longest time between two runs of clusterTick.
+const clusterInterval = 50 * ms
 
-// Cluster is what a node is told of its fleet.
+// Cluster configures a node's part in its fleet.
 type Cluster struct {
 	On      bool
 	Name    string
-	Process uint64                 // drawn anew by each process
-	Others  int                    // nodes that can be told; 0: the node goes by its own eyes alone
-	Limits  []FleetLimit           // that Check has found right
-	Send    func(to int, p []byte) // one datagram, to the so-many-th of them
+	Process uint64                 // random number, different for each process
+	Others  int                    // other nodes that can be sent datagrams; with 0 the node relies on its own observations
+	Limits  []FleetLimit           // valid according to Check
+	Send    func(to int, p []byte) // sends a datagram to one of the other nodes, by index
 
-	Held func(now int64, host string, v verdicts.Verdict) // told of each verdict by hearsay that begins; may be nil
+	// Held is called when this node suspends a host because of other nodes' reports. It may be nil.
+	Held func(now int64, host string, v verdicts.Verdict)
 }
 
-// cluster is a node's part in its fleet; members is nil where it has no others, all is nil where it is off.
+// cluster is a node's part in its fleet.
 type cluster struct {
-	members  *members.Members
-	overload *overload.Core
-	timer    deadline
-	leases   *lease.Leases
-	limits   []*keptLimit
-	unknown  int64  // words about limits that this node does not keep
-	names    []bool // slots that this node should own, by name
+	members       *members.Members // nil where there are no other nodes
+	overload      *overload.Core
+	timer         deadline
+	leases        *lease.Leases // nil without limits
+	limits        []*localLimit
+	unknownLimits int64  // messages about limits that this node does not keep
+	desiredSlots  []bool // lease slots that this node should own
 }
 
+// newCluster sets up the node's part in the fleet, if the configuration turns it on.
 func (n *Node) newCluster() {
-	c := n.conf.Cluster
-	if !c.On {
+	config := n.config.Cluster
+	if !config.On {
 		return
 	}
-	c.Process |= 1 // 0 is nobody's
-	n.conf.Cluster.Process = c.Process
-	k := &cluster{overload: overload.New(&n.set.Settings, c.Others+1, members.Young(c.Others+1), n.conf.Seed+2)}
-	if c.Others > 0 {
-		k.members = members.New(uint32(hash(c.Name)), c.Process, c.Others, n.conf.Seed+3)
-	}
-	if len(c.Limits) > 0 {
-		k.leases = lease.New(c.Process, 0, c.Others+1)
-		n.cluster = k
-		k.limits = n.newLimits(c.Limits, c.Process, c.Others+1)
-	}
-	k.timer.due = n.tend
-	k.overload.Tell(uint32(hash(n.zoneName())), n.heldBack)
-	n.cluster, n.set.Bounds = k, k.overload
-	if slices.ContainsFunc(c.Limits, func(l FleetLimit) bool { return l.Over == OverHost }) {
-		n.set.Bounds = hostBounds{k.overload, n}
-	}
-}
-
-// tend does what time brings: it tells the others, and looks at its own lateness.
-func (n *Node) tend() {
-	k := n.cluster
-	late := n.starved()
-	k.overload.Late(late)
-	n.tendLeases()
-	n.findCold()
-	next := n.now + tendEvery
-	if m := k.members; m != nil {
-		m.Late(late)
-		if n.stopAt > 0 && n.flows.held == 0 {
-			m.Leave(n.now)
+	config.Process |= 1 // 0 stands for no process
+	n.config.Cluster.Process = config.Process
+	cluster := &cluster{overload: overload.New(&n.settings.Settings, config.Others+1, members.Young(config.Others+1), n.config.Seed+2)}
+	if config.Others > 0 {
+		cluster.members = members.New(uint32(hash(config.Name)), config.Process, config.Others, n.config.Seed+3)
+	}
+	if len(config.Limits) > 0 {
+		cluster.leases = lease.New(config.Process, 0, config.Others+1)
+		n.cluster = cluster
+		cluster.limits = n.newLimits(config.Limits, config.Process, config.Others+1)
+	}
+	cluster.timer.run = n.clusterTick
+	cluster.overload.Tell(uint32(hash(n.ownZoneName())), n.noteSuspended)
+	n.cluster, n.settings.Bounds = cluster, cluster.overload
+	if slices.ContainsFunc(config.Limits, func(l FleetLimit) bool { return l.Over == OverHost }) {
+		n.settings.Bounds = hostBounds{cluster.overload, n}
+	}
+}
+
+// clusterTick runs the periodic work: it sends messages to the other nodes and checks the node's own lateness.
+func (n *Node) clusterTick() {
+	cluster := n.cluster
+	late := n.isStarved()
+	cluster.overload.Late(late)
+	n.requestLeases()
+	n.findColdHosts()
+	next := n.now + clusterInterval
+	if others := cluster.members; others != nil {
+		others.Late(late)
+		if n.stopAt > 0 && n.flows.count == 0 {
+			others.Leave(n.now)
 		}
-		m.Due(n.now, func() []byte { return k.overload.Word(frame.MostPayload) }, n.conf.Cluster.Send)
-		next = min(next, max(m.Next(), n.now+ms))
+		others.Due(n.now, func() []byte { return cluster.overload.Word(frame.MostPayload) }, n.config.Cluster.Send)
+		next = min(next, max(others.Next(), n.now+ms))
 	}
-	n.times.set(&k.timer, next)
+	n.deadlines.set(&cluster.timer, next)
 }
 
-// HeardFrom takes a datagram of the so-many-th other node; under 0 it is from an address that is none of theirs.
-func (n *Node) HeardFrom(from int, p []byte) {
-	defer n.guard(nil)
-	k := n.cluster
-	if k == nil || k.members == nil {
+// HeardFrom handles a datagram of another node, given by index. from is negative for an unknown address.
+func (n *Node) HeardFrom(from int, datagram []byte) {
+	defer n.recoverPanic(nil)
+	cluster := n.cluster
+	if cluster == nil || cluster.members == nil {
 		return
 	}
-	w, ok := k.members.Take(n.now, from, p)
-	if ok && n.limitTold(from, w) {
+	message, ok := cluster.members.Take(n.now, from, datagram)
+	if ok && n.receiveLimitMessage(from, message) {
 		return
 	}
-	if ok && !k.overload.Told(from, w.Process, w.At, w.Late, w.Payload) {
-		k.members.Bad(frame.Nonsense)
-		n.note("cluster_nonsense", "a word whose figures can't be")
+	if ok && !cluster.overload.Told(from, message.Process, message.At, message.Late, message.Payload) {
+		cluster.members.Bad(frame.Nonsense)
+		n.logThrottled("cluster_nonsense", "message has impossible values")
 	}
 }
 
-// setUp, probedIn, reportedBusy and turnedAway tell the cluster's cores what this node saw of a host.
-
-func (n *Node) setUp(h *host, took int64, sure bool) {
+// noteSetup passes the set-up time of a flow at a host to the overload control. It is left out where the node's own lateness
+// makes it uncertain.
+func (n *Node) noteSetup(h *host, took int64, sure bool) {
 	if n.cluster != nil && sure {
 		n.cluster.overload.Setup(&h.Server, took)
 	}
 }
 
-func (n *Node) probedIn(h *host, took int64) {
+// noteProbe passes the time of an answered probe to the overload control.
+func (n *Node) noteProbe(h *host, took int64) {
 	if n.cluster != nil {
 		n.cluster.overload.Probe(&h.Server, took)
 	}
 }
 
-func (n *Node) reportedBusy(h *host, busy float64) {
+// noteBusy passes a host's load report to the overload control.
+func (n *Node) noteBusy(h *host, busy float64) {
 	if n.cluster != nil {
 		n.cluster.overload.Reported(&h.Server, busy)
 	}
 }
 
-func (n *Node) turnedAway(h *host) {
+// noteTurnedAway tells the overload control that a host answered BUSY.
+func (n *Node) noteTurnedAway(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.TurnedAway(&h.Server)
 	}
 }
 
-func (n *Node) foundSick(h *host) {
+// noteSick tells the overload control that a host failed a flow that it had received.
+func (n *Node) noteSick(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.Sick(&h.Server)
 	}
 }
 
-// heldBack is that a verdict on a host is taken over from others.
-func (n *Node) heldBack(s *balance.Server, v verdicts.Verdict) {
-	n.note("held_back", fmt.Sprintf("%s: %s, by %d", s.Name, v.Of, v.Witnesses))
-	if n.conf.Cluster.Held != nil {
-		n.conf.Cluster.Held(n.now, s.Name, v)
+// noteSuspended handles the suspension of a host because of other nodes' reports.
+func (n *Node) noteSuspended(server *balance.Server, verdict verdicts.Verdict) {
+	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", server.Name, verdict.Of, verdict.Witnesses))
+	if n.config.Cluster.Held != nil {
+		n.config.Cluster.Held(n.now, server.Name, verdict)
 	}
 }
 
-func (n *Node) zoneName() string {
-	for name, no := range n.set.Zones {
-		if no == n.set.Zone {
+// ownZoneName returns the name of the node's zone; empty where the settings have none.
+func (n *Node) ownZoneName() string {
+	for name, no := range n.settings.Zones {
+		if no == n.settings.Zone {
 			return name
 		}
 	}
 	return ""
 }
 
-func (n *Node) foundDown(h *host) {
+// noteDown tells the overload control that a host can't be reached.
+func (n *Node) noteDown(h *host) {
 	if n.cluster != nil {
 		n.cluster.overload.Down(&h.Server)
 	}
 }
 
-// listHosts tells the cluster's cores which hosts there are.
-func (n *Node) listHosts() {
+// updateClusterHosts passes the listed hosts to the overload control.
+func (n *Node) updateClusterHosts() {
 	if n.cluster == nil {
 		return
 	}
-	var all []*balance.Server
-	for _, h := range n.fleet {
+	var servers []*balance.Server
+	for _, h := range n.hostList {
 		if h.State != balance.Removed {
-			all = append(all, &h.Server)
+			servers = append(servers, &h.Server)
 		}
 	}
-	n.cluster.overload.List(all)
+	n.cluster.overload.List(servers)
 }
 
-// clusterText is the cluster's figures for operators, a line each; empty where it is off.
-func (n *Node) clusterText() (text string) {
-	k := n.cluster
-	if k == nil {
+// clusterMetrics returns the metrics of the node's part in the fleet, a line each; empty where it is off.
+func (n *Node) clusterMetrics() (text string) {
+	cluster := n.cluster
+	if cluster == nil {
 		return ""
 	}
-	add := func(name string, v any) { text += fmt.Sprintf("%s=%v\n", name, v) }
-	if m := k.members; m != nil {
-		add("cluster_others", m.Others())
-		add("cluster_linked", m.Linked())
-		add("cluster_oldest_ms", m.Oldest(n.now)/ms)
-		add("cluster_young_ms", m.YoungFor()/ms)
-		add("cluster_sent", m.Sent)
-		add("cluster_heard", m.Heard)
-		add("cluster_sent_bytes", m.SentBytes)
-		add("cluster_stale", m.Stale)
+	add := func(name string, value any) { text += fmt.Sprintf("%s=%v\n", name, value) }
+	if others := cluster.members; others != nil {
+		add("cluster_others", others.Others())
+		add("cluster_linked", others.Linked())
+		add("cluster_oldest_ms", others.Oldest(n.now)/ms)
+		add("cluster_young_ms", others.YoungFor()/ms)
+		add("cluster_sent", others.Sent)
+		add("cluster_heard", others.Heard)
+		add("cluster_sent_bytes", others.SentBytes)
+		add("cluster_stale", others.Stale)
 		for f := frame.None + 1; f < frame.Faults; f++ {
-			add("cluster_dropped."+f.String(), m.Faults[f])
+			add("cluster_dropped."+f.String(), others.Faults[f])
 		}
 	}
-	text += n.limitText()
-	f := k.overload.Figures
+	text += n.limitMetrics()
+	figures := cluster.overload.Figures
 	bit := map[bool]int{true: 1}
 	late := false
-	if k.members != nil {
-		late = k.members.IsLate()
+	if cluster.members != nil {
+		late = cluster.members.IsLate()
 	}
 	add("overload_late", bit[late])
-	add("overload_short", bit[f.Short])
-	add("overload_bar", fmt.Sprintf("%.3g", f.Bar))
-	add("overload_free", fmt.Sprintf("%.0f", f.Free))
-	add("overload_known", fmt.Sprintf("%.0f", f.Known))
-	add("overload_demand", fmt.Sprintf("%.0f", f.Demand))
-	add("overload_shed", f.Refused)
-	add("hosts_held_back", f.Held)
-	k.overload.Held(func(s *balance.Server, v verdicts.Verdict) {
-		add("held_back."+s.Name, fmt.Sprintf("%s:%d", v.Of, v.Witnesses))
+	add("overload_short", bit[figures.Short])
+	add("overload_bar", fmt.Sprintf("%.3g", figures.Bar))
+	add("overload_free", fmt.Sprintf("%.0f", figures.Free))
+	add("overload_known", fmt.Sprintf("%.0f", figures.Known))
+	add("overload_demand", fmt.Sprintf("%.0f", figures.Demand))
+	add("overload_shed", figures.Refused)
+	add("hosts_held_back", figures.Held)
+	cluster.overload.Held(func(server *balance.Server, verdict verdicts.Verdict) {
+		add("held_back."+server.Name, fmt.Sprintf("%s:%d", verdict.Of, verdict.Witnesses))
 	})
-	add("overload_cuts", f.Cuts)
-	add("overload_retries", f.Retries)
-	add("overload_withheld", f.Withheld)
+	add("overload_cuts", figures.Cuts)
+	add("overload_retries", figures.Retries)
+	add("overload_withheld", figures.Withheld)
 	return text
 }
 
-// worth is what a flow of a service type is worth where refusals weigh it; 0 where they don't, or the settings don't say.
-func (n *Node) worth(kind int) float64 {
-	if n.cluster != nil && kind < len(n.set.Worth) {
-		return n.set.Worth[kind]
+// worth returns the benefit of a flow of a service type, by which refusals are weighted; 0 where they are not, or the
+// settings give none.
+func (n *Node) worth(typeIndex int) float64 {
+	if n.cluster != nil && typeIndex < len(n.settings.Worth) {
+		return n.settings.Worth[typeIndex]
 	}
 	return 0
 }
--- a/node/cold.go
+++ b/node/cold.go
@@ -6,75 +6,78 @@
 	"coursewinch/cluster/limits"
 )
 
-// What all nodes together may send a cold host is granted by the owner of the host's key, a flow at a time. Of what the
-// rule allows coldBase is the owner's to grant whatever links do, and coldLent is split evenly among all nodes, each of
-// which lends the owner its part with its vote for as long as that lasts. Who has lent its part asks; who has not may
-// send as much as that by its own guess. So a part is the owner's or the node's, and never both at a moment.
+// The owner of a cold host's key grants the flows that all nodes together may send to the host, one at a time. Of the rate
+// that the cold-start rule allows, the owner may always grant coldBaseShare, whatever the state of the links between nodes.
+// coldLentShare is split evenly among all nodes; each node lends its part to the owner with its lease vote, for as long as
+// the vote lasts. A node that has lent its part requests grants. A node that has not may send its part by its own estimate.
+// So a part is used either by the owner or by the node, never by both at once.
 const (
-	coldBase  = 0.50
-	coldLent  = 0.35 // what a node without words guesses by: cluster/overload
-	coldBurst = 2
-	coldTries = 3 // hosts that one flow asks for
+	coldBaseShare   = 0.50
+	coldLentShare   = 0.35 // the share by which package overload estimates where a node has no messages
+	coldBurst       = 2    // flows
+	maxColdRequests = 3    // hosts for which one flow requests a grant
 )
 
-// coldAsk is a flow that waits for a grant for some cold host, and goes on without one as well.
-type coldAsk struct {
-	f *flow
-	h *host
+// coldRequest is a flow that waits for a grant for a cold host. It goes on without the grant as well.
+type coldRequest struct {
+	flow *flow
+	host *host
 }
 
-// findCold notes which hosts are cold.
-func (n *Node) findCold() {
-	for _, l := range n.cluster.limits {
-		if l.Over != OverCold {
+// findColdHosts updates the list of cold hosts.
+func (n *Node) findColdHosts() {
+	for _, limit := range n.cluster.limits {
+		if limit.Over != OverCold {
 			continue
 		}
-		l.cold = l.cold[:0]
-		for _, h := range n.fleet {
+		limit.coldHosts = limit.coldHosts[:0]
+		for _, h := range n.hostList {
 			if h.State == balance.Up && n.cluster.overload.ColdRate(&h.Server) > 0 {
-				l.cold = append(l.cold, h)
+				limit.coldHosts = append(limit.coldHosts, h)
 			}
 		}
 	}
 }
 
-// coldLimit is what an owner grants of a host now, by how many nodes have lent it their part.
-func (n *Node) coldLimit(l *keptLimit, key uint64) limits.Limit {
-	for _, h := range l.cold {
-		if l.mixed(h.uid) == key {
-			part := coldBase + coldLent*float64(n.cluster.leases.Voters(int(key%lease.Slots)))/float64(n.conf.Cluster.Others+1)
+// coldLimit returns the rate at which this node, as owner, grants flows to a cold host. It depends on how many nodes have lent
+// it their part.
+func (n *Node) coldLimit(limit *localLimit, key uint64) limits.Limit {
+	for _, h := range limit.coldHosts {
+		if limit.nameKey(h.uid) == key {
+			part := coldBaseShare + coldLentShare*float64(n.cluster.leases.Voters(int(key%lease.Slots)))/float64(n.config.Cluster.Others+1)
 			return limits.Limit{Rate: part * n.cluster.overload.ColdRate(&h.Server), Burst: coldBurst, Strict: true}
 		}
 	}
 	return limits.Limit{Strict: true}
 }
 
-// asksCold asks for a grant for a cold host that this node has none for, and tells whether the flow waits for it.
-func (n *Node) asksCold(f *flow, l *keptLimit) bool {
-	if len(l.cold) == 0 {
+// awaitsColdGrant requests a grant for a cold host for which this node has none, and reports whether the flow waits for it.
+func (n *Node) awaitsColdGrant(f *flow, limit *localLimit) bool {
+	if len(limit.coldHosts) == 0 {
 		return false
 	}
-	o := n.cluster.overload
-	if f.coldTries++; f.coldTries == 1 && o.Short() && !o.Draw(&f.Flow) || f.coldTries > coldTries {
+	overload := n.cluster.overload
+	f.coldRequests++
+	if f.coldRequests == 1 && overload.Short() && !overload.Draw(&f.Flow) || f.coldRequests > maxColdRequests {
 		return false
 	}
-	from := n.rng.Intn(len(l.cold))
-	for i := range l.cold {
-		h := l.cold[(from+i)%len(l.cold)]
-		key := l.mixed(h.uid)
-		if h.Avoided(n.now) || !o.Takes(&h.Server, &f.Flow) {
-			continue // it would not be sent there
+	start := n.rng.Intn(len(limit.coldHosts))
+	for i := range limit.coldHosts {
+		h := limit.coldHosts[(start+i)%len(limit.coldHosts)]
+		key := limit.nameKey(h.uid)
+		if h.Avoided(n.now) || !overload.Takes(&h.Server, &f.Flow) {
+			continue // the flow would not be sent there
 		}
-		if h.State != balance.Up || o.Granted(&h.Server) {
-			return false // one is in hand
+		if h.State != balance.Up || overload.Granted(&h.Server) {
+			return false // a grant is available
 		}
-		if l.rate.Empty(key) || !n.cluster.leases.Lent(int(key%lease.Slots)) {
+		if limit.rate.Empty(key) || !n.cluster.leases.Lent(int(key%lease.Slots)) {
 			continue
 		}
-		q := &coldAsk{f, h}
-		yes, waits := l.rate.Take(key, q, n.teller(l))
-		if yes {
-			o.Grant(&h.Server, &f.Flow, n.now+l.rate.Held(key))
+		request := &coldRequest{f, h}
+		granted, waits := limit.rate.Take(key, request, n.limitSender(limit))
+		if granted {
+			overload.Grant(&h.Server, &f.Flow, n.now+limit.rate.Held(key))
 		} else if !waits {
 			continue
 		}
@@ -83,22 +86,22 @@
 	return false
 }
 
-// coldTold takes the word on a grant. The flow that waited goes on with it or without.
-func (n *Node) coldTold(l *keptLimit, q *coldAsk, a limits.Answer) {
-	if a.Yes {
-		if a.Until == 0 {
-			a.Until = n.now + l.rate.Held(l.mixed(q.h.uid))
+// coldAnswered applies the owner's answer to a request for a grant. The flow goes on with or without the grant.
+func (n *Node) coldAnswered(limit *localLimit, request *coldRequest, answer limits.Answer) {
+	if answer.Yes {
+		if answer.Until == 0 {
+			answer.Until = n.now + limit.rate.Held(limit.nameKey(request.host.uid))
 		}
-		n.cluster.overload.Grant(&q.h.Server, &q.f.Flow, a.Until)
+		n.cluster.overload.Grant(&request.host.Server, &request.flow.Flow, answer.Until)
 	}
-	if q.f.over {
-		n.cluster.overload.Forget(&q.f.Flow)
+	if request.flow.ended {
+		n.cluster.overload.Forget(&request.flow.Flow)
 		return
 	}
-	if a.Yes {
-		q.f.gate++ // else the next cold host may have room
+	if answer.Yes {
+		request.flow.nextLimit++ // without a grant, the next cold host may have room
 	}
-	if !n.limited(q.f) {
-		n.b.Demand(&q.f.Flow)
+	if !n.blockedByLimit(request.flow) {
+		n.decider.Demand(&request.flow.Flow)
 	}
 }
--- a/node/counts.go
+++ b/node/counts.go
@@ -8,23 +8,48 @@
 	"coursewinch/capture"
 )
 
-// Counters are what a node has done since its start, besides its answers, which are in Types.
+// Counters count what a node has done since its start. Answers are counted apart from them, by service type; see Tally.
 type Counters struct {
-	Accepted, Taken, Stood, Connects, Asked, Left, Bad, Crowded, Shed                  int
-	Completed, Severed, Moves, Silent, Probes, ProbesFailed, Calls, CallsFailed, Lists int
-	Reloads, Panics                                                                    int
-	Vanished                                                                           int   // clients that said or took nothing for too long
-	Refused                                                                            int   // connections, by the gate
-	AdminCalls, AdminShed                                                              int   // operators' calls answered; callers let go with nothing whole
-	HandedOn, TakenOver                                                                int   // connections and flows, to and from another process
-	LateTurns, LateUs                                                                  int64 // the node's own
+	Accepted     int   // clients' connections
+	Taken        int   // requests parsed
+	Stood        int   // flows that rejoined the host of their earlier connection
+	Connects     int   // connects dialled
+	Asked        int   // requests sent to hosts in full
+	Left         int   // clients that left before their answer
+	Bad          int   // clients' lines rejected, and clients that sent none in time
+	Crowded      int   // requests answered BUSY for want of descriptors
+	Shed         int   // idle clients closed to free descriptors or buffers
+	Completed    int   // flows that their host ended with BYE
+	Severed      int   // flows that broke
+	Moves        int   // clients asked to reconnect
+	Silent       int   // flows whose host answered a line with nothing for too long
+	Probes       int   // probes sent
+	ProbesFailed int   // probes without a good answer
+	Calls        int   // calls to discovery
+	CallsFailed  int   // calls and watches that failed
+	Lists        int   // lists received
+	Reloads      int   // reloads of the configuration
+	Panics       int   // panics confined to a connection
+	Vanished     int   // clients that sent or read nothing for too long
+	Refused      int   // connections refused by admission control or the event loop
+	AdminCalls   int   // operators' calls answered
+	AdminShed    int   // operators' connections closed without a complete request
+	HandedOn     int   // clients and flows handed over to the successor process
+	TakenOver    int   // clients and flows taken over from the predecessor process
+	LateTurns    int64 // loop iterations that ran late
+	LateUs       int64 // microseconds by which they ran late
 }
 
-// Tally counts the answers to flows of one service type, each when it is given to the client's connection.
-type Tally struct{ Success, Busy, Failure int }
+// Tally counts the answers to flows of one service type. An answer counts when it is put into the client's output ring.
+type Tally struct {
+	Success int // established flows
+	Busy    int // flows rejected
+	Failure int // flows aborted, and invalid requests
+}
 
-// answered counts a flow's one answer and captures it. Nothing else counts answers.
-func (n *Node) answered(f *flow, answer byte) {
+// countAnswer counts and captures a flow's answer. All answers are counted here, except ERR to an invalid request, which is
+// counted where the request is rejected.
+func (n *Node) countAnswer(f *flow, answer byte) {
 	t := &n.Types[f.TypeNo]
 	switch answer {
 	case capture.Established:
@@ -37,31 +62,35 @@
 	n.captureAnswer(f, answer)
 }
 
-// CountersText is the counters as key=value, the answers summed over the service types.
+// CountersText returns the counters as key=value pairs, with the answers summed over the service types.
 func (n *Node) CountersText() string {
-	c, sum := n.Count, Tally{}
+	counts, sum := n.Count, Tally{}
 	for _, t := range n.Types {
 		sum = Tally{sum.Success + t.Success, sum.Busy + t.Busy, sum.Failure + t.Failure}
 	}
 	return fmt.Sprintf("accepted=%d taken=%d stood=%d connects=%d backend_calls=%d success=%d busy=%d failure=%d left=%d "+
 		"bad=%d crowded=%d shed=%d completed=%d severed=%d moves=%d silent=%d probes=%d probes_failed=%d calls=%d "+
 		"calls_failed=%d lists=%d reloads=%d panics=%d vanished=%d refused=%d admin_calls=%d admin_shed=%d "+
-		"handed_on=%d taken_over=%d late_turns=%d late_us=%d", c.Accepted, c.Taken, c.Stood, c.Connects, c.Asked, sum.Success, sum.Busy, sum.Failure,
-		c.Left, c.Bad, c.Crowded, c.Shed, c.Completed, c.Severed, c.Moves, c.Silent, c.Probes, c.ProbesFailed,
-		c.Calls, c.CallsFailed, c.Lists, c.Reloads, c.Panics, c.Vanished, c.Refused, c.AdminCalls, c.AdminShed, c.HandedOn, c.TakenOver,
-		c.LateTurns, c.LateUs)
+		"handed_on=%d taken_over=%d late_turns=%d late_us=%d",
+		counts.Accepted, counts.Taken, counts.Stood, counts.Connects, counts.Asked,
+		sum.Success, sum.Busy, sum.Failure, counts.Left,
+		counts.Bad, counts.Crowded, counts.Shed, counts.Completed, counts.Severed, counts.Moves, counts.Silent,
+		counts.Probes, counts.ProbesFailed, counts.Calls,
+		counts.CallsFailed, counts.Lists, counts.Reloads, counts.Panics, counts.Vanished, counts.Refused,
+		counts.AdminCalls, counts.AdminShed,
+		counts.HandedOn, counts.TakenOver, counts.LateTurns, counts.LateUs)
 }
 
-// metrics is the figures that operators fetch, a line each.
-func (n *Node) metrics() string {
+// metricsText returns the metrics that operators fetch, a line each.
+func (n *Node) metricsText() string {
 	names := n.typeNames()
-	var b strings.Builder
-	for kind, t := range n.Types {
-		fmt.Fprintf(&b, "success.%s=%d\nbusy.%s=%d\nfailure.%s=%d\n", names[kind], t.Success, names[kind], t.Busy,
-			names[kind], t.Failure)
+	var text strings.Builder
+	for typeIndex, t := range n.Types {
+		fmt.Fprintf(&text, "success.%s=%d\nbusy.%s=%d\nfailure.%s=%d\n", names[typeIndex], t.Success, names[typeIndex], t.Busy,
+			names[typeIndex], t.Failure)
 	}
 	listed, down := 0, 0
-	for _, h := range n.fleet {
+	for _, h := range n.hostList {
 		if h.State == balance.Removed {
 			continue
 		}
@@ -70,7 +99,7 @@
 			down++
 		}
 	}
-	fmt.Fprintf(&b, "backend_calls=%d\ninflight=%d\nhosts_listed=%d\nhosts_down=%d\n", n.Count.Asked, n.flows.held, listed, down)
-	b.WriteString(n.clusterText())
-	return b.String()
+	fmt.Fprintf(&text, "backend_calls=%d\ninflight=%d\nhosts_listed=%d\nhosts_down=%d\n", n.Count.Asked, n.flows.count, listed, down)
+	text.WriteString(n.clusterMetrics())
+	return text.String()
 }
--- /dev/null
+++ b/node/handover.go
@@ -0,0 +1,475 @@
+package node
+
+import (
+	"container/list"
+	"log"
+	"net/netip"
+	"slices"
+
+	"coursewinch/admission"
+	"coursewinch/balance"
+	"coursewinch/capture"
+	"coursewinch/discovery"
+	"coursewinch/handover"
+	"coursewinch/lines"
+)
+
+// While a new version is rolled out, two processes serve one node. The predecessor hands its state and then its connections
+// over to the successor, one connection at a time. docs/design/operations.md describes the sequence.
+
+const (
+	joinTimeout         = 1500 * ms // after this time a successor goes on with the list handed over
+	handOverInterval    = 10 * ms   // between two steps of handing connections over
+	maxHandedPerStep    = 64        // connections per step
+	maxLateIDs          = 2000      // request ids sent when yielding
+	maxDrainsPerMessage = 500       // hosts
+)
+
+// Other is the peer process of this node during a handover. Its methods must not block.
+type Other interface {
+	// Tell sends a message.
+	Tell(m *handover.Message)
+	// Give hands connections over with a message about them. It returns false if that is not possible at the moment.
+	Give(m *handover.Message, conns ...uint64) bool
+	// Take is called at the successor: from now on it accepts the node's connections.
+	Take()
+}
+
+// handoverState is the state of a handover between two processes of this node.
+type handoverState struct {
+	peer        Other
+	joining     bool // successor that has not taken over yet
+	isSuccessor bool // this process started as a successor, so its first list is the one its predecessor used
+	stateSent   bool // predecessor that has sent its state
+	yielded     bool // predecessor whose successor has taken over
+	idsAtState  int  // request ids added before the state was sent
+	inherited   *handover.State
+	timer       deadline
+}
+
+// balancerMemory is implemented by deciders whose knowledge can be handed over.
+type balancerMemory interface {
+	Memory() balance.Memory
+	MemoryOf(*balance.Server) balance.ServerMemory
+	Recall(now int64, m balance.Memory)
+	RecallOf(*balance.Server, balance.ServerMemory)
+}
+
+// Heir begins a handover to a successor process and returns the state to send to it. It returns false while another
+// handover is in progress.
+func (n *Node) Heir(peer Other) (*handover.State, bool) {
+	if n.handover.peer != nil {
+		return nil, false
+	}
+	n.handover.peer = peer
+	n.handover.idsAtState = n.recentIDs.added
+	n.handover.stateSent = false
+	state := &handover.State{
+		Drained: n.drainAt > 0,
+		From:    n.listAddr,
+		Hosts:   map[string]balance.ServerMemory{},
+		List:    discovery.List{Rev: n.listRev, All: true},
+		IDs:     n.recentIDs.newest(n.limits.IDs),
+	}
+	for _, h := range n.hostList {
+		if h.State != balance.Removed {
+			state.List.Entries = append(state.List.Entries, n.listEntry(h))
+		}
+	}
+	if memory, ok := n.decider.(balancerMemory); ok {
+		state.Types, state.Node = n.typeNames(), memory.Memory()
+		for _, h := range n.hostList {
+			state.Hosts[h.uid] = memory.MemoryOf(&h.Server)
+		}
+	}
+	return state, true
+}
+
+// HeirKnows is called at the predecessor once the whole state has been sent.
+func (n *Node) HeirKnows() {
+	n.handover.stateSent = n.handover.peer != nil
+	n.announceStop()
+}
+
+// announceStop tells a successor that has not taken over yet that this process is stopping.
+func (n *Node) announceStop() {
+	if state := &n.handover; state.stateSent && !state.yielded && n.stopAt > 0 {
+		state.peer.Tell(&handover.Message{Leave: true})
+	}
+}
+
+// listEntry returns a host as an entry of a list.
+func (n *Node) listEntry(h *host) discovery.Entry {
+	return discovery.Entry{UID: h.uid, Endpoint: h.addr, Zone: h.zoneName, Cell: h.Cell, Size: h.Size, BootMs: h.Started / ms,
+		State: map[balance.State]string{balance.Up: "ready", balance.Draining: "draining", balance.Removed: "gone"}[h.State]}
+}
+
+// Yield is called at the predecessor when the successor accepts connections. It returns the request ids added since the
+// state was sent.
+func (n *Node) Yield() []uint64 {
+	state := &n.handover
+	state.yielded = true
+	n.yieldLimits()
+	log.Printf("msg=yielded flows=%d", n.flows.count)
+	if n.stopAt > 0 {
+		n.deadlines.set(&state.timer, n.now)
+	}
+	return n.recentIDs.newest(min(n.recentIDs.added-state.idsAtState, maxLateIDs))
+}
+
+// OtherGone is called when the peer process or the link to it has ended. It reports whether this process has to accept
+// connections from now on.
+func (n *Node) OtherGone() (take bool) {
+	state := &n.handover
+	take = state.yielded || state.joining
+	log.Printf("msg=other_process_gone yielded=%t joining=%t", state.yielded, state.joining)
+	n.deadlines.cancel(&state.timer)
+	state.peer, state.joining, state.stateSent, state.yielded = nil, false, false, false
+	return take
+}
+
+// Inherit is called at a successor before Begin, with the state that its predecessor sent.
+func (n *Node) Inherit(peer Other, state *handover.State) {
+	n.handover.peer, n.handover.inherited, n.handover.joining, n.handover.isSuccessor = peer, state, true, true
+}
+
+// restoreState applies the state handed over, in the first loop iteration.
+func (n *Node) restoreState() {
+	state := n.handover.inherited
+	n.handover.inherited = nil
+	n.listRev, n.listAddr = state.List.Rev, state.From
+	n.applyList(balance.Remembered, state.List)
+	n.TakeIDs(state.IDs)
+	if memory, ok := n.decider.(balancerMemory); ok {
+		memory.Recall(n.now, state.Node.By(state.Types, n.typeNames()))
+		for _, h := range n.hostList {
+			if known, ok := state.Hosts[h.uid]; ok {
+				memory.RecallOf(&h.Server, known)
+			}
+		}
+	}
+	if state.Drained {
+		n.Drain() // an operator's command holds beyond the process that received it
+	}
+	n.deadlines.set(&n.handover.timer, n.now+joinTimeout)
+	log.Printf("msg=joining hosts=%d rev=%d ids=%d drained=%t", len(state.List.Entries), state.List.Rev, len(state.IDs), state.Drained)
+}
+
+// OldLeaves is called at a successor when its predecessor is stopping and waits for it to take over.
+func (n *Node) OldLeaves() { n.finishJoining() }
+
+// finishJoining makes a successor take over: from now on it accepts connections.
+func (n *Node) finishJoining() {
+	state := &n.handover
+	if !state.joining {
+		return
+	}
+	state.joining = false
+	n.deadlines.cancel(&state.timer)
+	log.Printf("msg=took_over hosts=%d rev=%d", len(n.hostList), n.listRev)
+	state.peer.Take()
+}
+
+// TakeIDs adds request ids that clients gave to the predecessor.
+func (n *Node) TakeIDs(ids []uint64) {
+	for _, id := range ids[max(len(ids)-n.limits.IDs, 0):] {
+		n.recentIDs.add(id)
+	}
+}
+
+// handoverDue handles the handover's timer: the end of joining at the successor, the next step of handing connections over
+// at the predecessor.
+func (n *Node) handoverDue() {
+	if n.handover.joining {
+		n.finishJoining()
+		return
+	}
+	n.handOverStep()
+}
+
+// announceDrains tells the peer process which hosts of a list take no new flows, so that it sends them none either.
+func (n *Node) announceDrains(update discovery.List) {
+	if n.handover.peer == nil {
+		return
+	}
+	var uids []string
+	for _, e := range update.Entries {
+		// Where only draining binds, a host that is gone from the list without having drained does not bind the peer.
+		if e.State == "draining" || e.State == "gone" && !n.settings.DrainsAlone {
+			uids = append(uids, e.UID)
+		}
+	}
+	for batch := range slices.Chunk(uids, maxDrainsPerMessage) {
+		n.handover.peer.Tell(&handover.Message{Drains: batch})
+	}
+}
+
+// HearDrains marks hosts as draining that the peer process was told to drain. This process's own list decides when they take
+// flows again.
+func (n *Node) HearDrains(uids []string) {
+	var update discovery.List
+	for _, uid := range uids {
+		if h := n.hosts[uid]; h != nil && h.State == balance.Up {
+			entry := n.listEntry(h)
+			entry.State = "draining"
+			update.Entries = append(update.Entries, entry)
+		}
+	}
+	if len(update.Entries) > 0 {
+		n.applyList(balance.Remembered, update)
+	}
+}
+
+// handOverStep hands over clients without a request and established flows with few bytes in transit, up to a number per step.
+// The rest follows in a later step, or is moved.
+func (n *Node) handOverStep() {
+	state := &n.handover
+	if state.peer == nil || !state.yielded {
+		return
+	}
+	budget := maxHandedPerStep
+	for _, queue := range []*list.List{&n.pingedConns, &n.silentConns} {
+		for e := queue.Front(); e != nil && budget > 0; {
+			c := e.Value.(*conn)
+			e = e.Next()
+			if !c.inputEnded && n.handOverClient(c) {
+				budget--
+			}
+		}
+	}
+	for _, entry := range n.flows.entries {
+		if budget == 0 {
+			break
+		}
+		if f := entry.value; f != nil && n.handOverFlow(f) {
+			budget--
+		}
+	}
+	n.deadlines.set(&state.timer, n.now+handOverInterval)
+}
+
+// bytesIn returns a copy of a ring's content.
+func bytesIn(r *lines.Ring) []byte { return append([]byte(nil), r.Peek(r.Len())...) }
+
+// handOverClient hands over a client without a request and reports whether it did.
+func (n *Node) handOverClient(c *conn) bool {
+	if max(c.in.Len(), c.out.Len()) > lines.RingSize {
+		return false
+	}
+	message := &handover.Message{Client: &handover.Client{
+		In:    bytesIn(&c.in),
+		Out:   bytesIn(&c.out),
+		Front: c.shedQueue == &n.pingedConns,
+		Age:   n.now - (c.timer.at - firstLineTimeout),
+	}}
+	if !n.handover.peer.Give(message, c.id) {
+		return false
+	}
+	n.Count.HandedOn++
+	n.close(c)
+	return true
+}
+
+// handOverFlow hands over an established flow and reports whether it did. Flows with an ended side, or whose host has sent
+// its last line, end here.
+func (n *Node) handOverFlow(f *flow) bool {
+	client, upstream := f.client, f.upstream
+	if f.ended || f.stage != Established || client.inputEnded || upstream.inputEnded || f.lastWord != lines.Other ||
+		max(client.in.Len(), client.out.Len(), upstream.in.Len(), upstream.out.Len()) > lines.RingSize {
+		return false
+	}
+	message := &handover.Flow{
+		Type:      n.typeNames()[f.TypeNo],
+		Key:       f.Hash,
+		Again:     f.Again,
+		Hint:      f.Hint,
+		Load:      f.reportedLoad,
+		Age:       n.now - f.establishedAt,
+		Host:      n.listEntry(f.host),
+		ClientIn:  bytesIn(&client.in),
+		ClientOut: bytesIn(&client.out),
+		HostIn:    bytesIn(&upstream.in),
+		HostOut:   bytesIn(&upstream.out),
+		ClientMid: client.midLine,
+		HostMid:   upstream.midLine,
+	}
+	if f.group != nil {
+		message.Group, message.Grouped = f.group.Hash, true
+	}
+	if left := n.permitTimeLeft(f); left > 0 {
+		message.Process, message.Left = n.config.Cluster.Process, left
+	}
+	if !n.handover.peer.Give(&handover.Message{Flow: message}, client.id, upstream.id) {
+		return false
+	}
+	n.Count.HandedOn++
+	f.record.setEnd(capture.Moved)
+	n.close(client)
+	n.close(upstream)
+	n.endFlow(f, balance.Recalled)
+	return true
+}
+
+// typeNames returns the names of the service types in the order of the settings.
+func (n *Node) typeNames() []string {
+	names := make([]string, len(n.settings.Types))
+	for name, typeIndex := range n.settings.Names {
+		names[typeIndex] = name
+	}
+	return names
+}
+
+// Adopted is a connection that was handed over and has to be added to the event loop.
+type Adopted struct {
+	ID      uint64
+	In, Out *lines.Ring
+}
+
+// countHandedOver counts a connection that was handed over for its address at admission control. The connection is already
+// open, so it is never refused: one over the limit of its address stays uncounted.
+func (n *Node) countHandedOver(c *conn, from netip.AddrPort) {
+	if n.admission == nil {
+		return
+	}
+	if key := admission.Key(from.Addr()); n.admission.Come(key, n.now, n.net.Room()-n.owedDescriptors()) == admission.Taken {
+		c.admissionPrefix = key
+	}
+}
+
+// TakeClient adds a client without a request that was handed over.
+func (n *Node) TakeClient(handed *handover.Client, from netip.AddrPort) Adopted {
+	c := &conn{role: roleNew, up: true}
+	c.timer.run = func() { n.firstLineTimedOut(c) }
+	c.id = n.register(c)
+	n.countHandedOver(c, from)
+	c.in.Put(handed.In)
+	c.out.Put(handed.Out)
+	if handed.Front {
+		n.setShedQueue(c, &n.pingedConns)
+	} else {
+		n.setShedQueue(c, &n.silentConns)
+		n.deadlines.set(&c.timer, n.now+max(firstLineTimeout-handed.Age, 0))
+	}
+	n.Count.TakenOver++
+	return Adopted{c.id, &c.in, &c.out}
+}
+
+// TakeFlow adds an established flow that was handed over, with its connections to the client (front) and the host (back).
+// A flow of a service type that this process's settings don't have is moved as soon as its client can be told.
+func (n *Node) TakeFlow(handed *handover.Flow, from netip.AddrPort) (front, back Adopted) {
+	h := n.hosts[handed.Host.UID]
+	if h == nil {
+		h = n.addUnlistedHost(handed.Host)
+	}
+	client := &conn{role: roleClient, up: true, midLine: handed.ClientMid}
+	upstream := &conn{role: roleUpstream, up: true, midLine: handed.HostMid, host: h}
+	f := n.handedFlow(handed, client, upstream)
+	client.flow, upstream.flow = f, f
+	client.id, upstream.id = n.register(client), n.register(upstream)
+	client.receivedAt, client.sentAt = n.now, n.now
+	n.countHandedOver(client, from)
+	if client.admissionPrefix.IsValid() {
+		n.admission.Stood(client.admissionPrefix, n.now)
+	}
+	client.in.Put(handed.ClientIn)
+	client.out.Put(handed.ClientOut)
+	upstream.in.Put(handed.HostIn)
+	upstream.out.Put(handed.HostOut)
+	f.id = n.flows.add(f)
+	if handed.Grouped && n.settings.Groups {
+		f.joinGroup(n, handed.Group)
+		f.group.established = true
+	}
+	h.flowCount++
+	n.upstreamCount++
+	n.establishedCount++
+	n.Count.TakenOver++
+	if n.limitsByAddress() {
+		client.limitPrefix = admission.Key(from.Addr())
+	}
+	n.adoptPermits(f, handed.Process, handed.Left)
+	n.decider.Opened(&f.Flow, &h.Server)
+	if handed.Load > 0 {
+		n.decider.Load(&f.Flow, handed.Load)
+	}
+	return Adopted{client.id, &client.in, &client.out}, Adopted{upstream.id, &upstream.in, &upstream.out}
+}
+
+// addUnlistedHost adds a host that has left the list and still serves a flow that was handed over.
+func (n *Node) addUnlistedHost(entry discovery.Entry) *host {
+	h := &host{
+		uid:      entry.UID,
+		addr:     entry.Endpoint,
+		zoneName: entry.Zone,
+		Server: balance.Server{
+			Name:  entry.UID,
+			Hash:  hash(entry.UID),
+			Size:  max(entry.Size, 0.001),
+			State: balance.Removed,
+			Zone:  n.zoneNumber(entry.Zone),
+			Cell:  entry.Cell,
+		},
+	}
+	h.probeDeadline.run = func() {}
+	n.hosts[h.uid] = h
+	n.hostList = append(n.hostList, h)
+	return h
+}
+
+// handedFlow returns the established flow described by a handover message.
+func (n *Node) handedFlow(handed *handover.Flow, client, upstream *conn) *flow {
+	typeIndex, known := n.settings.Names[handed.Type]
+	f := &flow{
+		client:        client,
+		upstream:      upstream,
+		host:          upstream.host,
+		stage:         Established,
+		establishedAt: n.now - handed.Age,
+		connectAt:     n.now - handed.Age,
+		reportedLoad:  handed.Load,
+	}
+	f.movePending = !known
+	f.Flow = balance.Flow{
+		Type:     &n.settings.Types[typeIndex],
+		TypeNo:   typeIndex,
+		Worth:    n.worth(typeIndex),
+		Hash:     handed.Key,
+		Again:    handed.Again,
+		Hint:     handed.Hint,
+		Passed:   n.settings.Passes,
+		Deadline: n.now,
+		Ref:      f,
+	}
+	f.timer.run = func() { n.flowTimedOut(f) }
+	return f
+}
+
+// Resumed is called when a connection that was handed over has been added to the event loop. It processes what its rings
+// hold.
+func (n *Node) Resumed(id uint64) {
+	c := n.conns.get(id)
+	if c == nil {
+		return
+	}
+	defer n.recoverPanic(c)
+	n.net.Touch(c.id)
+	switch {
+	case c.role == roleNew && c.in.Len() > 0:
+		n.readFirstLine(c)
+	case c.flow != nil && !c.flow.ended:
+		n.relay(c.flow)
+	}
+}
+
+// answersFront reports whether PING is answered PONG: while this process can serve, or while its successor has taken over.
+// A process that has been without a list for long answers PONG as well. It rejects the flows that it can't serve, whereas a
+// front-end load balancer that found no node ready while discovery is down would have no node at all.
+func (n *Node) answersFront() bool {
+	return n.Ready() || n.handover.yielded && n.drainAt == 0 || n.state() == stateNoList && n.now >= n.startedAt+readyWithoutListAfter
+}
+
+// HandedOver reports whether the successor process accepts this node's connections.
+func (n *Node) HandedOver() bool { return n.handover.yielded }
+
+// Yielded reports the same as HandedOver.
+func (n *Node) Yielded() bool { return n.handover.yielded }
--- /dev/null
+++ b/node/handover_test.go
@@ -0,0 +1,305 @@
+package node
+
+import (
+	"fmt"
+	"net/netip"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"coursewinch/admission"
+	"coursewinch/balance"
+	"coursewinch/discovery"
+	"coursewinch/handover"
+)
+
+// fakePeer is the peer process as a node reaches it. It passes what it is given to another node.
+type fakePeer struct {
+	t         *testing.T
+	from      *fakeNet
+	to        *fakeNet
+	messages  []*handover.Message
+	refuses   bool
+	accepting bool
+	moved     map[uint64]uint64 // ids of connections at the successor by ids at the predecessor
+}
+
+func (peer *fakePeer) Tell(m *handover.Message) { peer.messages = append(peer.messages, m) }
+func (peer *fakePeer) Take()                    { peer.accepting = true }
+func (peer *fakePeer) Give(m *handover.Message, conns ...uint64) bool {
+	if peer.refuses {
+		return false
+	}
+	text, err := m.Encode()
+	if err != nil {
+		peer.t.Fatal(err)
+	}
+	if m, err = handover.Decode(text, len(conns)); err != nil {
+		peer.t.Fatal(err)
+	}
+	peer.to.run(1, func() {
+		var got []Adopted
+		if m.Client != nil {
+			got = []Adopted{peer.to.node.TakeClient(m.Client, peer.to.from)}
+		} else {
+			front, back := peer.to.node.TakeFlow(m.Flow, peer.to.from)
+			got = []Adopted{front, back}
+		}
+		for i, a := range got {
+			peer.to.register(a.ID, "", a.In, a.Out)
+			peer.to.up[a.ID] = true
+			peer.moved[conns[i]] = a.ID
+		}
+		for _, a := range got {
+			peer.to.node.Resumed(a.ID)
+		}
+	})
+	return true
+}
+
+// newPredecessor returns a running node and the peer process that is to take over from it.
+func newPredecessor(t *testing.T, hosts int) (*fakeNet, *fakePeer) {
+	t.Helper()
+	_, predecessor := newNode(hosts)
+	predecessor.node.settings.Groups = true
+	return predecessor, &fakePeer{t: t, from: predecessor, moved: map[uint64]uint64{}}
+}
+
+// startSuccessor starts a new process with the state that the predecessor sent.
+func (peer *fakePeer) startSuccessor(state *handover.State) *fakeNet {
+	peer.t.Helper()
+	n, net := newNode(1)
+	successor := New(n.settings, Config{Admission: admission.Limits{PerAddress: 100}}, net)
+	net.from = netip.MustParseAddrPort("127.0.0.9:1")
+	successor.settings.Groups = true
+	net.node = successor
+	peer.to = net
+	back := &fakePeer{t: peer.t}
+	successor.Inherit(back, state)
+	successor.Begin(peer.from.node.now, discovery.List{})
+	return net
+}
+
+// steps runs n handover steps of a node.
+func (peer *fakePeer) steps(net *fakeNet, n int) {
+	for range n {
+		net.run(handOverInterval, func() {})
+	}
+}
+
+// A new version may be configured with other service types. State is handed over by the type's name, and clients of a type
+// that no longer exists are moved.
+func TestHandoverMatchesTypesByName(t *testing.T) {
+	newTypedNode := func(net *fakeNet, names ...string) *Node {
+		set := *net.node.settings
+		set.Types, set.Names, set.Limits = nil, map[string]int{}, nil
+		for i, name := range names {
+			set.Types = append(set.Types, net.node.settings.Types[0])
+			set.Names[name], set.Limits = i, append(set.Limits, 0)
+		}
+		return New(&set, Config{}, net)
+	}
+	predecessor, peer := newPredecessor(t, 2)
+	now := predecessor.node.now
+	predecessor.node = newTypedNode(predecessor, "chat", "toll", "gone")
+	predecessor.node.Begin(now, entries("ready", 2))
+	n := predecessor.node
+	establish := func(class string) (client, host uint64) {
+		client = predecessor.openClient("OPEN 1 2 c=" + class + ",d=2000\r\n")
+		host = predecessor.connectLast()
+		predecessor.receive(host, "UP 7\r\nLOAD 900\r\n")
+		return client, host
+	}
+	toll, _ := establish("toll")
+	gone, _ := establish("gone")
+	state, _ := n.Heir(peer)
+	_, successor := newNode(1)
+	successor.node = newTypedNode(successor, "toll", "chat")
+	peer.to = successor
+	successor.node.Inherit(&fakePeer{t: t}, state)
+	successor.node.Begin(n.now, discovery.List{})
+	successor.run(joinTimeout, func() {})
+	m := state.Node.By(state.Types, successor.node.typeNames())
+	if len(m.Loads) != 2 || m.Loads[0] != state.Node.Loads[1] || m.Loads[1] != state.Node.Loads[0] || len(state.Types) != 3 {
+		t.Fatal(m.Loads, state.Node.Loads)
+	}
+	if lost := state.Node.By(state.Types[:1], successor.node.typeNames()); lost.Loads != nil {
+		t.Fatal("figures without type names were used", lost.Loads)
+	}
+	predecessor.run(1, func() { n.Yield(); n.Stop() })
+	peer.steps(predecessor, 3)
+	f := successor.node.conns.get(peer.moved[toll]).flow
+	if f.TypeNo != 0 || f.movePending {
+		t.Fatal("the flow has another service type at the successor", f.TypeNo, f.movePending)
+	}
+	successor.expect(t, peer.moved[gone], "MOVE\r\n", "shut")
+}
+
+// A handover moves or breaks no flow and loses no byte, and the successor has the predecessor's knowledge.
+func TestHandoverKeepsFlows(t *testing.T) {
+	predecessor, peer := newPredecessor(t, 3)
+	n := predecessor.node
+	c, h := predecessor.establish()
+	grouped := predecessor.openClient("OPEN 1 2 c=chat,d=2000,g=team\r\n")
+	groupedHost := predecessor.connectLast()
+	predecessor.receive(groupedHost, "UP 8\r\nLOAD 700\r\n")
+	predecessor.receive(c, "half a li")
+	front := predecessor.openClient("PING\r\n")
+	silent := predecessor.openClient("OPEN 77 2 c=ch")
+	pending := predecessor.openClient(openLine)
+	pendingHost := predecessor.connectLast()
+	state, ok := n.Heir(peer)
+	if _, again := n.Heir(peer); !ok || again {
+		t.Fatal("the first handover was refused, or a second one accepted")
+	}
+	successor := peer.startSuccessor(state)
+	if successor.node.Ready() || successor.node.state() != "joining" || len(state.List.Entries) != 3 || len(state.IDs) != 3 {
+		t.Fatal(successor.node.state(), state)
+	}
+	successor.run(joinTimeout, func() {})
+	if !successor.node.Ready() || !successor.node.handover.peer.(*fakePeer).accepting {
+		t.Fatal(successor.node.state())
+	}
+	late := predecessor.openClient(openLine) // its id is sent when the predecessor yields
+	predecessor.run(1, func() {
+		if ids := n.Yield(); len(ids) != 1 {
+			t.Fatal(ids)
+		}
+	})
+	peer.steps(predecessor, 3)
+	if len(peer.moved) != 0 || !n.answersFront() {
+		t.Fatal("connections handed over before the stop")
+	}
+	predecessor.run(1, n.Stop)
+	peer.steps(predecessor, 2)
+	for _, id := range []uint64{c, h, grouped, groupedHost, front, silent} {
+		if predecessor.ended[id] != "close" || peer.moved[id] == 0 || strings.Contains(predecessor.sent[id], "MOVE") {
+			t.Fatalf("%d: %q, %v", id, predecessor.ended[id], peer.moved)
+		}
+	}
+	if n.Done() || predecessor.ended[pending] != "" {
+		t.Fatal("a flow being set up was not finished first")
+	}
+	predecessor.receive(pendingHost, "UP 9\r\n")
+	predecessor.connectLast()
+	predecessor.receive(predecessor.lastConn(), "UP 9\r\n")
+	peer.steps(predecessor, 2)
+	if peer.moved[pending] == 0 || peer.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOn != 6 {
+		t.Fatal(peer.moved, n.flows.count, n.Count)
+	}
+	if known, strangers := successor.node.admission.Held(); known+strangers != 1 {
+		t.Fatal("connections handed over are not counted for their address")
+	}
+	successor.receive(peer.moved[c], "ne\r\n")
+	successor.expect(t, peer.moved[h], "half a line\r\n", "")
+	successor.receive(peer.moved[h], "back\r\n")
+	successor.expect(t, peer.moved[c], "back\r\n", "")
+	successor.receive(peer.moved[front], "PING\r\n")
+	successor.expect(t, peer.moved[front], "PONG\r\n", "")
+	successor.receive(peer.moved[silent], "at,d=2000\r\n")
+	if !strings.HasPrefix(successor.address[successor.lastConn()], "h") {
+		t.Fatal("no connect for a request whose line was half received before the handover")
+	}
+	for _, f := range successor.node.flows.entries {
+		if f.value.Group != nil && f.value.reportedLoad != 700 {
+			t.Fatal(f.value.reportedLoad)
+		}
+	}
+	if got := successor.metrics(t); got["inflight"] != 5 || got["success.chat"] != 0 {
+		t.Fatal(got)
+	}
+	successor.receive(successor.openClient(""), fmt.Sprintf("OPEN %d 2 c=chat,d=2000\r\n", predecessor.clients-1))
+	if successor.node.Count.Bad != 1 {
+		t.Fatal("a request id used at the predecessor was accepted again")
+	}
+}
+
+// A handover may fail at any step. What is left then goes on as without a handover.
+func TestFailedHandover(t *testing.T) {
+	predecessor, peer := newPredecessor(t, 1)
+	n := predecessor.node
+	c, _ := predecessor.establish()
+	state, _ := n.Heir(peer)
+	if take := n.OtherGone(); take {
+		t.Fatal("told to accept connections that it had not given up")
+	}
+	successor := peer.startSuccessor(state)
+	successor.run(1, func() {
+		if !successor.node.OtherGone() {
+			t.Fatal("the predecessor has ended and the successor does not accept connections")
+		}
+	})
+	if !successor.node.Ready() {
+		t.Fatal(successor.node.state())
+	}
+	if _, ok := n.Heir(peer); !ok {
+		t.Fatal("a second handover was refused")
+	}
+	n.HeirKnows()
+	predecessor.run(1, n.Stop) // before the successor has taken over
+	if len(peer.messages) != 1 || !peer.messages[0].Leave {
+		t.Fatal(peer.messages)
+	}
+	peer.refuses = true
+	predecessor.run(1, func() { n.Yield() })
+	for !n.Done() {
+		peer.steps(predecessor, 1)
+	}
+	if !strings.HasSuffix(predecessor.sent[c], "MOVE\r\n") {
+		t.Fatalf("%q", predecessor.sent[c])
+	}
+}
+
+// A drain that one process learns of holds in the peer process, until that gets a list itself. A drained node stays drained
+// through a handover, until an operator resumes it.
+func TestDrainsHoldInBothProcesses(t *testing.T) {
+	predecessor, peer := newPredecessor(t, 2)
+	predecessor.node.Drain()
+	state, _ := predecessor.node.Heir(peer)
+	successor := peer.startSuccessor(state)
+	successor.run(joinTimeout, func() {})
+	if successor.node.state() != "drained" {
+		t.Fatal(successor.node.state())
+	}
+	update := entries("draining", 1)
+	predecessor.run(1, func() { predecessor.node.receiveList(&conn{}, update) })
+	if len(peer.messages) != 1 || !slices.Equal(peer.messages[0].Drains, []string{"s-0"}) {
+		t.Fatal(peer.messages)
+	}
+	successor.run(1, func() { successor.node.HearDrains(append(peer.messages[0].Drains, "unknown")) })
+	peer.messages, predecessor.node.settings.DrainsAlone = nil, true
+	predecessor.run(1, func() { predecessor.node.receiveList(&conn{}, entries("gone", 2)) })
+	if len(peer.messages) != 0 {
+		t.Fatal("an absent host was reported as draining, although only draining binds")
+	}
+	if successor.node.hosts["s-0"].State != balance.Draining || successor.node.hosts["s-1"].State != balance.Up {
+		t.Fatal(successor.node.hosts)
+	}
+}
+
+// The successor's module has the predecessor's knowledge, except of a host that has restarted since.
+func TestHandoverKeepsKnowledge(t *testing.T) {
+	predecessor, peer := newPredecessor(t, 3)
+	for range 20 {
+		predecessor.establish()
+	}
+	c, h := predecessor.establish()
+	predecessor.receive(h, "LOAD 900\r\n")
+	predecessor.run(1, func() { predecessor.node.Ended(c, nil) }) // the load of its key is remembered
+	state, _ := predecessor.node.Heir(peer)
+	known := state.Hosts["s-1"]
+	known.Started = 5
+	state.Hosts["s-1"] = known
+	successor := peer.startSuccessor(state).node
+	memory, none := successor.decider.(balancerMemory), balance.ServerMemory{}
+	first, anew := memory.MemoryOf(&successor.hosts["s-0"].Server), memory.MemoryOf(&successor.hosts["s-1"].Server)
+	if first.Rank == 0 || !reflect.DeepEqual(first, state.Hosts["s-0"]) || anew.Latency != none.Latency {
+		t.Fatal(first, anew)
+	}
+	if got := memory.Memory(); !reflect.DeepEqual(got.Setups, state.Node.Setups) || len(got.Known) != 1 {
+		t.Fatal(got, state.Node)
+	}
+	state.Node.Loads = nil // a state without loads is accepted
+	peer.startSuccessor(state)
+}
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -9,122 +9,123 @@
 	"coursewinch/lines"
 )
 
-// Limits bound what a node holds besides its descriptors. Zero values stand for the defaults named.
+// Limits bound what a node holds besides descriptors. A zero value selects the default.
 type Limits struct {
-	Hosts   int   // records; further ones of a list are left out. 20,000
-	Groups  int   // remembered without flows; the rest is met anew. 4,096
-	IDs     int   // of past flows; older ones may come again. 8,192
-	Wide    int   // rings that may be wide at once. 32
-	Buffers int   // rings that hold bytes; at the cap, who waits longest with half a line goes. 0: as many as needed
-	Idle    int64 // microseconds for which an established client may say nothing; 0: for ever
-	Stalled int64 // and for which it may take nothing of what waits for it; 0: for ever
+	Hosts   int   // host records; further entries of a list are left out. Default 20,000
+	Groups  int   // groups remembered without flows; further ones start anew. Default 4,096
+	IDs     int   // request ids remembered; older ones are accepted again. Default 8,192
+	Wide    int   // rings that may be wide at once. Default 32
+	Buffers int   // rings that hold bytes; above it, the client longest without a whole line is closed. Default: no limit
+	Idle    int64 // microseconds that an established client may send nothing. Default: no limit
+	Stalled int64 // microseconds that an established client may read nothing while bytes wait for it. Default: no limit
 }
 
-const mostListed = 20_000
+const defaultMaxHosts = 20_000 // where Limits.Hosts is 0
 
 // Hold is what a node holds for one purpose.
 type Hold struct {
 	Purpose string
 	Count   int
 	Bytes   int
-	Cap     int // of Count; 0 without one
+	Cap     int // limit of Count; 0 for none
 }
 
-// Holdings says what the node holds by purpose: descriptors first, then memory. It walks the tables: for counters on
-// request, not for each turn.
+// Holdings returns what the node holds by purpose, descriptors first, then memory. It walks all tables, so it is meant for
+// operators' requests and not for each loop iteration.
 func (n *Node) Holdings() []Hold {
 	roles := map[role]int{}
-	for _, s := range n.conns.all {
-		if s.v != nil {
-			roles[s.v.role]++
+	for _, entry := range n.conns.entries {
+		if entry.value != nil {
+			roles[entry.value.role]++
 		}
 	}
-	var asked int // text of lines that wait for an answer
-	for _, s := range n.flows.all {
-		if s.v != nil && s.v.open != nil {
-			asked += int(unsafe.Sizeof(*s.v.open)) + lines.Longest/8
+	var requestBytes int // estimated size of requests without an answer
+	for _, entry := range n.flows.entries {
+		if entry.value != nil && entry.value.request != nil {
+			requestBytes += int(unsafe.Sizeof(*entry.value.request)) + lines.Longest/8
 		}
 	}
 	known, strangers := 0, 0
-	if n.gate != nil {
-		known, strangers = n.gate.Held()
+	if n.admission != nil {
+		known, strangers = n.admission.Held()
 	}
 	logs := 0
-	for what := range n.logs {
-		logs += len(what) + int(unsafe.Sizeof(kind{}))
+	for key := range n.logKinds {
+		logs += len(key) + int(unsafe.Sizeof(logKind{}))
 	}
-	buffers, wide := n.rings.Held()
+	buffers, wide := n.ringBudget.Held()
 	return []Hold{
-		{"fd_new", roles[fresh], 0, 0}, {"fd_client", roles[client], 0, 0}, {"fd_connect", roles[upstream], 0, 0},
-		{"fd_probe", roles[probing], 0, 0}, {"fd_watch", roles[watching], 0, 0}, {"fd_leaving", roles[leaving], 0, 0},
-		{"fd_operator", roles[operator], 0, CallPlaces},
-		{"connections", n.conns.held, n.conns.held*int(unsafe.Sizeof(conn{})) + n.flows.held*int(unsafe.Sizeof(flow{})) + asked, 0},
-		{"hosts", len(n.hosts), len(n.hosts) * int(unsafe.Sizeof(host{})+64), n.lim.Hosts},
-		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.lim.Groups},
-		{"ids", len(n.ids.ring), len(n.ids.ring) * 32, n.lim.IDs},
-		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideSize, n.lim.Buffers},
+		{"fd_new", roles[roleNew], 0, 0}, {"fd_client", roles[roleClient], 0, 0}, {"fd_connect", roles[roleUpstream], 0, 0},
+		{"fd_probe", roles[roleProbe], 0, 0}, {"fd_watch", roles[roleWatch], 0, 0}, {"fd_leaving", roles[roleClosing], 0, 0},
+		{"fd_operator", roles[roleOperator], 0, CallPlaces},
+		{"connections", n.conns.count, n.conns.count*int(unsafe.Sizeof(conn{})) + n.flows.count*int(unsafe.Sizeof(flow{})) + requestBytes, 0},
+		{"hosts", len(n.hosts), len(n.hosts) * int(unsafe.Sizeof(host{})+64), n.limits.Hosts},
+		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.limits.Groups},
+		{"ids", len(n.recentIDs.ring), len(n.recentIDs.ring) * 32, n.limits.IDs},
+		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideSize, n.limits.Buffers},
 		{"addresses", known + strangers, (known + strangers) * 192, 0},
-		{"logs", len(n.logs), logs, mostKinds},
-		{"deadlines", len(n.times.heap), cap(n.times.heap) * 8, 0},
+		{"logs", len(n.logKinds), logs, maxLogKinds},
+		{"deadlines", len(n.deadlines.heap), cap(n.deadlines.heap) * 8, 0},
 	}
 }
 
-// HoldingsText is that as key=value, count and bytes and, where there is one, the cap.
+// HoldingsText returns the holdings as key=value pairs with count, bytes and limit where there are any.
 func (n *Node) HoldingsText() string {
-	var b strings.Builder
+	var text strings.Builder
 	for i, h := range n.Holdings() {
 		if i > 0 {
-			b.WriteByte(' ')
+			text.WriteByte(' ')
 		}
-		fmt.Fprintf(&b, "%s=%d", h.Purpose, h.Count)
+		fmt.Fprintf(&text, "%s=%d", h.Purpose, h.Count)
 		if h.Bytes > 0 {
-			fmt.Fprintf(&b, "/%dB", h.Bytes)
+			fmt.Fprintf(&text, "/%dB", h.Bytes)
 		}
 		if h.Cap > 0 {
-			fmt.Fprintf(&b, "/cap%d", h.Cap)
+			fmt.Fprintf(&text, "/cap%d", h.Cap)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-// tidy ends what holds on without use: clients that vanished or take nothing. Once a second.
-func (n *Node) tidy() {
-	if n.lim.Idle == 0 && n.lim.Stalled == 0 {
+// closeStalledClients moves the flows of clients that have sent or read nothing for longer than the limits allow. It runs once
+// a second.
+func (n *Node) closeStalledClients() {
+	if n.limits.Idle == 0 && n.limits.Stalled == 0 {
 		return
 	}
-	for _, s := range n.flows.all {
-		f := s.v
-		if f == nil || f.over || f.stage != Established {
+	for _, entry := range n.flows.entries {
+		f := entry.value
+		if f == nil || f.ended || f.stage != Established {
 			continue
 		}
-		idle := n.lim.Idle > 0 && n.now-f.client.heard > n.lim.Idle
-		stalled := n.lim.Stalled > 0 && f.client.out.Len() > 0 && n.now-f.client.moved > n.lim.Stalled
+		idle := n.limits.Idle > 0 && n.now-f.client.receivedAt > n.limits.Idle
+		stalled := n.limits.Stalled > 0 && f.client.out.Len() > 0 && n.now-f.client.sentAt > n.limits.Stalled
 		if idle || stalled {
 			n.Count.Vanished++
-			n.move(f) // it may be there yet: then it comes again
-			n.end(f, balance.Recalled)
+			n.moveClient(f) // a client that is still there will reconnect
+			n.endFlow(f, balance.Recalled)
 		}
 	}
 }
 
-// relieve makes room among the buffers at their cap: of those that sit on half a line before they have a flow, the one
-// that has for longest goes. Guards the memory against many who say half a word.
-func (n *Node) relieve() {
-	for n.lim.Buffers > 0 {
-		if held, _ := n.rings.Held(); held <= n.lim.Buffers {
+// relieveBuffers closes clients until the number of buffers is within its limit: of the clients without a flow that have sent
+// part of a line, the one that has waited longest. This bounds the memory that clients can take with incomplete lines.
+func (n *Node) relieveBuffers() {
+	for n.limits.Buffers > 0 {
+		if held, _ := n.ringBudget.Held(); held <= n.limits.Buffers {
 			return
 		}
-		var worst *conn
-		for e := n.mute.Front(); e != nil; e = e.Next() {
-			if c := e.Value.(*conn); c.role == fresh && c.in.Len() > 0 {
-				worst = c
+		var oldest *conn
+		for e := n.silentConns.Front(); e != nil; e = e.Next() {
+			if c := e.Value.(*conn); c.role == roleNew && c.in.Len() > 0 {
+				oldest = c
 				break
 			}
 		}
-		if worst == nil {
+		if oldest == nil {
 			return
 		}
 		n.Count.Shed++
-		n.part(worst)
+		n.detach(oldest)
 	}
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -15,57 +15,59 @@
 	"coursewinch/cluster/permits"
 )
 
-// Limits that hold for the whole fleet. A flow whose key belongs to another node waits for its word before the module
-// hears of it; when none comes, the limit's promise says what becomes of it. What a host may hold is in hand before a
-// flow comes: the module is told of hosts that have no permit left as of hosts without room.
+// This file keeps the limits that hold for the whole fleet. Each key of a limit is owned by one node. A flow whose key
+// belongs to another node waits for the owner's answer before the module sees it. When no answer comes, the limit's promise
+// decides (strict or available). Permits for hosts are acquired in advance: a host without a free permit is presented to
+// the module as a host without room.
 
-// What a limit of the fleet can be over.
+// What a fleet limit can count over.
 const (
-	OverAddress = "address" // of a client; IPv6 by /64
-	OverType    = "type"
-	OverGroup   = "group"
-	OverHost    = "host" // connections that it has; a number at once only
-	OverCold    = "cold" // flows that a cold host is sent; how many its settings and what is seen of it say
+	OverAddress = "address" // client address; IPv6 by /64
+	OverType    = "type"    // service type
+	OverGroup   = "group"   // group of flows
+	OverHost    = "host"    // connections to a host; concurrent limits only
+	OverCold    = "cold"    // flows sent to a cold host; the rate follows from the settings and from what is known of the host
 )
 
-// FleetLimit is one: a rate of new flows, or so many flows at once.
+// FleetLimit is a limit on the rate of new flows or on the number of concurrent flows.
 type FleetLimit struct {
-	Over   string
-	Of     string // one service type, group or host alone; empty for each
-	Rate   limits.Limit
-	AtOnce permits.Limit // Most is 0 where it is a rate
+	Over   string        // what it counts over, such as OverType
+	Of     string        // name of the one service type, group or host that it holds for; empty for each
+	Rate   limits.Limit  // of new flows
+	AtOnce permits.Limit // of concurrent flows; Most is 0 where the limit is a rate
 }
 
-// Check says why a limit can't be kept by so many nodes; nil where it can.
+// Check returns an error if the limit is invalid or can't be kept by that many nodes.
 func (l FleetLimit) Check(nodes int) error {
 	switch {
 	case nodes > lease.MostNodes:
-		return fmt.Errorf("a limit of %d nodes: %d at most", nodes, lease.MostNodes)
+		return fmt.Errorf("limit over %d nodes: at most %d nodes can share one", nodes, lease.MostNodes)
 	case !slices.Contains([]string{OverAddress, OverType, OverGroup, OverHost, OverCold}, l.Over):
-		return fmt.Errorf("over %q: \"address\", \"type\", \"group\", \"host\" and \"cold\" are what there is", l.Over)
+		return fmt.Errorf("over %q: want \"address\", \"type\", \"group\", \"host\" or \"cold\"", l.Over)
 	case l.Over == OverCold && (l != FleetLimit{Over: OverCold, Rate: limits.Limit{Strict: true}, AtOnce: permits.Limit{Strict: true}}):
-		return fmt.Errorf("over cold hosts: strict, and no figures")
+		return fmt.Errorf("over \"cold\": the promise has to be strict and no figures may be given")
 	case l.Over == OverCold && nodes < 2:
-		return fmt.Errorf("over cold hosts: one node has nobody to share with")
+		return fmt.Errorf("over \"cold\": needs at least two nodes")
 	case l.Over == OverCold:
 		return nil
 	case l.Over == OverAddress && l.Of != "":
-		return fmt.Errorf("of %q: over addresses it is for each", l.Of)
+		return fmt.Errorf("of %q: a limit over \"address\" holds for each address", l.Of)
 	case l.AtOnce.Most != 0 && l.Rate != (limits.Limit{Strict: l.Rate.Strict}):
-		return fmt.Errorf("a rate and a number at once: one of the two")
+		return fmt.Errorf("both a rate and a number at once are given; want one of them")
 	case l.AtOnce.Most == 0 && l.Over == OverHost:
-		return fmt.Errorf("over hosts only a number at once can be kept")
+		return fmt.Errorf("over \"host\": only a number at once can be kept")
 	case l.AtOnce.Most == 0:
 		return l.Rate.Check(nodes)
 	case l.Over == OverHost && l.AtOnce.Most < nodes:
-		return fmt.Errorf("%d at once at a host can't be kept by %d nodes: each needs one", l.AtOnce.Most, nodes)
+		return fmt.Errorf("%d at once at a host can't be shared by %d nodes: each node needs one", l.AtOnce.Most, nodes)
 	}
 	return l.AtOnce.Check()
 }
 
-// Same tells whether two limits are for one thing.
-func (l FleetLimit) Same(o FleetLimit) bool { return l.name() == o.name() }
+// Same reports whether two limits limit the same thing, apart from their figures.
+func (l FleetLimit) Same(other FleetLimit) bool { return l.name() == other.name() }
 
+// name returns the name of a limit in metrics. Its hash identifies the limit on the wire.
 func (l FleetLimit) name() string {
 	kind := "rate"
 	if l.AtOnce.Most != 0 {
@@ -78,85 +80,91 @@
 	return name
 }
 
-// keptLimit is a limit as this node keeps its part of it.
-type keptLimit struct {
+// localLimit is this node's part in a fleet limit. Either rate or concurrent is set.
+type localLimit struct {
 	FleetLimit
-	name   string
-	id     uint32
-	rate   *limits.Limits   // one of the two
-	once   *permits.Permits // by whom the key of a host is in hand beforehand
-	wanted map[*host]int64  // hosts that had no permit left for a flow, and when
-	cold   []*host          // that a grant may be asked for, where it is over these
+	name        string
+	id          uint32 // identifies it on the wire
+	rate        *limits.Limits
+	concurrent  *permits.Permits // permits for hosts are acquired in advance
+	exhaustedAt map[*host]int64  // when a host last had no permit left for a flow
+	coldHosts   []*host          // cold hosts, for a limit over OverCold
 }
 
-// permit is what a flow has of a limit, to be given back.
+// permit is a permit of a concurrent limit that a flow holds and gives back at its end.
 type permit struct {
-	of  *keptLimit
-	key uint64
-}
-
-func (n *Node) newLimits(of []FleetLimit, process uint64, nodes int) (all []*keptLimit) {
-	for _, l := range of {
-		k := &keptLimit{FleetLimit: l, name: l.name(), id: uint32(hash(l.name()))}
-		if l.Over == OverCold {
-			k.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(k, key) }, process, nodes, owner{n})
-			n.cluster.overload.ColdByGrant(func(s *balance.Server) bool { return n.cluster.leases.Lent(int(k.mixed(s.Name) % lease.Slots)) })
-		} else if l.AtOnce.Most > 0 {
-			k.once, k.wanted = permits.New(l.AtOnce, process, nodes, owner{n}), map[*host]int64{}
+	limit *localLimit
+	key   uint64
+}
+
+// newLimits returns this node's part of each fleet limit, in the order in which flows have to pass them.
+func (n *Node) newLimits(given []FleetLimit, process uint64, nodes int) (all []*localLimit) {
+	for _, limit := range given {
+		local := &localLimit{FleetLimit: limit, name: limit.name(), id: uint32(hash(limit.name()))}
+		if limit.Over == OverCold {
+			local.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(local, key) }, process, nodes, keyOwner{n})
+			n.cluster.overload.ColdByGrant(func(server *balance.Server) bool {
+				return n.cluster.leases.Lent(int(local.nameKey(server.Name) % lease.Slots))
+			})
+		} else if limit.AtOnce.Most > 0 {
+			local.concurrent, local.exhaustedAt = permits.New(limit.AtOnce, process, nodes, keyOwner{n}), map[*host]int64{}
 		} else {
-			k.rate = limits.New(l.Rate, process, nodes, owner{n})
+			local.rate = limits.New(limit.Rate, process, nodes, keyOwner{n})
 		}
-		all = append(all, k)
+		all = append(all, local)
 	}
-	// What can be given back comes first, so that a rate is not used up by flows that are refused after all.
-	// And cold hosts last: a flow that is refused takes nothing of theirs.
-	rank := func(l *keptLimit) int {
-		return map[bool]int{true: 2}[l.Over == OverCold] + map[bool]int{true: 1}[l.AtOnce.Most == 0]
+	// Permits can be given back, so their limits come first: a flow that is refused later has not used up a rate. Limits
+	// over cold hosts come last, so that a refused flow takes no grant.
+	rank := func(limit *localLimit) int {
+		return map[bool]int{true: 2}[limit.Over == OverCold] + map[bool]int{true: 1}[limit.AtOnce.Most == 0]
 	}
-	slices.SortStableFunc(all, func(x, y *keptLimit) int { return cmp.Compare(rank(x), rank(y)) })
+	slices.SortStableFunc(all, func(x, y *localLimit) int { return cmp.Compare(rank(x), rank(y)) })
 	return all
 }
 
-// SetLimits takes new figures for limits that are kept already; told which of them are, it tells whether all were.
+// SetLimits applies new figures to the limits that the node keeps. It reports whether these are exactly the given limits;
+// a limit that is not kept yet takes effect at the next start only.
 func (n *Node) SetLimits(all []FleetLimit) (known bool) {
 	if n.cluster == nil {
 		return len(all) == 0
 	}
 	known = len(all) == len(n.cluster.limits)
-	for _, l := range all {
-		i := slices.IndexFunc(n.cluster.limits, func(k *keptLimit) bool { return k.name == l.name() })
+	for _, limit := range all {
+		i := slices.IndexFunc(n.cluster.limits, func(local *localLimit) bool { return local.name == limit.name() })
 		if i < 0 {
 			known = false
 			continue
 		}
-		k := n.cluster.limits[i]
-		if k.FleetLimit = l; k.once != nil {
-			k.once.Set(l.AtOnce)
+		local := n.cluster.limits[i]
+		if local.FleetLimit = limit; local.concurrent != nil {
+			local.concurrent.Set(limit.AtOnce)
 		} else {
-			k.rate.Set(l.Rate)
+			local.rate.Set(limit.Rate)
 		}
 	}
 	return known
 }
 
-// key is what of a limit a flow counts for; ok is false where it does not.
-func (l *keptLimit) key(n *Node, f *flow) (key uint64, ok bool) {
+// flowKey returns the key under which a flow counts for a limit. ok is false where it does not count, and for limits over
+// hosts, whose keys follow from the host; see hostKey.
+func (l *localLimit) flowKey(n *Node, f *flow) (key uint64, ok bool) {
 	switch l.Over {
 	case OverAddress:
-		return l.mixed(f.client.at.String()), f.client.at.IsValid()
+		return l.nameKey(f.client.limitPrefix.String()), f.client.limitPrefix.IsValid()
 	case OverType:
-		return l.mixed(f.typeName(n)), l.Of == "" || l.Of == f.typeName(n)
+		return l.nameKey(f.typeName(n)), l.Of == "" || l.Of == f.typeName(n)
 	case OverGroup:
 		if f.group == nil {
 			return 0, false
 		}
-		return l.keyOf(f.group.Hash), l.Of == "" || hash(l.Of) == f.group.Hash
+		return l.mixKey(f.group.Hash), l.Of == "" || hash(l.Of) == f.group.Hash
 	}
 	return 0, false
 }
 
+// typeName returns the name of the flow's service type.
 func (f *flow) typeName(n *Node) string {
-	for name, no := range n.set.Names {
+	for name, no := range n.settings.Names {
 		if no == f.TypeNo {
 			return name
 		}
@@ -164,300 +172,321 @@
 	return ""
 }
 
-func (l *keptLimit) mixed(name string) uint64 { return l.keyOf(hash(name)) }
+// nameKey returns the limit's key for a name.
+func (l *localLimit) nameKey(name string) uint64 { return l.mixKey(hash(name)) }
 
-// keyOf keeps the keys of two limits apart, and spreads them over slots.
-func (l *keptLimit) keyOf(h uint64) uint64 {
+// mixKey combines a hash with the limit's id, so that limits have different keys, and spreads the keys over lease slots.
+func (l *localLimit) mixKey(h uint64) uint64 {
 	h = (h ^ uint64(l.id)<<32) * 0x9e3779b97f4a7c15
 	return h ^ h>>31
 }
 
-func (l *keptLimit) hostKey(h *host) (key uint64, ok bool) {
-	return l.mixed(h.uid), l.Over == OverHost && (l.Of == "" || l.Of == h.uid)
+// hostKey returns a host's key. ok is false where the limit does not hold for that host.
+func (l *localLimit) hostKey(h *host) (key uint64, ok bool) {
+	return l.nameKey(h.uid), l.Over == OverHost && (l.Of == "" || l.Of == h.uid)
 }
 
-// owner tells who owns a key, as this process knows it.
-type owner struct{ n *Node }
+// keyOwner knows which node owns a key, as far as this process can tell.
+type keyOwner struct{ n *Node }
 
-func (o owner) Mine(key uint64) (since, until int64, ok bool) {
-	l, s := o.n.cluster.leases, int(key%lease.Slots)
-	since, ok = l.Owned(s)
-	return since, l.Until(s), ok
+// Mine reports whether this node owns a key, since when, and until when its lease lasts.
+func (o keyOwner) Mine(key uint64) (since, until int64, ok bool) {
+	leases, slot := o.n.cluster.leases, int(key%lease.Slots)
+	since, ok = leases.Owned(slot)
+	return since, leases.Until(slot), ok
 }
 
-func (o owner) Who(key uint64) int { return o.n.first(int(key % lease.Slots)) }
+// Who returns the node to ask about a key; negative for this node.
+func (o keyOwner) Who(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
-// first is the node that should own a slot: of this one and those that are linked, the first by hash of slot and name.
-// Under 0 it is this one. A belief, and nothing but who asks whom rests on it.
-func (n *Node) first(slot int) (no int) {
+// believedOwner returns the node that should own a slot: of this node and the linked nodes, the one with the highest hash of
+// slot and name. It is negative for this node. Nodes may differ in it; it decides only which node is asked.
+func (n *Node) believedOwner(slot int) (index int) {
 	rank := func(name uint32) uint64 {
 		x := (uint64(slot)<<32 | uint64(name)) * 0x9e3779b97f4a7c15
 		x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 		return x ^ x>>32
 	}
-	no = -1
-	best := rank(uint32(hash(n.conf.Cluster.Name)))
-	m := n.cluster.members
-	for i := range n.conf.Cluster.Others {
-		name, ok := m.Name(i)
-		if !ok || m.Standing(i) != members.Linked {
+	index = -1
+	best := rank(uint32(hash(n.config.Cluster.Name)))
+	others := n.cluster.members
+	for i := range n.config.Cluster.Others {
+		name, ok := others.Name(i)
+		if !ok || others.Standing(i) != members.Linked {
 			continue
 		}
-		if r := rank(name); r > best {
-			no, best = i, r
+		if score := rank(name); score > best {
+			index, best = i, score
 		}
 	}
-	return no
+	return index
 }
 
-// turnCluster begins a turn for what belongs to the fleet: what has run out ends before anything else is done.
-func (n *Node) turnCluster() {
-	k := n.cluster
-	if k == nil {
+// updateCluster advances the fleet's protocols to the current time at the start of a loop iteration. Leases and permits that
+// have expired end before anything else is done.
+func (n *Node) updateCluster() {
+	cluster := n.cluster
+	if cluster == nil {
 		return
 	}
-	k.overload.Turn(n.now)
-	if k.leases == nil {
+	cluster.overload.Turn(n.now)
+	if cluster.leases == nil {
 		return
 	}
-	k.leases.Turn(n.now)
-	for _, l := range k.limits {
-		if l.rate != nil {
-			n.settleRate(l, l.rate.Turn(n.now, n.teller(l)))
+	cluster.leases.Turn(n.now)
+	for _, limit := range cluster.limits {
+		if limit.rate != nil {
+			n.settleRate(limit, limit.rate.Turn(n.now, n.limitSender(limit)))
 			continue
 		}
-		if l.Over == OverHost && l.once.Due(n.now) {
-			n.keepHosts(l)
+		if limit.Over == OverHost && limit.concurrent.Due(n.now) {
+			n.keepHostPermits(limit)
 		}
-		done, over := l.once.Turn(n.now, n.teller(l))
-		n.settleOnce(l, done)
-		for _, e := range over {
-			n.endOver(l, e)
+		answers, excesses := limit.concurrent.Turn(n.now, n.limitSender(limit))
+		n.settleConcurrent(limit, answers)
+		for _, excess := range excesses {
+			n.endExcessFlows(limit, excess)
 		}
 	}
 }
 
-// tendLeases asks for the slots that are this node's.
-func (n *Node) tendLeases() {
-	k := n.cluster
-	if k.leases == nil {
+// requestLeases requests the leases of the slots that this node should own.
+func (n *Node) requestLeases() {
+	cluster := n.cluster
+	if cluster.leases == nil {
 		return
 	}
-	if k.names = k.names[:0]; n.conf.Cluster.Others > 0 {
-		for s := range lease.Slots {
-			k.names = append(k.names, n.first(s) < 0)
+	cluster.desiredSlots = cluster.desiredSlots[:0]
+	if n.config.Cluster.Others > 0 {
+		for slot := range lease.Slots {
+			cluster.desiredSlots = append(cluster.desiredSlots, n.believedOwner(slot) < 0)
 		}
 	}
-	k.leases.Ask(func(s int) bool { return len(k.names) == 0 || k.names[s] }, func(p []byte) {
-		for to := range n.conf.Cluster.Others {
-			n.tellOne(to, p)
+	desired := func(slot int) bool { return len(cluster.desiredSlots) == 0 || cluster.desiredSlots[slot] }
+	cluster.leases.Ask(desired, func(payload []byte) {
+		for to := range n.config.Cluster.Others {
+			n.sendToNode(to, payload)
 		}
 	})
 }
 
-func (n *Node) tellOne(to int, p []byte) {
-	if m := n.cluster.members; m != nil {
-		m.Send(n.now, to, p, n.conf.Cluster.Send)
+// sendToNode sends a payload to another node.
+func (n *Node) sendToNode(to int, payload []byte) {
+	if members := n.cluster.members; members != nil {
+		members.Send(n.now, to, payload, n.config.Cluster.Send)
 	}
 }
 
+// A message about a limit consists of its kind, the limit's id and the payload of package limits or permits.
 const (
-	limitKind = 10    // what is about one limit: its id, and the word of its core
-	limitHead = 1 + 4 // bytes
+	limitMessageKind = 10
+	limitHeaderSize  = 1 + 4 // bytes
 )
 
-func (l *keptLimit) wrap(p []byte) []byte {
-	return append(binary.LittleEndian.AppendUint32([]byte{limitKind}, l.id), p...)
+// encode returns the message about this limit with the given payload.
+func (l *localLimit) encode(payload []byte) []byte {
+	return append(binary.LittleEndian.AppendUint32([]byte{limitMessageKind}, l.id), payload...)
 }
 
-func (n *Node) teller(l *keptLimit) func(to int, p []byte) {
-	return func(to int, p []byte) { n.tellOne(to, l.wrap(p)) }
+// limitSender returns a function that sends a payload about a limit to another node.
+func (n *Node) limitSender(limit *localLimit) func(to int, payload []byte) {
+	return func(to int, payload []byte) { n.sendToNode(to, limit.encode(payload)) }
 }
 
-// limited tells whether a flow waits for the fleet's word, or has been refused by it.
-func (n *Node) limited(f *flow) bool {
-	k := n.cluster
-	if k == nil || f.stood {
+// blockedByLimit takes a flow through the fleet limits that it has not passed yet. It reports whether the flow has to wait
+// for an answer or has been refused; otherwise the flow has passed all limits.
+func (n *Node) blockedByLimit(f *flow) bool {
+	cluster := n.cluster
+	if cluster == nil || f.rejoins {
 		return false
 	}
-	for f.gate < len(k.limits) {
-		l := k.limits[f.gate]
-		if l.Over == OverCold {
-			if n.asksCold(f, l) {
+	for f.nextLimit < len(cluster.limits) {
+		limit := cluster.limits[f.nextLimit]
+		if limit.Over == OverCold {
+			if n.awaitsColdGrant(f, limit) {
 				return true
 			}
-			f.gate++
+			f.nextLimit++
 			continue
 		}
-		key, ok := l.key(n, f)
+		key, ok := limit.flowKey(n, f)
 		if !ok {
-			f.gate++
+			f.nextLimit++
 			continue
 		}
-		var yes, waits bool
-		if l.once != nil {
-			yes, waits = l.once.Take(key, f, n.teller(l))
+		var granted, waits bool
+		if limit.concurrent != nil {
+			granted, waits = limit.concurrent.Take(key, f, n.limitSender(limit))
 		} else {
-			yes, waits = l.rate.Take(key, f, n.teller(l))
+			granted, waits = limit.rate.Take(key, f, n.limitSender(limit))
 		}
 		if waits {
-			f.asksFor = key
+			f.pendingKey = key
 			return true
 		}
-		if !yes {
-			n.refuse(f, l)
+		if !granted {
+			n.refuseFlow(f, limit)
 			return true
 		}
-		f.pass(l, key)
+		f.passLimit(limit, key)
 	}
 	return false
 }
 
-// pass is that a flow is let pass by a limit.
-func (f *flow) pass(l *keptLimit, key uint64) {
-	if f.gate++; l.once != nil {
-		f.permits = append(f.permits, permit{l, key})
+// passLimit records that a flow has passed a limit, and the permit that it holds since.
+func (f *flow) passLimit(limit *localLimit, key uint64) {
+	f.nextLimit++
+	if limit.concurrent != nil {
+		f.permits = append(f.permits, permit{limit, key})
 	}
 }
 
-// release gives back what a flow had.
-func (f *flow) release() {
+// releasePermits gives back a flow's permits.
+func (f *flow) releasePermits() {
 	for _, p := range f.permits {
-		p.of.once.Done(p.key)
+		p.limit.concurrent.Done(p.key)
 	}
 	f.permits = nil
 }
 
-// refuse rejects a flow that the module has not heard of.
-func (n *Node) refuse(f *flow, l *keptLimit) {
-	n.note("limited", l.name)
-	n.answered(f, capture.Rejected)
-	n.drop(f)
-	n.answer(f.client, n.busyLine())
+// refuseFlow rejects a flow because of a limit. The module has not seen it.
+func (n *Node) refuseFlow(f *flow, limit *localLimit) {
+	n.logThrottled("limited", limit.name)
+	n.countAnswer(f, capture.Rejected)
+	n.removeFlow(f)
+	n.sendFinalLine(f.client, n.busyAnswer())
 }
 
-func (n *Node) busyLine() string {
-	if wait := n.set.MaxWait / 2; wait > 0 {
+// busyAnswer returns the BUSY line, with half of the longest retry delay that clients obey where there is one.
+func (n *Node) busyAnswer() string {
+	if wait := n.settings.MaxWait / 2; wait > 0 {
 		return fmt.Sprintf("BUSY %d\r\n", wait/ms)
 	}
 	return "BUSY\r\n"
 }
 
-func (n *Node) settleRate(l *keptLimit, done []limits.Answer) {
-	for _, a := range done {
-		if q, ok := a.Waiter.(*coldAsk); ok {
-			n.coldTold(l, q, a)
+// settleRate applies answers of a rate limit to the flows that wait for them.
+func (n *Node) settleRate(limit *localLimit, answers []limits.Answer) {
+	for _, answer := range answers {
+		if request, ok := answer.Waiter.(*coldRequest); ok {
+			n.coldAnswered(limit, request, answer)
 			continue
 		}
-		n.settle(l, a.Waiter.(*flow), a.Yes)
+		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
 	}
 }
 
-func (n *Node) settleOnce(l *keptLimit, done []permits.Answer) {
-	for _, a := range done {
-		n.settle(l, a.Waiter.(*flow), a.Yes)
+// settleConcurrent applies answers of a concurrent limit to the flows that wait for them.
+func (n *Node) settleConcurrent(limit *localLimit, answers []permits.Answer) {
+	for _, answer := range answers {
+		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
 	}
 }
 
-// waitsForFleet gives the limit for whose word a flow waits; nil where the module has heard of it.
-func (n *Node) waitsForFleet(f *flow) *keptLimit {
-	if k := n.cluster; k != nil && f.gate < len(k.limits) {
-		return k.limits[f.gate]
+// pendingLimit returns the limit whose answer a flow waits for; nil where it has passed all limits.
+func (n *Node) pendingLimit(f *flow) *localLimit {
+	if cluster := n.cluster; cluster != nil && f.nextLimit < len(cluster.limits) {
+		return cluster.limits[f.nextLimit]
 	}
 	return nil
 }
 
-// settle lets a flow go on that waited, or refuses it.
-func (n *Node) settle(l *keptLimit, f *flow, yes bool) {
-	key := f.asksFor // one that is over has no group any more
+// settleFlow applies the answer of a limit to the flow that waited for it.
+func (n *Node) settleFlow(limit *localLimit, f *flow, granted bool) {
+	key := f.pendingKey // stored, because a flow that has ended has no group to derive it from
 	switch {
-	case f.over && yes && l.once != nil:
-		l.once.Done(key) // it did not wait for its answer
-	case f.over:
-	case yes:
-		if f.pass(l, key); !n.limited(f) {
-			n.b.Demand(&f.Flow)
+	case f.ended && granted && limit.concurrent != nil:
+		limit.concurrent.Done(key) // the flow ended before its answer came
+	case f.ended:
+	case granted:
+		f.passLimit(limit, key)
+		if !n.blockedByLimit(f) {
+			n.decider.Demand(&f.Flow)
 		}
 	default:
-		n.refuse(f, l)
+		n.refuseFlow(f, limit)
 	}
 }
 
-// endOver ends flows that have no permit any more: those that wait, then the newest of the established, then set-ups.
-func (n *Node) endOver(l *keptLimit, e permits.Excess) {
-	var all []*flow
-	for _, s := range n.flows.all {
-		f := s.v
-		if f == nil || f.over {
+// endExcessFlows ends flows whose permits have expired: first those that wait, then established ones, newest first, then
+// those that are being set up.
+func (n *Node) endExcessFlows(limit *localLimit, excess permits.Excess) {
+	var flows []*flow
+	for _, entry := range n.flows.entries {
+		f := entry.value
+		if f == nil || f.ended {
 			continue
 		}
-		if key, ok := uint64(0), false; f.host != nil && l.Over == OverHost {
-			if key, ok = l.hostKey(f.host); ok && key == e.Key {
-				all = append(all, f)
+		if f.host != nil && limit.Over == OverHost {
+			if key, ok := limit.hostKey(f.host); ok && key == excess.Key {
+				flows = append(flows, f)
 			}
-		} else if slices.Contains(f.permits, permit{l, e.Key}) {
-			all = append(all, f)
+		} else if slices.Contains(f.permits, permit{limit, excess.Key}) {
+			flows = append(flows, f)
 		}
 	}
-	order := map[Stage]int{Waiting: 0, Established: 1, Dialing: 2, Asked: 3}
-	slices.SortStableFunc(all, func(x, y *flow) int {
-		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.stoodAt, x.stoodAt))
+	order := map[Stage]int{Waiting: 0, Established: 1, Dialing: 2, AwaitingAnswer: 3}
+	slices.SortStableFunc(flows, func(x, y *flow) int {
+		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.establishedAt, x.establishedAt))
 	})
-	for _, f := range all[:min(e.N, len(all))] {
-		n.note("permit_ran_out", l.name)
-		f.release()
+	for _, f := range flows[:min(excess.N, len(flows))] {
+		n.logThrottled("permit_ran_out", limit.name)
+		f.releasePermits()
 		if f.stage == Established {
 			n.Move(&f.Flow)
 			continue
 		}
-		c, answer, line := f.client, byte(capture.Rejected), n.busyLine()
-		if f.stage == Asked {
-			answer, line = capture.Aborted, "ERR\r\n" // it may have run
+		client, answer, line := f.client, byte(capture.Rejected), n.busyAnswer()
+		if f.stage == AwaitingAnswer {
+			answer, line = capture.Aborted, "ERR\r\n" // the host may have run it
 		}
-		n.answered(f, answer)
+		n.countAnswer(f, answer)
 		n.withdraw(f)
-		n.answer(c, line)
+		n.sendFinalLine(client, line)
 	}
 }
 
-const wantedFor = 2 * second // after it had none left for a flow, more permits for a host are kept in hand
+// exhaustedFor is how long more spare permits are kept for a host after it had none left for a flow.
+const exhaustedFor = 2 * second
 
-// keepHosts says what this node has at hosts, and how much more it wants to have in hand.
-func (n *Node) keepHosts(l *keptLimit) {
-	nodes := n.conf.Cluster.Others + 1
-	for _, h := range n.fleet {
-		key, ok := l.hostKey(h)
+// keepHostPermits reports to a limit over hosts how many flows this node has at each host, and how many spare permits it
+// wants to hold there.
+func (n *Node) keepHostPermits(limit *localLimit) {
+	nodes := n.config.Cluster.Others + 1
+	for _, h := range n.hostList {
+		key, ok := limit.hostKey(h)
 		if !ok {
 			continue
 		}
 		use, spare := h.Flows(), 0
-		switch at, asked := l.wanted[h]; {
+		exhaustedAt, exhausted := limit.exhaustedAt[h]
+		switch {
 		case h.State != balance.Up:
-		case asked && n.now-at < wantedFor:
+		case exhausted && n.now-exhaustedAt < exhaustedFor:
 			spare = 1 + use/4
-		case use == 0 || l.AtOnce.Most >= 4*nodes:
+		case use == 0 || limit.AtOnce.Most >= 4*nodes:
 			spare = 1
 		}
-		if asked := l.wanted[h]; n.now-asked >= wantedFor {
-			delete(l.wanted, h)
+		if n.now-exhaustedAt >= exhaustedFor {
+			delete(limit.exhaustedAt, h)
 		}
-		l.once.Keep(key, use, spare)
+		limit.concurrent.Keep(key, use, spare)
 	}
 }
 
-// hostBounds are the module's bounds where hosts have limits as well.
+// hostBounds are the module's bounds where there are also limits over hosts.
 type hostBounds struct {
 	balance.Bounds
 	n *Node
 }
 
-// Room is none at a host for which no permit is in hand.
-func (b hostBounds) Room(s *balance.Server, f *balance.Flow) float64 {
-	room := b.Bounds.Room(s, f)
-	if h := b.n.hosts[s.Name]; room > 0 && h != nil {
-		for _, l := range b.n.cluster.limits {
-			if key, ok := l.hostKey(h); ok && h.Flows() >= l.once.May(key) {
-				l.wanted[h] = b.n.now
+// Room returns the room for a flow at a server, which is 0 where this node holds no free permit for it.
+func (b hostBounds) Room(server *balance.Server, f *balance.Flow) float64 {
+	room := b.Bounds.Room(server, f)
+	if h := b.n.hosts[server.Name]; room > 0 && h != nil {
+		for _, limit := range b.n.cluster.limits {
+			if key, ok := limit.hostKey(h); ok && h.Flows() >= limit.concurrent.May(key) {
+				limit.exhaustedAt[h] = b.n.now
 				return 0
 			}
 		}
@@ -465,134 +494,136 @@
 	return room
 }
 
-// takeOver counts a flow that the process before hands over, with what it had: for so many microseconds still.
-func (n *Node) takeOver(f *flow, before uint64, left int64) {
-	k := n.cluster
-	if k == nil || before == 0 {
+// adoptPermits counts a flow that the predecessor process hands over together with its permits, which stay valid for left
+// microseconds.
+func (n *Node) adoptPermits(f *flow, predecessor uint64, left int64) {
+	cluster := n.cluster
+	if cluster == nil || predecessor == 0 {
 		return
 	}
-	f.gate = len(k.limits)
-	for _, l := range k.limits {
-		if l.once == nil {
+	f.nextLimit = len(cluster.limits)
+	for _, limit := range cluster.limits {
+		if limit.concurrent == nil {
 			continue
 		}
-		if key, ok := l.key(n, f); ok {
-			l.once.TakeOver(key, before, left)
-			f.permits = append(f.permits, permit{l, key})
-		} else if key, ok := l.hostKey(f.host); ok {
-			l.once.TakeOver(key, before, left)
+		if key, ok := limit.flowKey(n, f); ok {
+			limit.concurrent.TakeOver(key, predecessor, left)
+			f.permits = append(f.permits, permit{limit, key})
+		} else if key, ok := limit.hostKey(f.host); ok {
+			limit.concurrent.TakeOver(key, predecessor, left)
 		}
 	}
 }
 
-// leaves is for how long what a flow has still counts, for the process that takes over.
-func (n *Node) leaves(f *flow) (left int64) {
+// permitTimeLeft returns for how long a flow's permits stay valid, for the successor process.
+func (n *Node) permitTimeLeft(f *flow) (left int64) {
 	if n.cluster == nil {
 		return 0
 	}
 	left = permits.Use
-	for _, p := range f.permits {
-		left = min(left, p.of.once.Left(p.key))
+	for _, held := range f.permits {
+		left = min(left, held.limit.concurrent.Left(held.key))
 	}
-	for _, l := range n.cluster.limits {
-		if key, ok := l.hostKey(f.host); ok {
-			left = min(left, l.once.Left(key))
+	for _, limit := range n.cluster.limits {
+		if key, ok := limit.hostKey(f.host); ok {
+			left = min(left, limit.concurrent.Left(key))
 		}
 	}
 	return left
 }
 
-// yieldLimits is that another process of this node takes what is new.
+// yieldLimits tells the concurrent limits that the successor process takes all new flows: no flow passes them here any more,
+// and permits that are given back belong to the successor.
 func (n *Node) yieldLimits() {
 	if n.cluster == nil {
 		return
 	}
-	for _, l := range n.cluster.limits {
-		if l.once != nil {
-			l.once.Yield()
+	for _, limit := range n.cluster.limits {
+		if limit.concurrent != nil {
+			limit.concurrent.Yield()
 		}
 	}
 }
 
-// limitTold takes what another node says of leases and limits; false for what is about neither.
-func (n *Node) limitTold(from int, w members.Word) bool {
-	k := n.cluster
-	if k.leases == nil {
+// receiveLimitMessage handles a message of another node about leases or limits. It reports false for any other message.
+func (n *Node) receiveLimitMessage(from int, message members.Word) bool {
+	cluster := n.cluster
+	if cluster.leases == nil {
 		return false
 	}
-	p := w.Payload
-	if k.leases.Take(from+1, w.Process, p, func(p []byte) { n.tellOne(from, p) }) {
+	payload := message.Payload
+	if cluster.leases.Take(from+1, message.Process, payload, func(payload []byte) { n.sendToNode(from, payload) }) {
 		return true
 	}
-	if len(p) <= limitHead || p[0] != limitKind {
+	if len(payload) <= limitHeaderSize || payload[0] != limitMessageKind {
 		return false
 	}
-	id := binary.LittleEndian.Uint32(p[1:])
-	i := slices.IndexFunc(k.limits, func(l *keptLimit) bool { return l.id == id })
-	if i < 0 {
-		k.unknown++ // the files of two nodes differ
+	id := binary.LittleEndian.Uint32(payload[1:])
+	index := slices.IndexFunc(cluster.limits, func(limit *localLimit) bool { return limit.id == id })
+	if index < 0 {
+		cluster.unknownLimits++ // the two nodes are configured differently
 		return true
 	}
-	l, p := k.limits[i], p[limitHead:]
-	answer := func(p []byte) { n.tellOne(from, l.wrap(p)) }
-	if l.once != nil {
-		if l.once.TakeAsk(w.Process, p, answer) {
+	limit, payload := cluster.limits[index], payload[limitHeaderSize:]
+	answer := func(payload []byte) { n.sendToNode(from, limit.encode(payload)) }
+	if limit.concurrent != nil {
+		if limit.concurrent.TakeAsk(message.Process, payload, answer) {
 			return true
 		}
-		done, ok := l.once.Told(from, p)
-		n.settleOnce(l, done)
+		answers, ok := limit.concurrent.Told(from, payload)
+		n.settleConcurrent(limit, answers)
 		return ok
 	}
-	if l.rate.TakeAsk(p, answer) {
+	if limit.rate.TakeAsk(payload, answer) {
 		return true
 	}
-	done, ok := l.rate.Told(from, p, n.teller(l))
-	n.settleRate(l, done)
+	answers, ok := limit.rate.Told(from, payload, n.limitSender(limit))
+	n.settleRate(limit, answers)
 	return ok
 }
 
-// limitText is the limits' figures for operators; empty where there are none.
-func (n *Node) limitText() string {
-	k := n.cluster
-	if k.leases == nil {
+// limitMetrics returns the metrics of the fleet limits, a line each; empty where there are none.
+func (n *Node) limitMetrics() string {
+	cluster := n.cluster
+	if cluster.leases == nil {
 		return ""
 	}
-	var b strings.Builder
+	var text strings.Builder
 	owned := 0
-	for s := range lease.Slots {
-		if _, ok := k.leases.Owned(s); ok {
+	for slot := range lease.Slots {
+		if _, ok := cluster.leases.Owned(slot); ok {
 			owned++
 		}
 	}
-	fmt.Fprintf(&b, "limit_slots_owned=%d\nlimit_unknown=%d\n", owned, k.unknown)
-	for _, l := range k.limits {
-		add := func(name string, v int64) { fmt.Fprintf(&b, "limit.%s.%s=%d\n", l.name, name, v) }
-		if o := l.once; o != nil {
-			used, books := o.Keys()
-			add("held", int64(o.Used()))
-			add("granted", o.Granted)
-			add("refused", o.Refused)
-			add("over", o.Ended)
-			add("asked", o.Asked)
-			add("alone", o.Alone)
-			add("stray", o.Stray)
-			add("keys", int64(used+books))
-			add("word_ms", o.Oldest()/ms)
+	fmt.Fprintf(&text, "limit_slots_owned=%d\nlimit_unknown=%d\n", owned, cluster.unknownLimits)
+	for _, limit := range cluster.limits {
+		add := func(name string, v int64) { fmt.Fprintf(&text, "limit.%s.%s=%d\n", limit.name, name, v) }
+		if concurrent := limit.concurrent; concurrent != nil {
+			used, ledgers := concurrent.Keys()
+			add("held", int64(concurrent.Used()))
+			add("granted", concurrent.Granted)
+			add("refused", concurrent.Refused)
+			add("over", concurrent.Ended)
+			add("asked", concurrent.Asked)
+			add("alone", concurrent.Alone)
+			add("stray", concurrent.Stray)
+			add("keys", int64(used+ledgers))
+			add("word_ms", concurrent.Oldest()/ms)
 			continue
 		}
-		r := l.rate
-		add("granted", r.Granted)
-		add("refused", r.Refused)
-		add("asked", r.Asked)
-		add("alone", r.Alone)
-		add("stray", r.Stray)
-		add("keys", int64(r.Keys()))
-		add("word_ms", r.Oldest()/ms)
+		rate := limit.rate
+		add("granted", rate.Granted)
+		add("refused", rate.Refused)
+		add("asked", rate.Asked)
+		add("alone", rate.Alone)
+		add("stray", rate.Stray)
+		add("keys", int64(rate.Keys()))
+		add("word_ms", rate.Oldest()/ms)
 	}
-	return b.String()
+	return text.String()
 }
 
-// limitsAddresses tells whether a limit is over clients' addresses.
-func (n *Node) limitsAddresses() bool {
-	return n.cluster != nil && slices.ContainsFunc(n.cluster.limits, func(l *keptLimit) bool { return l.Over == OverAddress })
+// limitsByAddress reports whether a fleet limit is over client addresses.
+func (n *Node) limitsByAddress() bool {
+	return n.cluster != nil && slices.ContainsFunc(n.cluster.limits, func(l *localLimit) bool { return l.Over == OverAddress })
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -17,60 +17,83 @@
 	"coursewinch/settings"
 )
 
-// wires is a Net without sockets: what is sent gathers here, by connection, in the order in which they were made.
-type wires struct {
-	n     *Node
-	ids   []uint64
-	to    map[uint64]string
-	in    map[uint64]*lines.Ring
-	out   map[uint64]*lines.Ring
-	sent  map[uint64]string
-	ended map[uint64]string // how it was ended by the node
-	up    map[uint64]bool
-	gone  map[uint64]bool // its other side has ended, and nobody was told
-	room  int
-	asked int // clients so far
-	from  netip.AddrPort
-}
-
-func (w *wires) add(id uint64, to string, in, out *lines.Ring) {
-	w.ids = append(w.ids, id)
-	w.to[id], w.in[id], w.out[id] = to, in, out
-}
-func (w *wires) Dial(id uint64, to string, in, out *lines.Ring) { w.add(id, to, in, out) }
-func (w *wires) Touch(id uint64) {
-	for r := w.out[id]; w.up[id] && r.Len() > 0; {
-		w.sent[id] += string(r.Head())
+// fakeNet is a Net without sockets. It collects what the node sends on each connection.
+type fakeNet struct {
+	node        *Node
+	ids         []uint64
+	address     map[uint64]string
+	in          map[uint64]*lines.Ring
+	out         map[uint64]*lines.Ring
+	sent        map[uint64]string
+	ended       map[uint64]string // how the node closed the connection
+	up          map[uint64]bool
+	endedUnread map[uint64]bool // the other side has closed, and the node has not been told
+	room        int
+	clients     int            // clients opened so far
+	from        netip.AddrPort // address of the clients
+}
+
+func (net *fakeNet) register(id uint64, to string, in, out *lines.Ring) {
+	net.ids = append(net.ids, id)
+	net.address[id], net.in[id], net.out[id] = to, in, out
+}
+func (net *fakeNet) Dial(id uint64, to string, in, out *lines.Ring) { net.register(id, to, in, out) }
+func (net *fakeNet) Touch(id uint64) {
+	for r := net.out[id]; net.up[id] && r.Len() > 0; {
+		net.sent[id] += string(r.Head())
 		r.Drop(len(r.Head()))
 	}
 }
-func (w *wires) Shut(id uint64)  { w.ended[id] = "shut" }
-func (w *wires) Close(id uint64) { w.ended[id] = "close" }
-func (w *wires) Reset(id uint64) { w.ended[id] = "reset" }
-func (w *wires) Room() int       { return w.room }
-func (w *wires) Part(id uint64) {
-	w.Touch(id)
-	w.ended[id] = "part"
-}
-func (w *wires) Gone(id uint64) bool { return w.gone[id] }
-
-const begun = 1_000 * second
-
-// ready gives a node that knows hosts s-0, s-1... and probes none for now.
-func ready(hosts int) (*Node, *wires) { return readyWith(hosts, Config{}) }
-
-func readyWith(hosts int, conf Config) (*Node, *wires) {
-	set := &settings.Settings{Settings: balance.Settings{Types: []balance.ServiceType{{SetupTarget: 300 * ms,
-		MessageTarget: 60 * ms}}, Nodes: 1, MaxConnects: 3, OnRequest: true, AskWithin: 10 * second, ColdFrom: 0.1,
-		ColdTime: 20 * second, FallMultiple: 3}, Names: map[string]int{"chat": 0}, Dial: 250 * ms, Longest: 2 * second, Limits: []int64{0}}
-	w := &wires{to: map[uint64]string{}, in: map[uint64]*lines.Ring{}, out: map[uint64]*lines.Ring{},
-		sent: map[uint64]string{}, ended: map[uint64]string{}, up: map[uint64]bool{}, gone: map[uint64]bool{}, room: 100}
-	w.n = New(set, conf, w)
-	w.n.Begin(begun, named("ready", hosts))
-	return w.n, w
-}
-
-func named(state string, hosts int) (l discovery.List) {
+func (net *fakeNet) Shut(id uint64)  { net.ended[id] = "shut" }
+func (net *fakeNet) Close(id uint64) { net.ended[id] = "close" }
+func (net *fakeNet) Reset(id uint64) { net.ended[id] = "reset" }
+func (net *fakeNet) Room() int       { return net.room }
+func (net *fakeNet) Part(id uint64) {
+	net.Touch(id)
+	net.ended[id] = "part"
+}
+func (net *fakeNet) Gone(id uint64) bool { return net.endedUnread[id] }
+
+const startTime = 1_000 * second
+
+// newNode returns a node that knows hosts s-0, s-1, ... and sends no probes.
+func newNode(hosts int) (*Node, *fakeNet) { return newNodeWith(hosts, Config{}) }
+
+// newNodeWith is newNode with a configuration.
+func newNodeWith(hosts int, conf Config) (*Node, *fakeNet) {
+	nodeSettings := &settings.Settings{
+		Settings: balance.Settings{
+			Types:        []balance.ServiceType{{SetupTarget: 300 * ms, MessageTarget: 60 * ms}},
+			Nodes:        1,
+			MaxConnects:  3,
+			OnRequest:    true,
+			AskWithin:    10 * second,
+			ColdFrom:     0.1,
+			ColdTime:     20 * second,
+			FallMultiple: 3,
+		},
+		Names:   map[string]int{"chat": 0},
+		Dial:    250 * ms,
+		Longest: 2 * second,
+		Limits:  []int64{0},
+	}
+	net := &fakeNet{
+		address:     map[uint64]string{},
+		in:          map[uint64]*lines.Ring{},
+		out:         map[uint64]*lines.Ring{},
+		sent:        map[uint64]string{},
+		ended:       map[uint64]string{},
+		up:          map[uint64]bool{},
+		endedUnread: map[uint64]bool{},
+		room:        100,
+	}
+	net.node = New(nodeSettings, conf, net)
+	net.node.Begin(startTime, entries("ready", hosts))
+	return net.node, net
+}
+
+// entries returns a list of hosts s-0, s-1, ... with addresses h0, h1, ...
+func entries(state string, hosts int) (l discovery.List) {
 	for i := range hosts {
 		l.Entries = append(l.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: fmt.Sprintf("h%d", i),
 			State: state, Size: 1})
@@ -78,121 +101,126 @@
 	return l
 }
 
-func (w *wires) turn(after int64, in func()) { w.n.Turn(w.n.now+after, in) }
+func (net *fakeNet) run(after int64, in func()) { net.node.Turn(net.node.now+after, in) }
 
-// bytes gives a connection text that has come.
-func (w *wires) bytes(id uint64, text string) {
-	w.turn(1, func() {
-		w.in[id].Put([]byte(text))
-		w.n.Received(id)
+// receive delivers text on a connection.
+func (net *fakeNet) receive(id uint64, text string) {
+	net.run(1, func() {
+		net.in[id].Put([]byte(text))
+		net.node.Received(id)
 	})
 }
 
-func (w *wires) last() uint64 { return w.ids[len(w.ids)-1] }
+func (net *fakeNet) lastConn() uint64 { return net.ids[len(net.ids)-1] }
 
-// connect lets the last connection that was asked for come up.
-func (w *wires) connect() uint64 {
-	id := w.last()
-	w.up[id] = true
-	w.turn(1, func() { w.n.Connected(id) })
+// connectLast makes the connection that was dialled last come up.
+func (net *fakeNet) connectLast() uint64 {
+	id := net.lastConn()
+	net.up[id] = true
+	net.run(1, func() { net.node.Connected(id) })
 	return id
 }
 
-// client opens a client's connection and says something on it.
-func (w *wires) client(text string) uint64 {
+// openClient opens a client's connection and sends a text on it.
+func (net *fakeNet) openClient(text string) uint64 {
 	var id uint64
-	w.asked++ // each has an id of its own
-	text = strings.Replace(text, "OPEN 1 ", fmt.Sprintf("OPEN %d ", w.asked), 1)
-	w.turn(1, func() {
+	net.clients++ // each request has an id of its own
+	text = strings.Replace(text, "OPEN 1 ", fmt.Sprintf("OPEN %d ", net.clients), 1)
+	net.run(1, func() {
 		var in, out *lines.Ring
-		id, in, out, _ = w.n.Accept(w.from)
-		w.add(id, "", in, out)
-		w.up[id] = true
+		id, in, out, _ = net.node.Accept(net.from)
+		net.register(id, "", in, out)
+		net.up[id] = true
 	})
 	if text != "" {
-		w.bytes(id, text)
+		net.receive(id, text)
 	}
 	return id
 }
 
-const asks = "OPEN 1 2 c=chat,d=2000\r\n"
+const openLine = "OPEN 1 2 c=chat,d=2000\r\n"
 
-// stands gives an established flow.
-func (w *wires) stands() (client, host uint64) {
-	client = w.client(asks)
-	host = w.connect()
-	w.bytes(host, "UP 7\r\n")
+// establish returns the connections of a new established flow.
+func (net *fakeNet) establish() (client, host uint64) {
+	client = net.openClient(openLine)
+	host = net.connectLast()
+	net.receive(host, "UP 7\r\n")
 	return client, host
 }
 
-func (w *wires) want(t *testing.T, id uint64, sent, ended string) {
+func (net *fakeNet) expect(t *testing.T, id uint64, sent, ended string) {
 	t.Helper()
-	if w.sent[id] != sent || w.ended[id] != ended {
-		t.Fatalf("sent %q, ended %q; want %q, %q", w.sent[id], w.ended[id], sent, ended)
+	if net.sent[id] != sent || net.ended[id] != ended {
+		t.Fatalf("sent %q, ended %q; want %q, %q", net.sent[id], net.ended[id], sent, ended)
 	}
 }
 
 func TestAnswerAndLinesInOneRead(t *testing.T) {
-	n, w := ready(1)
-	c := w.client(asks)
-	h := w.connect()
-	w.want(t, h, "OPEN 1 2 c=chat,d=1994\r\n", "") // 5 ms are kept back and 2 us have gone
-	w.bytes(h, "U")
-	w.bytes(h, "P 7\r\nLOAD 9\r\nx")
-	w.want(t, c, "UP 7\r\nLOAD 9\r\n", "")
-	w.bytes(c, "a\r\nb")
-	w.want(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\n", "")
-	w.bytes(h, "y\r\n")
-	w.bytes(c, "c\r\n")
-	w.want(t, c, "UP 7\r\nLOAD 9\r\nxy\r\n", "")
-	w.want(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\nbc\r\n", "")
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	h := net.connectLast()
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\n", "") // answerMargin is 5 ms, and 2 us have passed
+	net.receive(h, "U")
+	net.receive(h, "P 7\r\nLOAD 9\r\nx")
+	net.expect(t, c, "UP 7\r\nLOAD 9\r\n", "")
+	net.receive(c, "a\r\nb")
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\n", "")
+	net.receive(h, "y\r\n")
+	net.receive(c, "c\r\n")
+	net.expect(t, c, "UP 7\r\nLOAD 9\r\nxy\r\n", "")
+	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\nbc\r\n", "")
 	if n.Count.Taken != 1 || n.Types[0].Success != 1 {
 		t.Fatal(n.Count)
 	}
 }
 
-// Guards the module against being called from within its own call: a connect that fails at once is told later.
-func TestConnectNeverEndsWithinItsRound(t *testing.T) {
-	n, w := ready(1)
-	c := w.client(asks)
-	n.Move(&n.conns.get(w.last()).flow.Flow) // not established: nothing to move
-	w.turn(0, func() {
-		w.n.Ended(w.last(), unix.ECONNREFUSED)
-		if w.sent[c] != "BUSY\r\n" {
-			t.Error("the only host refuses, and the client waits")
+// A connect that fails at once is reported to the module in the next iteration, because the module must not be called from
+// within its own call.
+func TestConnectFailsInNextIteration(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	n.Move(&n.conns.get(net.lastConn()).flow.Flow) // not established, so this does nothing
+	net.run(0, func() {
+		net.node.Ended(net.lastConn(), unix.ECONNREFUSED)
+		if net.sent[c] != "BUSY\r\n" {
+			t.Error("the only host refused the connection and the client has no answer")
 		}
 	})
 }
 
-func TestMoveIsToldInTheNextTurn(t *testing.T) {
-	n, w := ready(1)
-	c, h := w.stands()
+func TestMoveIsReportedInNextIteration(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
 	f := n.conns.get(c).flow
 	n.Move(&f.Flow)
 	n.Move(&f.Flow)
-	if n.flows.held != 1 {
-		t.Fatal("the module's flow is gone before its round has ended")
+	if n.flows.count != 1 {
+		t.Fatal("the flow was removed within the module's own call")
 	}
-	w.want(t, c, "UP 7\r\nMOVE\r\n", "shut")
-	if w.ended[h] != "shut" {
-		t.Fatal(w.ended[h])
+	net.expect(t, c, "UP 7\r\nMOVE\r\n", "shut")
+	if net.ended[h] != "shut" {
+		t.Fatal(net.ended[h])
 	}
-	w.turn(0, func() {})
-	if n.flows.held != 0 || n.Count.Moves != 1 {
-		t.Fatal(n.flows.held, n.Count)
+	net.run(0, func() {})
+	if n.flows.count != 0 || n.Count.Moves != 1 {
+		t.Fatal(n.flows.count, n.Count)
 	}
 }
 
-func TestHowFarAConnectHadCome(t *testing.T) {
+func TestConnectErrorOutcome(t *testing.T) {
 	for _, c := range []struct {
 		stage Stage
 		cause error
 		want  balance.Outcome
 	}{
-		{Dialing, errTimeout, balance.Unreachable}, {Dialing, unix.ECONNRESET, balance.Unreachable},
-		{Asked, errTimeout, balance.Overdue}, {Asked, unix.ECONNRESET, balance.Severed},
-		{Asked, errEnded, balance.Severed}, {Asked, errBusy, balance.Saturated}, {Asked, errAnswer, balance.Errored},
-		{Dialing, errLeaves, balance.Saturated},
+		{Dialing, errTimeout, balance.Unreachable},
+		{Dialing, unix.ECONNRESET, balance.Unreachable},
+		{AwaitingAnswer, errTimeout, balance.Overdue},
+		{AwaitingAnswer, unix.ECONNRESET, balance.Severed},
+		{AwaitingAnswer, errEnded, balance.Severed},
+		{AwaitingAnswer, errBusy, balance.Saturated},
+		{AwaitingAnswer, errAnswer, balance.Errored},
+		{Dialing, errHostLeaving, balance.Saturated},
 	} {
 		if got := (&ConnectError{c.stage, c.cause}).Outcome(); got != c.want {
 			t.Errorf("%v %v: %v", c.stage, c.cause, got)
@@ -200,506 +228,507 @@
 	}
 }
 
-func TestConnectsTakeTurns(t *testing.T) {
-	n, w := ready(2)
-	c := w.client(asks)
-	first := w.connect()
-	for _, line := range []string{"", "ERR\r\n"} {
-		if line == "" {
-			continue
-		}
-		w.bytes(first, line)
-	}
-	second := w.connect()
-	if first == second || w.ended[first] != "close" || w.to[first] == w.to[second] {
-		t.Fatal("no second connect, or the first is still out")
+func TestConnectsRunOneAfterAnother(t *testing.T) {
+	n, net := newNode(2)
+	c := net.openClient(openLine)
+	first := net.connectLast()
+	net.receive(first, "ERR\r\n")
+	second := net.connectLast()
+	if first == second || net.ended[first] != "close" || net.address[first] == net.address[second] {
+		t.Fatal("no second connect, or the first connection is still open")
 	}
-	w.bytes(second, "what is this\r\n") // nonsense counts as an error
-	w.want(t, c, "BUSY\r\n", "shut")    // both hosts have failed it
-	if n.Count.Connects != 2 || n.flows.held != 0 {
+	net.receive(second, "what is this\r\n") // an invalid line counts as an error
+	net.expect(t, c, "BUSY\r\n", "shut")    // both hosts have failed
+	if n.Count.Connects != 2 || n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
 
 func TestDialsAndAnswersTimeOut(t *testing.T) {
-	n, w := ready(2)
-	c := w.client(asks)
-	first := w.last()
-	w.turn(250*ms, func() {})
-	if w.last() == first || w.ended[first] != "close" {
-		t.Fatal("a connection that does not come up is waited for")
+	n, net := newNode(2)
+	c := net.openClient(openLine)
+	first := net.lastConn()
+	net.run(250*ms, func() {})
+	if net.lastConn() == first || net.ended[first] != "close" {
+		t.Fatal("no further connect after the dial timeout")
 	}
-	w.connect()
-	w.turn(2*second, func() {})
-	w.want(t, c, "BUSY\r\n", "shut")
-	if n.flows.held != 0 {
-		t.Fatal("the flow stays")
+	net.connectLast()
+	net.run(2*second, func() {})
+	net.expect(t, c, "BUSY\r\n", "shut")
+	if n.flows.count != 0 {
+		t.Fatal("the flow was not removed")
 	}
 }
 
-func TestClientLeavesWhileItWaits(t *testing.T) {
-	n, w := ready(1)
-	c := w.client(asks)
-	h := w.connect()
-	w.turn(1, func() { n.Ended(c, nil) })
-	if w.ended[c] != "close" || w.ended[h] != "close" || n.flows.held != 0 || n.conns.held != 1 { // the watch
-		t.Fatal(w.ended, n.flows.held, n.conns.held)
+func TestClientLeavesBeforeAnswer(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	h := net.connectLast()
+	net.run(1, func() { n.Ended(c, nil) })
+	if net.ended[c] != "close" || net.ended[h] != "close" || n.flows.count != 0 || n.conns.count != 1 { // the watch
+		t.Fatal(net.ended, n.flows.count, n.conns.count)
 	}
 }
 
-func TestEndsReachTheOtherSide(t *testing.T) {
+func TestCloseReachesOtherSide(t *testing.T) {
 	for _, c := range []struct {
 		last string
 		err  error
 		want string
 	}{{"BYE\r\n", nil, "shut"}, {"", nil, "shut"}, {"", unix.ECONNRESET, "reset"}, {"part", nil, "shut"}} {
-		n, w := ready(1)
-		client, host := w.stands()
-		w.turn(1, func() {
-			w.in[host].Put([]byte(c.last))
+		n, net := newNode(1)
+		client, host := net.establish()
+		net.run(1, func() {
+			net.in[host].Put([]byte(c.last))
 			n.Received(host)
 			n.Ended(host, c.err)
 		})
-		w.want(t, client, "UP 7\r\n"+c.last, c.want)
-		if n.flows.held != 0 || w.ended[host] != "close" {
-			t.Fatal(n.flows.held, w.ended[host])
+		net.expect(t, client, "UP 7\r\n"+c.last, c.want)
+		if n.flows.count != 0 || net.ended[host] != "close" {
+			t.Fatal(n.flows.count, net.ended[host])
 		}
 	}
 }
 
-// Guards clients of a host that goes silent: no end ever tells of it.
+// A host that goes silent never closes its connections. A flow is moved when the oldest line passed to the host has had no
+// answer for hostSilenceTimeout.
 func TestSilentHostLosesItsFlows(t *testing.T) {
-	n, w := ready(1)
-	n.times.off(&n.say) // or the module moves it before
-	c, h := w.stands()
-	w.bytes(c, "M 1\r\n")
-	w.bytes(h, "M 1\r\n")
-	w.turn(6*second, func() {})
-	if n.flows.held != 1 {
-		t.Fatal("moved with no line out")
-	}
-	w.bytes(c, "M 2\r\n")
-	w.turn(2*second, func() {})
-	w.bytes(c, "M 3\r\n") // counts from the first
-	w.turn(3*second, func() {})
-	w.want(t, c, "UP 7\r\nM 1\r\nMOVE\r\n", "shut")
-	if n.flows.held != 0 || n.Count.Silent != 1 {
+	n, net := newNode(1)
+	n.deadlines.cancel(&n.messageTimeTimer) // otherwise the module moves the flow earlier
+	c, h := net.establish()
+	net.receive(c, "M 1\r\n")
+	net.receive(h, "M 1\r\n")
+	net.run(6*second, func() {})
+	if n.flows.count != 1 {
+		t.Fatal("moved without an unanswered line")
+	}
+	net.receive(c, "M 2\r\n")
+	net.run(2*second, func() {})
+	net.receive(c, "M 3\r\n") // the timeout counts from the first line
+	net.run(3*second, func() {})
+	net.expect(t, c, "UP 7\r\nM 1\r\nMOVE\r\n", "shut")
+	if n.flows.count != 0 || n.Count.Silent != 1 {
 		t.Fatal(n.Count)
 	}
 }
 
-func TestMoveNeverFallsIntoALine(t *testing.T) {
-	n, w := ready(1)
-	c, h := w.stands()
-	w.bytes(h, strings.Repeat("x", lines.RingSize)) // longer than any line may be, and passed on all the same
+func TestMoveNeverSplitsALine(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.receive(h, strings.Repeat("x", lines.RingSize)) // longer than any line may be, but passed on
 	n.Move(&n.conns.get(c).flow.Flow)
-	if strings.Contains(w.sent[c], "MOVE") || w.ended[c] != "" {
-		t.Fatal("MOVE within a line, or cut off in the middle of one")
+	if strings.Contains(net.sent[c], "MOVE") || net.ended[c] != "" {
+		t.Fatal("MOVE sent within a line, or connection closed within a line")
 	}
-	w.bytes(h, "x\r\nLOAD 1\r\n")
-	if !strings.HasSuffix(w.sent[c], "x\r\nLOAD 1\r\nMOVE\r\n") || w.ended[c] != "shut" || n.flows.held != 0 {
-		t.Fatal("not moved after the line", w.ended[c], n.flows.held)
+	net.receive(h, "x\r\nLOAD 1\r\n")
+	if !strings.HasSuffix(net.sent[c], "x\r\nLOAD 1\r\nMOVE\r\n") || net.ended[c] != "shut" || n.flows.count != 0 {
+		t.Fatal("not moved after the line", net.ended[c], n.flows.count)
 	}
 }
 
-// Guards lines that wait for room at a slow client against a move that comes then.
-func TestMoveComesBehindWhatWaits(t *testing.T) {
-	n, w := ready(1)
-	c, h := w.stands()
-	w.up[c] = false // it reads nothing
-	line, told := strings.Repeat("y", 3000)+"\r\n", "UP 7\r\n"
-	for n.conns.get(h).in.Len() == 0 { // until one finds no room
-		w.bytes(h, line)
-		told += line
+// A move waits for the host's lines that wait for room at a slow client.
+func TestMoveFollowsQueuedLines(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.up[c] = false // the client reads nothing
+	line, expected := strings.Repeat("y", 3000)+"\r\n", "UP 7\r\n"
+	for n.conns.get(h).in.Len() == 0 { // until a line finds no room
+		net.receive(h, line)
+		expected += line
 	}
 	n.Move(&n.conns.get(c).flow.Flow)
-	if w.ended[c] != "" {
-		t.Fatal("cut off with lines under way")
+	if net.ended[c] != "" {
+		t.Fatal("closed with lines waiting")
 	}
-	w.up[c] = true
-	w.turn(1, func() {
-		w.Touch(c)
+	net.up[c] = true
+	net.run(1, func() {
+		net.Touch(c)
 		n.Sent(c)
 	})
-	if w.want(t, c, told+"MOVE\r\n", "shut"); n.flows.held != 0 {
-		t.Fatal(n.flows.held)
+	if net.expect(t, c, expected+"MOVE\r\n", "shut"); n.flows.count != 0 {
+		t.Fatal(n.flows.count)
 	}
 }
 
-// Guards a full ring: what does not fit waits, and goes on when there is room.
-func TestFullRingsWait(t *testing.T) {
-	n, w := ready(1)
-	c, h := w.stands()
-	w.up[c] = false // the client reads nothing
+// Lines that don't fit into the client's ring stay in the host's and follow when there is room.
+func TestFullRingHoldsLinesBack(t *testing.T) {
+	n, net := newNode(1)
+	c, h := net.establish()
+	net.up[c] = false // the client reads nothing
 	line := strings.Repeat("y", 3000) + "\r\n"
 	for range 4 {
-		w.bytes(h, line)
+		net.receive(h, line)
 	}
-	if w.in[h].Free() > 3002 {
+	if net.in[h].Free() > 3002 {
 		t.Fatal("the host's lines are not held back")
 	}
-	w.up[c] = true
+	net.up[c] = true
 	for range 4 {
-		w.Touch(c)
-		w.turn(1, func() { n.Sent(c) })
+		net.Touch(c)
+		net.run(1, func() { n.Sent(c) })
 	}
-	w.want(t, c, "UP 7\r\n"+strings.Repeat(line, 4), "")
+	net.expect(t, c, "UP 7\r\n"+strings.Repeat(line, 4), "")
 }
 
-func TestNothingNewForAHostThatLeaves(t *testing.T) {
-	n, w := ready(1)
-	c := w.client(asks)
-	w.turn(1, func() { n.list(balance.Changes, named("draining", 1)) })
-	h := w.connect()
-	w.want(t, h, "", "close")
-	w.want(t, c, "BUSY\r\n", "shut")
+func TestNoRequestToDrainingHost(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine)
+	net.run(1, func() { n.applyList(balance.Changes, entries("draining", 1)) })
+	h := net.connectLast()
+	net.expect(t, h, "", "close")
+	net.expect(t, c, "BUSY\r\n", "shut")
 }
 
-func TestListsKeepHosts(t *testing.T) {
-	n, w := ready(2)
+func TestListUpdatesHosts(t *testing.T) {
+	n, net := newNode(2)
 	h := n.hosts["s-1"]
-	l := named("ready", 2)
-	l.Rev = 8
-	l.Entries[1].Endpoint, l.Entries[1].BootMs = "h9", begun/ms
-	w.turn(1, func() { n.list(balance.Changes, l) })
-	if n.hosts["s-1"] != h || h.addr != "h9" || h.Started != begun || h.Hash != hash("s-1") {
+	update := entries("ready", 2)
+	update.Rev = 8
+	update.Entries[1].Endpoint, update.Entries[1].BootMs = "h9", startTime/ms
+	net.run(1, func() { n.applyList(balance.Changes, update) })
+	if n.hosts["s-1"] != h || h.addr != "h9" || h.Started != startTime || h.Hash != hash("s-1") {
 		t.Fatal(h)
 	}
-	w.turn(1, func() { n.list(balance.Whole, named("ready", 1)) })
+	net.run(1, func() { n.applyList(balance.Whole, entries("ready", 1)) })
 	if len(n.hosts) != 1 || h.State != balance.Removed {
-		t.Fatal("a host absent from the whole list stays")
+		t.Fatal("a host absent from the whole list was kept")
 	}
 }
 
+// chunk returns an HTTP chunk with a line of text.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(text)+1, text) }
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Guards changes against a watch that is silent, and the watch against being given up for one that may not come.
-func TestSilentWatchIsRemade(t *testing.T) {
-	n, w := ready(1)
-	first := w.connect()
-	w.bytes(first, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
-	w.turn(watchQuiet-1, func() {})
-	if w.last() != first || n.Count.CallsFailed != 0 {
-		t.Fatal("given up early")
-	}
-	w.turn(1, func() {})
-	w.turn(250*ms, func() {})
-	call := w.connect()
-	if w.ended[first] != "" || call == first || n.Count.CallsFailed != 1 {
-		t.Fatal("not remade, or the old one is gone", w.ended[first])
-	}
-	w.bytes(first, chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
+// A silent watch leads to a new call, but stays open and is listened to until the new call has brought a list.
+func TestSilentWatchIsReplaced(t *testing.T) {
+	n, net := newNode(1)
+	old := net.connectLast()
+	net.receive(old, watchHead+chunk(`{"rev":3,"all":false,"targets":[]}`))
+	net.run(watchSilenceTimeout-1, func() {})
+	if net.lastConn() != old || n.Count.CallsFailed != 0 {
+		t.Fatal("replaced too early")
+	}
+	net.run(1, func() {})
+	net.run(250*ms, func() {})
+	call := net.connectLast()
+	if net.ended[old] != "" || call == old || n.Count.CallsFailed != 1 {
+		t.Fatal("no new call, or the old watch was closed", net.ended[old])
+	}
+	net.receive(old, chunk(`{"rev":4,"all":false,"targets":[{"uid":"s-0","state":"draining"}]}`))
 	if n.hosts["s-0"].State != balance.Draining {
-		t.Fatal("what it says after all is not taken in")
+		t.Fatal("a late list of the old watch was ignored")
 	}
-	w.bytes(call, watchHead+chunk(`{"rev":5,"all":false,"targets":[]}`))
-	if w.ended[first] != "close" || n.watch == nil || n.rev != 5 {
-		t.Fatal("two watches", n.rev)
+	net.receive(call, watchHead+chunk(`{"rev":5,"all":false,"targets":[]}`))
+	if net.ended[old] != "close" || n.watch == nil || n.listRev != 5 {
+		t.Fatal("the new call did not replace the old watch", n.listRev)
 	}
 }
 
-// Guards a change of discovery: versions count at one address only, and what is known goes on until the new one speaks.
-func TestAnotherDiscoveryIsWatchedBesideTheOld(t *testing.T) {
-	n, w := ready(1)
-	old := w.connect()
-	w.bytes(old, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(`{"rev":30,"all":false,"targets":[]}`))
-	w.turn(1, func() { n.Follow("d2") })
-	w.turn(1, func() { n.Follow("d3") }) // the last one holds
-	call := w.connect()
-	if w.to[call] != "d3" || w.ended[old] != "" || strings.Contains(w.sent[call], "after=") {
-		t.Fatal(w.to[call], w.ended[old], w.sent[call])
+// When the address of discovery changes, the old watch is kept until the new address has brought a list. Versions of the old
+// address are not used at the new one.
+func TestOldWatchKeptUntilNewDiscoveryAnswers(t *testing.T) {
+	n, net := newNode(1)
+	old := net.connectLast()
+	net.receive(old, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(`{"rev":30,"all":false,"targets":[]}`))
+	net.run(1, func() { n.Follow("d2") })
+	net.run(1, func() { n.Follow("d3") }) // the last address counts
+	call := net.connectLast()
+	if net.address[call] != "d3" || net.ended[old] != "" || strings.Contains(net.sent[call], "after=") {
+		t.Fatal(net.address[call], net.ended[old], net.sent[call])
 	}
-	w.turn(callAgain, func() {}) // it hangs: asked again well before it counts as told
-	w.turn(250*ms, func() {})
-	again := w.connect()
-	if again == call || w.ended[call] != "close" || w.ended[old] != "" {
-		t.Fatal("a call that hangs is waited for, or the old watch is gone")
+	net.run(callTimeout, func() {}) // the call hangs: the next one follows well before maxChangeDelay
+	net.run(250*ms, func() {})
+	again := net.connectLast()
+	if again == call || net.ended[call] != "close" || net.ended[old] != "" {
+		t.Fatal("the hanging call was not replaced, or the old watch was closed")
 	}
-	w.bytes(again, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
+	net.receive(again, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		chunk(`{"rev":2,"all":true,"targets":[{"uid":"s-9","endpoint":"h9","state":"ready"}]}`))
-	if w.ended[old] != "close" || w.ended[call] != "close" || n.hosts["s-9"] == nil || n.hosts["s-0"] != nil {
-		t.Fatal("the new one spoke")
+	if net.ended[old] != "close" || net.ended[call] != "close" || n.hosts["s-9"] == nil || n.hosts["s-0"] != nil {
+		t.Fatal("the list of the new address was not taken over in full")
 	}
-	w.turn(1, func() { n.Ended(again, nil) }) // so soon that it counts as refused, the second time
-	w.turn(2*second, func() {})
-	if w.connect(); !strings.Contains(w.sent[w.last()], "after=2 ") {
-		t.Fatal(w.sent[w.last()])
+	net.run(1, func() { n.Ended(again, nil) }) // so soon that it counts as the second refusal
+	net.run(2*second, func() {})
+	if net.connectLast(); !strings.Contains(net.sent[net.lastConn()], "after=2 ") {
+		t.Fatal(net.sent[net.lastConn()])
 	}
 }
 
-func TestHeldFlowIsTriedAgain(t *testing.T) {
-	n, w := ready(2)
-	c := w.client("OPEN 1 2 c=chat,d=2000,at=s-1\r\n")
-	first := w.last()
-	w.turn(1, func() { n.Ended(first, unix.ECONNREFUSED) })
-	w.turn(rejoinEvery, func() {})
-	h := w.connect()
-	if h == first || w.to[h] != "h1" {
-		t.Fatal(w.to[h])
+func TestRejoiningFlowRetries(t *testing.T) {
+	n, net := newNode(2)
+	c := net.openClient("OPEN 1 2 c=chat,d=2000,at=s-1\r\n")
+	first := net.lastConn()
+	net.run(1, func() { n.Ended(first, unix.ECONNREFUSED) })
+	net.run(rejoinInterval, func() {})
+	h := net.connectLast()
+	if h == first || net.address[h] != "h1" {
+		t.Fatal(net.address[h])
 	}
-	w.bytes(h, "UP 3\r\n")
-	w.want(t, c, "UP 3\r\n", "")
+	net.receive(h, "UP 3\r\n")
+	net.expect(t, c, "UP 3\r\n", "")
 }
 
 func TestProbes(t *testing.T) {
-	n, w := ready(1)
-	n.set.Probing = true
+	n, net := newNode(1)
+	n.settings.Probing = true
 	h := n.hosts["s-0"]
 	n.Probe(&h.Server)
-	id := w.connect()
-	w.bytes(id, "PONG\r\n")
+	id := net.connectLast()
+	net.receive(id, "PONG\r\n")
 	n.Probe(&h.Server)
-	w.want(t, id, "PING\r\nPING\r\n", "")
-	w.turn(300*ms, func() {})
-	if w.ended[id] != "close" || n.Count.ProbesFailed != 1 {
-		t.Fatal("a probe without an answer goes on")
-	}
-}
-
-// Guards descriptors against clients that say nothing or do not end their line; the front's connection stays.
-func TestLinesAreOwedInTime(t *testing.T) {
-	n, w := ready(1)
-	mute, half, front, later := w.client(""), w.client("OPEN 1"), w.client("PING\r\n"), w.client("PING\r\n")
-	w.turn(firstLine, func() {})
-	w.want(t, mute, "BUSY\r\n", "shut") // its line may be on its way: nothing of it was tried
-	w.want(t, half, "ERR\r\n", "shut")
-	w.bytes(later, "PIN")
-	w.turn(firstLine, func() {})
-	w.want(t, later, "PONG\r\nERR\r\n", "shut")
-	w.turn(60*second, func() {})
-	w.want(t, front, "PONG\r\n", "")
-	if n.flows.held != 0 {
+	net.expect(t, id, "PING\r\nPING\r\n", "")
+	net.run(300*ms, func() {})
+	if net.ended[id] != "close" || n.Count.ProbesFailed != 1 {
+		t.Fatal("a probe without an answer did not fail")
+	}
+}
+
+// Clients that send nothing or don't end their line are closed, so that they don't hold descriptors. The connection of the
+// front-end load balancer, which sends PING, stays.
+func TestFirstLineTimeout(t *testing.T) {
+	n, net := newNode(1)
+	silent, half, front, later := net.openClient(""), net.openClient("OPEN 1"), net.openClient("PING\r\n"), net.openClient("PING\r\n")
+	net.run(firstLineTimeout, func() {})
+	net.expect(t, silent, "BUSY\r\n", "shut") // its request may be on its way and was not tried
+	net.expect(t, half, "ERR\r\n", "shut")
+	net.receive(later, "PIN")
+	net.run(firstLineTimeout, func() {})
+	net.expect(t, later, "PONG\r\nERR\r\n", "shut")
+	net.run(60*second, func() {})
+	net.expect(t, front, "PONG\r\n", "")
+	if n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
 
-// Guards usual clients, connects and probes against crowds that ask nothing: those are shed, the oldest first.
-func TestCrowdsThatAskNothingAreShed(t *testing.T) {
-	n, w := ready(1)
-	w.room = reserve + 2
-	front := w.client("PING\r\n")
-	idle := w.client("PING\r\n")
-	old := w.client("")
-	w.turn(settled, func() {})
-	young := w.client("")
-	w.turn(1, func() {
+// Clients that request nothing are shed, oldest first, so that ordinary clients, connects and probes find descriptors.
+func TestIdleCrowdIsShed(t *testing.T) {
+	n, net := newNode(1)
+	net.room = reservedDescriptors + 2
+	front := net.openClient("PING\r\n")
+	idle := net.openClient("PING\r\n")
+	old := net.openClient("")
+	net.run(shedAfterSilence, func() {})
+	young := net.openClient("")
+	net.run(1, func() {
 		if !n.Spare() {
-			t.Error("nobody was shed for one more client")
+			t.Error("no client was shed for a new one")
 		}
 	})
-	w.want(t, old, "BUSY\r\n", "part")
-	w.want(t, young, "", "")
-	w.room = 0
-	w.bytes(w.client(""), asks)
-	if w.want(t, idle, "PONG\r\nBUSY\r\n", "part"); w.ended[front] != "" || n.Count.Shed != 2 {
-		t.Fatal(w.ended, n.Count)
-	}
-}
-
-// Guards a client that reads slowly: its last line is not cut off for want of a descriptor.
-func TestLastLinesOnTheirWayAreNotShed(t *testing.T) {
-	n, w := ready(1)
-	c, _ := w.stands()
-	w.up[c] = false // reads nothing
-	w.turn(1, func() { n.Move(&n.conns.get(c).flow.Flow) })
-	w.turn(settled, func() {})
-	w.turn(1, func() {
-		for n.shed() {
+	net.expect(t, old, "BUSY\r\n", "part")
+	net.expect(t, young, "", "")
+	net.room = 0
+	net.receive(net.openClient(""), openLine)
+	if net.expect(t, idle, "PONG\r\nBUSY\r\n", "part"); net.ended[front] != "" || n.Count.Shed != 2 {
+		t.Fatal(net.ended, n.Count)
+	}
+}
+
+// A client that reads slowly is not shed while its last line is unsent.
+func TestUnsentLastLineIsNotShed(t *testing.T) {
+	n, net := newNode(1)
+	c, _ := net.establish()
+	net.up[c] = false // the client reads nothing
+	net.run(1, func() { n.Move(&n.conns.get(c).flow.Flow) })
+	net.run(shedAfterSilence, func() {})
+	net.run(1, func() {
+		for n.shedOne() {
 		}
 	})
-	if w.ended[c] != "shut" {
-		t.Fatal(w.ended[c], "with MOVE unsent")
+	if net.ended[c] != "shut" {
+		t.Fatal("shed with MOVE unsent:", net.ended[c])
 	}
 }
 
-// Guards hosts' standing against a node that is short itself: what was never sent says nothing of them.
-func TestWithoutDescriptorsNothingIsLearned(t *testing.T) {
-	n, w := ready(2)
-	c := w.client(asks)
-	w.room = 0
-	w.turn(1, func() { n.Ended(w.last(), unix.ECONNREFUSED) })
-	w.turn(1, func() {})
-	w.want(t, c, "BUSY\r\n", "shut")
-	if n.Count.Connects != 1 || n.links != 0 {
+// A node without descriptors sends nothing, and what it did not send must not count against hosts.
+func TestNoDescriptorSaysNothingAboutHosts(t *testing.T) {
+	n, net := newNode(2)
+	c := net.openClient(openLine)
+	net.room = 0
+	net.run(1, func() { n.Ended(net.lastConn(), unix.ECONNREFUSED) })
+	net.run(1, func() {})
+	net.expect(t, c, "BUSY\r\n", "shut")
+	if n.Count.Connects != 1 || n.upstreamCount != 0 {
 		t.Fatal(n.Count)
 	}
 	h := n.hosts["s-0"]
 	n.Probe(&h.Server)
-	w.turn(1, func() {})
-	if h.probed != 0 || h.probe != nil {
-		t.Fatal("a probe without a descriptor")
+	net.run(1, func() {})
+	if h.probeSentAt != 0 || h.probe != nil {
+		t.Fatal("the unsent probe is still outstanding")
 	}
 }
 
-// Guards a flow against another that calls itself the same, also after its end: a host may not have heard of that.
-func TestIdsComeOnce(t *testing.T) {
-	n, w := ready(1)
-	w.stands()
+// A request id can't be used again, even after the end of its flow, because the host may not know of that end yet.
+func TestRequestIDsAreUnique(t *testing.T) {
+	n, net := newNode(1)
+	net.establish()
 	for range 2 {
-		c := w.client("")
-		w.bytes(c, asks)
-		w.want(t, c, "ERR\r\n", "shut")
-		w.turn(1, func() { n.Ended(w.ids[1], nil) })
+		c := net.openClient("")
+		net.receive(c, openLine)
+		net.expect(t, c, "ERR\r\n", "shut")
+		net.run(1, func() { n.Ended(net.ids[1], nil) })
 	}
-	for i := range uint64(3 * mostIDs) {
-		n.ids.add(i)
+	for i := range uint64(3 * defaultMaxIDs) {
+		n.recentIDs.add(i)
 	}
-	if len(n.ids.held) != mostIDs || len(n.ids.ring) != mostIDs || !n.ids.add(hash("1")) {
-		t.Fatal("ids are kept for ever")
+	if len(n.recentIDs.known) != defaultMaxIDs || len(n.recentIDs.ring) != defaultMaxIDs || !n.recentIDs.add(hash("1")) {
+		t.Fatal("the number of remembered ids is not bounded")
 	}
 }
 
-// Guards hosts against what a client says before it may.
-func TestClientsWaitForTheirAnswer(t *testing.T) {
-	n, w := ready(1)
-	c := w.client(asks + "OPEN 3 4 c=chat,d=9\r\n")
-	w.want(t, c, "ERR\r\n", "shut")
-	c = w.client(asks)
-	h := w.connect()
-	w.bytes(c, "M")
-	w.want(t, c, "ERR\r\n", "shut")
-	if w.ended[h] != "close" || n.flows.held != 0 || n.links != 0 {
-		t.Fatal(w.ended[h], n.flows.held, n.links)
+// A client that sends data before its answer is rejected, and no host receives that data.
+func TestDataBeforeAnswerIsRejected(t *testing.T) {
+	n, net := newNode(1)
+	c := net.openClient(openLine + "OPEN 3 4 c=chat,d=9\r\n")
+	net.expect(t, c, "ERR\r\n", "shut")
+	c = net.openClient(openLine)
+	h := net.connectLast()
+	net.receive(c, "M")
+	net.expect(t, c, "ERR\r\n", "shut")
+	if net.ended[h] != "close" || n.flows.count != 0 || n.upstreamCount != 0 {
+		t.Fatal(net.ended[h], n.flows.count, n.upstreamCount)
 	}
 }
 
 func TestManyPingsAtOnce(t *testing.T) {
-	n, w := ready(1)
-	c := w.client(strings.Repeat("PING\r\n", mostAtOnce+1))
-	w.want(t, c, strings.Repeat("PONG\r\n", mostAtOnce)+"ERR\r\n", "shut")
-	c = w.client("")
-	w.out[c].Put(make([]byte, lines.RingSize)) // it reads nothing for a while
-	w.up[c] = false
-	w.bytes(c, "PING\r\n")
-	w.out[c].Drop(lines.RingSize)
-	w.up[c] = true
-	w.turn(1, func() { n.Sent(c) })
-	w.want(t, c, "PONG\r\n", "")
-}
-
-// Guards the loop against a client that has its last line and sends on.
-func TestSendersWithoutEndAreCutOff(t *testing.T) {
-	_, w := ready(1)
-	c := w.client("frob\r\n")
-	for range mostDrained/lines.RingSize + 1 {
-		w.bytes(c, strings.Repeat("x", lines.RingSize))
-	}
-	w.want(t, c, "ERR\r\n", "close")
-}
-
-// Guards the loop against waiting on its log, and the memory against names of flows long gone.
-func TestFloodsLeaveLittleBehind(t *testing.T) {
-	n, w := ready(1)
+	n, net := newNode(1)
+	c := net.openClient(strings.Repeat("PING\r\n", maxPingsPerRead+1))
+	net.expect(t, c, strings.Repeat("PONG\r\n", maxPingsPerRead)+"ERR\r\n", "shut")
+	c = net.openClient("")
+	net.out[c].Put(make([]byte, lines.RingSize)) // the client reads nothing for a while
+	net.up[c] = false
+	net.receive(c, "PING\r\n")
+	net.out[c].Drop(lines.RingSize)
+	net.up[c] = true
+	net.run(1, func() { n.Sent(c) })
+	net.expect(t, c, "PONG\r\n", "")
+}
+
+// A client that goes on sending after its last line is closed, so that it does not keep the loop busy.
+func TestEndlessSenderIsClosed(t *testing.T) {
+	_, net := newNode(1)
+	c := net.openClient("frob\r\n")
+	for range maxDrainedBytes/lines.RingSize + 1 {
+		net.receive(c, strings.Repeat("x", lines.RingSize))
+	}
+	net.expect(t, c, "ERR\r\n", "close")
+}
+
+// Invalid lines are logged at most once a second, so that the loop does not block on its log. Groups of flows that ended
+// without being established are forgotten.
+func TestFloodsAreBounded(t *testing.T) {
+	n, net := newNode(1)
 	var text bytes.Buffer
 	log.SetOutput(&text)
 	defer log.SetOutput(os.Stderr)
-	n.set.Groups = true
+	n.settings.Groups = true
 	for i := range 500 {
-		w.client("frob\r\n")
-		c := w.client(fmt.Sprintf("OPEN 1 2 c=chat,d=2000,g=%d\r\n", i))
-		w.turn(1, func() { n.Ended(c, nil) })
+		net.openClient("frob\r\n")
+		c := net.openClient(fmt.Sprintf("OPEN 1 2 c=chat,d=2000,g=%d\r\n", i))
+		net.run(1, func() { n.Ended(c, nil) })
 	}
-	w.turn(second, func() {})
+	net.run(second, func() {})
 	if got := text.String(); strings.Count(got, "bad_line") != 2 || !strings.Contains(got, " count=499") {
 		t.Fatal(got)
 	}
-	w.turn(second, func() {})
-	if len(n.logs) != 0 || len(n.groups) != 0 {
-		t.Fatal(n.logs, n.groups)
+	net.run(second, func() {})
+	if len(n.logKinds) != 0 || len(n.groups) != 0 {
+		t.Fatal(n.logKinds, n.groups)
 	}
 }
 
-func TestShortOfDescriptors(t *testing.T) {
-	n, w := ready(1)
-	w.room = reserve - 1
-	w.want(t, w.client(asks), "BUSY\r\n", "shut")
-	if n.Count.Crowded != 1 || n.flows.held != 0 {
+func TestBusyWithoutDescriptors(t *testing.T) {
+	n, net := newNode(1)
+	net.room = reservedDescriptors - 1
+	net.expect(t, net.openClient(openLine), "BUSY\r\n", "shut")
+	if n.Count.Crowded != 1 || n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
 
-// Guards all other connections against a panic over one.
-func TestPanicCostsItsConnectionOnly(t *testing.T) {
-	n, w := ready(1)
-	a, _ := w.stands()
-	b, h := w.stands()
+// A panic closes the connection that caused it and no other.
+func TestPanicClosesOneConnection(t *testing.T) {
+	n, net := newNode(1)
+	a, _ := net.establish()
+	b, h := net.establish()
 	n.conns.get(b).flow.Type = nil
 	n.conns.get(b).flow.host = nil
-	w.bytes(b, "M\r\n")
-	w.bytes(h, "M\r\n")
-	if n.Count.Panics == 0 || w.ended[h] != "close" || w.ended[a] != "" {
-		t.Fatal(n.Count, w.ended)
+	net.receive(b, "M\r\n")
+	net.receive(h, "M\r\n")
+	if n.Count.Panics == 0 || net.ended[h] != "close" || net.ended[a] != "" {
+		t.Fatal(n.Count, net.ended)
 	}
-	w.bytes(a, "M\r\n")
+	net.receive(a, "M\r\n")
 }
 
-// Guards clients against waiting for a node to come back, and that node against all of them at once.
-func TestOrderlyEndSpreadsMoves(t *testing.T) {
-	n, w := ready(1)
+// A stop moves clients evenly over the time, and not at once: clients moved early might come back here or wait for a node that
+// is not back yet, and all at once would overload it.
+func TestStopSpreadsMoves(t *testing.T) {
+	n, net := newNode(1)
 	for range 20 {
-		w.stands()
+		net.establish()
 	}
 	n.Stop()
-	w.turn((n.stopEnd-moveSpare-n.now)/firstPart-1, func() {})
+	net.run((n.stopDeadline-moveMargin-n.now)/firstMoveDivisor-1, func() {})
 	if n.Count.Moves != 0 {
-		t.Fatal(n.Count.Moves, "moved while they would come back here")
+		t.Fatal(n.Count.Moves, "clients moved too early")
 	}
-	half := (n.stopEnd - moveSpare - n.now) / 2
+	half := (n.stopDeadline - moveMargin - n.now) / 2
 	for from := n.now; n.now < from+half; {
-		w.turn(moveStep, func() {})
+		net.run(moveInterval, func() {})
 	}
 	if n.Count.Moves < 8 || n.Count.Moves > 12 {
-		t.Fatal(n.Count.Moves, "moved by half of the time")
+		t.Fatal(n.Count.Moves, "clients moved by half of the time; want 8 to 12")
 	}
-	for !n.Done() && n.now < n.stopEnd {
-		w.turn(moveStep, func() {
-			for id, how := range w.ended { // those who were told end as well
+	for !n.Done() && n.now < n.stopDeadline {
+		net.run(moveInterval, func() {
+			for id, how := range net.ended { // clients that were moved close their connection
 				if how == "shut" {
 					n.Ended(id, nil)
 				}
 			}
 		})
 	}
-	if n.Count.Moves != 20 || n.now > n.stopEnd-moveSpare+2*moveStep {
-		t.Fatal(n.Count.Moves, n.stopEnd-n.now)
+	if n.Count.Moves != 20 || n.now > n.stopDeadline-moveMargin+2*moveInterval {
+		t.Fatal(n.Count.Moves, n.stopDeadline-n.now)
 	}
 }
 
-// Guards what comes after the word to stop against being cut off without an answer.
-func TestFlowsThatComeAtTheEndAreAnswered(t *testing.T) {
-	n, w := ready(1)
+// Requests that come after a stop get an answer before the end.
+func TestLateFlowsAreAnsweredAtStop(t *testing.T) {
+	n, net := newNode(1)
 	n.Stop()
-	w.turn(400*ms, func() {})
-	c := w.client("OPEN 1 2 c=chat,d=9000\r\n")
-	w.connect()
+	net.run(400*ms, func() {})
+	c := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	net.connectLast()
 	for !n.Done() {
-		w.turn(moveStep, func() {})
+		net.run(moveInterval, func() {})
 	}
-	w.want(t, c, "BUSY\r\n", "shut")
+	net.expect(t, c, "BUSY\r\n", "shut")
 }
 
-func TestStaleIdsFindNothing(t *testing.T) {
+func TestStaleSlotIDs(t *testing.T) {
 	var s slots[int]
-	a := s.put(new(int))
-	s.drop(a)
-	b := s.put(new(int))
+	a := s.add(new(int))
+	s.remove(a)
+	b := s.add(new(int))
 	if uint32(a) != uint32(b) || s.get(a) != nil || s.get(b) == nil {
 		t.Fatal(a, b)
 	}
 }
 
-func TestDeadlinesKeepTheirOrder(t *testing.T) {
+func TestDeadlinesInOrder(t *testing.T) {
 	var h deadlines
 	var all [50]deadline
 	for i := range all {
 		h.set(&all[i], int64(i*37%50))
 	}
 	h.set(&all[3], 99)
-	h.off(&all[4])
+	h.cancel(&all[4])
 	last := int64(-1)
-	for _, d := range h.take(60, nil) {
+	for _, d := range h.takeDue(60, nil) {
 		if d.at < last || d == &all[3] || d == &all[4] {
 			t.Fatal(d.at, last)
 		}
--- a/node/operators.go
+++ b/node/operators.go
@@ -8,85 +8,86 @@
 	"coursewinch/lines"
 )
 
-// Operators' calls come on a listener of their own and are answered in the turn in which they are whole, so that what
-// they command has taken effect before the answer leaves. Their places are apart from clients': neither takes from the
-// other.
+// Operators call the node on a listener of its own. A call is answered in the loop iteration in which its request is complete,
+// so its command has taken effect before the answer is sent. Operators' connections are counted apart from clients'.
 
-const (
-	CallPlaces = 16         // callers at once
-	callTime   = 5 * second // for a call to be whole and its answer taken
-)
+// CallPlaces is the largest number of operators' connections at once.
+const CallPlaces = 16
+
+// operatorCallTimeout is the time for a call to be complete and its answer to be read.
+const operatorCallTimeout = 5 * second
 
-// operators are the callers.
-type operators struct {
-	held     int
-	half     list.List // those with nothing whole yet, the one that came first in front
-	answered list.List // those whose answer is on its way or taken
+// operatorQueues are the connections of operators.
+type operatorQueues struct {
+	count      int
+	incomplete list.List // without a complete request, oldest first
+	answered   list.List // with an answer, sent or not
 }
 
-// Call takes a connection on the admin address. When all places are taken, a caller that has its answer goes, then the
-// one that has waited longest with nothing whole. Guards whole calls against those who never finish one.
+// Call adds a connection on the admin address. When all places are taken, a connection whose answer has been sent is closed,
+// otherwise the oldest one without a complete request. Callers that never complete a request so can't block others. ok is
+// false where no place could be made.
 func (n *Node) Call() (id uint64, in, out *lines.Ring, ok bool) {
-	q := &n.calls
-	for q.held >= CallPlaces {
-		old := q.half.Front()
-		for e := q.answered.Front(); e != nil; e = e.Next() {
+	queues := &n.operatorCalls
+	for queues.count >= CallPlaces {
+		evicted := queues.incomplete.Front()
+		for e := queues.answered.Front(); e != nil; e = e.Next() {
 			if e.Value.(*conn).out.Len() == 0 {
-				old = e
+				evicted = e
 				break
 			}
 		}
-		if old == nil {
+		if evicted == nil {
 			return 0, nil, nil, false
 		}
-		if old.Value.(*conn).queue == &q.half {
+		if evicted.Value.(*conn).shedQueue == &queues.incomplete {
 			n.Count.AdminShed++
 		}
-		n.close(old.Value.(*conn))
+		n.close(evicted.Value.(*conn))
 	}
-	c := &conn{role: operator, up: true}
-	c.timer.due = func() { n.close(c) }
-	c.id = n.place(c)
-	q.held++
-	n.queue(c, &q.half)
-	n.times.set(&c.timer, n.now+callTime)
+	c := &conn{role: roleOperator, up: true}
+	c.timer.run = func() { n.close(c) }
+	c.id = n.register(c)
+	queues.count++
+	n.setShedQueue(c, &queues.incomplete)
+	n.deadlines.set(&c.timer, n.now+operatorCallTimeout)
 	return c.id, &c.in, &c.out, true
 }
 
-// called reads what a caller has sent so far, and answers once.
-func (n *Node) called(c *conn) {
-	if c.queue == &n.calls.answered {
-		c.drained += c.in.Len()
+// readCall reads what an operator has sent so far and answers the request once it is complete.
+func (n *Node) readCall(c *conn) {
+	if c.shedQueue == &n.operatorCalls.answered {
+		c.drainedBytes += c.in.Len()
 		c.in.Drop(c.in.Len())
-		if c.drained > mostDrained {
-			n.close(c) // guards the loop against a body without end
+		if c.drainedBytes > maxDrainedBytes {
+			n.close(c) // the request body may never end
 		}
 		return
 	}
 	call, status, allow := admin.Read(c.in.Peek(c.in.Len()))
 	if status == 0 {
-		if c.ended {
-			n.close(c) // it sends no more, and there is nothing to answer
+		if c.inputEnded {
+			n.close(c) // the request will not be completed
 		}
 		return
 	}
-	n.queue(c, &n.calls.answered)
+	n.setShedQueue(c, &n.operatorCalls.answered)
 	c.in.Drop(c.in.Len())
 	n.Count.AdminCalls++
 	body := admin.Reason(status) + "\n"
 	if status == admin.OK {
-		status, body = n.serve(call)
+		status, body = n.serveCall(call)
 	}
 	c.out.Widen()
 	if !c.out.Put(admin.Answer(status, allow, body)) {
-		c.out.Put(admin.Answer(admin.Failed, "", "the answer is longer than it may be\n"))
+		c.out.Put(admin.Answer(admin.Failed, "", "the answer is too long\n"))
 	}
 	n.net.Touch(c.id)
 	n.net.Shut(c.id)
 }
 
-// serve does what a call asks.
-func (n *Node) serve(call admin.Call) (status int, body string) {
+// serveCall carries out a call and returns the answer.
+func (n *Node) serveCall(call admin.Call) (status int, body string) {
 	switch call {
 	case admin.Ready:
 		if !n.Ready() {
@@ -94,7 +95,7 @@
 		}
 		return admin.OK, n.state() + "\n"
 	case admin.Metrics:
-		return admin.OK, n.metrics()
+		return admin.OK, n.metricsText()
 	case admin.Drain:
 		n.Drain()
 		return admin.OK, n.state() + "\n"
@@ -105,50 +106,53 @@
 	return admin.Failed, "not served\n"
 }
 
-// callSent and callEnded are told of a caller's connection.
+// callSent closes an operator's connection that has ended, once its answer has been sent.
 func (n *Node) callSent(c *conn) {
-	if c.ended && c.queue == &n.calls.answered && c.out.Len() == 0 {
+	if c.inputEnded && c.shedQueue == &n.operatorCalls.answered && c.out.Len() == 0 {
 		n.close(c)
 	}
 }
 
+// callEnded handles the end of an operator's connection. Without a complete request there is nothing to answer.
 func (n *Node) callEnded(c *conn) {
-	if c.err != nil || c.queue == &n.calls.half || c.out.Len() == 0 {
-		n.close(c) // with no whole call there is nothing to answer
+	if c.err != nil || c.shedQueue == &n.operatorCalls.incomplete || c.out.Len() == 0 {
+		n.close(c)
 	}
 }
 
-const noList = "no list"
+// stateNoList is the state of a node without a usable list.
+const stateNoList = "no list"
 
-// state says in a word how the node stands. Only in the first does it take part in service.
+// state returns the node's state as shown to operators. The node serves clients in the state "ready" only.
 func (n *Node) state() string {
 	switch {
 	case n.stopAt > 0:
 		return "ending"
 	case n.drainAt > 0:
 		return "drained"
-	case n.twin.joining:
+	case n.handover.joining:
 		return "joining"
-	case n.twin.yielded:
+	case n.handover.yielded:
 		return "handed over"
-	case !n.listed():
-		return noList
+	case !n.hasList():
+		return stateNoList
 	}
 	return "ready"
 }
 
-// Ready tells whether this very process can serve: it isn't ending, connections come to it, and it has a list with a host that takes flows, or one
-// that discovery gave it as its last word. PING is answered by the same, but that
-// a process which has handed over speaks for the other.
+// Ready reports whether this process can serve clients: it is not stopping, it accepts connections, and it has either a list
+// from discovery or a remembered list with a host that takes flows. PING is answered by the same rule, except that a process
+// that has handed over answers for its successor; see answersFront.
 func (n *Node) Ready() bool { return n.state() == "ready" }
 
-func (n *Node) listed() bool {
+// hasList reports whether the node has a list by which it can serve.
+func (n *Node) hasList() bool {
 	if n.Count.Lists > 0 {
 		return true
 	} else if n.holdsFlows() {
 		return false
 	}
-	for _, h := range n.fleet {
+	for _, h := range n.hostList {
 		if h.State == balance.Up {
 			return true
 		}
--- a/node/operators_test.go
+++ b/node/operators_test.go
@@ -10,32 +10,32 @@
 	"coursewinch/lines"
 )
 
-// call opens an operator's connection and says something on it.
-func (w *wires) call(text string) uint64 {
+// openCall opens an operator's connection and sends a text on it.
+func (net *fakeNet) openCall(text string) uint64 {
 	var id uint64
-	w.turn(1, func() {
+	net.run(1, func() {
 		var in, out *lines.Ring
-		id, in, out, _ = w.n.Call()
-		w.add(id, "", in, out)
-		w.up[id] = true
+		id, in, out, _ = net.node.Call()
+		net.register(id, "", in, out)
+		net.up[id] = true
 	})
 	if text != "" {
-		w.bytes(id, text)
+		net.receive(id, text)
 	}
 	return id
 }
 
-// play lets time pass in the steps of moves.
-func (w *wires) play(until int64) {
-	for w.n.now < until {
-		w.turn(10*ms, func() {})
+// runUntil runs loop iterations in steps of 10 ms until a time.
+func (net *fakeNet) runUntil(until int64) {
+	for net.node.now < until {
+		net.run(10*ms, func() {})
 	}
 }
 
-// ask makes a whole call and gives the status and the body.
-func (w *wires) ask(t *testing.T, method, path string) (status int, body string) {
+// callOperator makes a complete call and returns the status and the body.
+func (net *fakeNet) callOperator(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
-	got := w.sent[w.call(method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")]
+	got := net.sent[net.openCall(method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")]
 	head, body, _ := strings.Cut(got, "\r\n\r\n")
 	if _, err := fmt.Sscanf(head, "HTTP/1.1 %d ", &status); err != nil ||
 		!strings.Contains(head, fmt.Sprintf("Content-Length: %d", len(body))) {
@@ -44,9 +44,10 @@
 	return status, body
 }
 
-func (w *wires) figures(t *testing.T) map[string]int {
+// metrics fetches the metrics.
+func (net *fakeNet) metrics(t *testing.T) map[string]int {
 	t.Helper()
-	_, body := w.ask(t, "GET", "/-/metrics")
+	_, body := net.callOperator(t, "GET", "/-/metrics")
 	got := map[string]int{}
 	for _, line := range strings.Fields(body) {
 		name, value, _ := strings.Cut(line, "=")
@@ -55,37 +56,37 @@
 	return got
 }
 
-// Guards whole calls against callers who never finish one, and clients' room against both.
-func TestCallersHavePlacesOfTheirOwn(t *testing.T) {
-	n, w := ready(1)
+// Callers that never complete a request don't keep others from being answered, and the number of callers is bounded.
+func TestOperatorCallPlaces(t *testing.T) {
+	n, net := newNode(1)
 	var half []uint64
 	for range CallPlaces {
-		half = append(half, w.call("GET /-/ready HTTP"))
+		half = append(half, net.openCall("GET /-/ready HTTP"))
 	}
-	if status, _ := w.ask(t, "GET", "/-/ready"); status != 200 || w.ended[half[0]] == "" || w.ended[half[1]] != "" {
-		t.Fatal(status, w.ended)
+	if status, _ := net.callOperator(t, "GET", "/-/ready"); status != 200 || net.ended[half[0]] == "" || net.ended[half[1]] != "" {
+		t.Fatal(status, net.ended)
 	}
 	for i := range 3 * CallPlaces {
-		if status, _ := w.ask(t, "GET", "/-/metrics"); status != 200 {
+		if status, _ := net.callOperator(t, "GET", "/-/metrics"); status != 200 {
 			t.Fatal(i, status)
 		}
 	}
-	if n.calls.held > CallPlaces || n.Count.AdminShed != 1 {
-		t.Fatal(n.calls.held, n.Count.AdminShed)
+	if n.operatorCalls.count > CallPlaces || n.Count.AdminShed != 1 {
+		t.Fatal(n.operatorCalls.count, n.Count.AdminShed)
 	}
-	w.bytes(half[5], "/1.1\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n") // two at once: the first is answered
-	if strings.Count(w.sent[half[5]], "HTTP/1.1 200") != 1 {
-		t.Fatal(w.sent[half[5]])
+	net.receive(half[5], "/1.1\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n") // of two requests at once, the first is answered
+	if strings.Count(net.sent[half[5]], "HTTP/1.1 200") != 1 {
+		t.Fatal(net.sent[half[5]])
 	}
-	w.turn(callTime, func() {})
-	if n.calls.held != 0 {
-		t.Fatal(n.calls.held)
+	net.run(operatorCallTimeout, func() {})
+	if n.operatorCalls.count != 0 {
+		t.Fatal(n.operatorCalls.count)
 	}
 }
 
-// Every way that a flow can end, against the one set of figures.
-func TestFiguresTellWhatPeersSaw(t *testing.T) {
-	_, w := ready(2)
+// The metrics count every way in which a flow can end.
+func TestMetricsMatchOutcomes(t *testing.T) {
+	_, net := newNode(2)
 	want := map[string]int{"success.chat": 0, "busy.chat": 0, "failure.chat": 0, "backend_calls": 0, "inflight": 0,
 		"hosts_listed": 2, "hosts_down": 0}
 	check := func(what string, more ...string) {
@@ -93,130 +94,131 @@
 		for _, name := range more {
 			want[name]++
 		}
-		if got := w.figures(t); !maps.Equal(got, want) {
+		if got := net.metrics(t); !maps.Equal(got, want) {
 			t.Fatalf("%s: %v, want %v", what, got, want)
 		}
 	}
 	check("at the start")
-	w.stands()
+	net.establish()
 	check("established", "success.chat", "backend_calls", "inflight")
-	c := w.client(asks)
-	w.connect()
+	c := net.openClient(openLine)
+	net.connectLast()
 	check("asked", "backend_calls", "inflight")
-	w.turn(1, func() { w.n.Ended(c, nil) })
+	net.run(1, func() { net.node.Ended(c, nil) })
 	want["inflight"]--
 	check("its client left")
-	w.client(asks)
-	h := w.last()
-	w.turn(1, func() { w.n.Ended(h, errEnded) }) // never up: nothing written
-	w.bytes(w.connect(), "UP 8\r\n")
+	net.openClient(openLine)
+	h := net.lastConn()
+	net.run(1, func() { net.node.Ended(h, errEnded) }) // never up, so nothing was sent
+	net.receive(net.connectLast(), "UP 8\r\n")
 	check("established at the second connect", "success.chat", "backend_calls", "inflight")
-	w.client(asks + "more\r\n")
-	check("more than a line", "failure.chat")
-	w.bytes(w.client(""), "OPEN 1 2 c=chat,d=x\r\n")
-	check("no class can be told of a line that can't be read")
-	full := w.client(asks)
-	w.bytes(w.connect(), "BUSY\r\n")
-	w.bytes(w.connect(), "BUSY\r\n")
-	for w.sent[full] == "" {
-		w.turn(second, func() {})
-	}
-	check("turned away by all hosts", "busy.chat", "backend_calls", "backend_calls")
+	net.openClient(openLine + "more\r\n")
+	check("data after the request", "failure.chat")
+	net.receive(net.openClient(""), "OPEN 1 2 c=chat,d=x\r\n")
+	check("an invalid line has no service type to count for")
+	full := net.openClient(openLine)
+	net.receive(net.connectLast(), "BUSY\r\n")
+	net.receive(net.connectLast(), "BUSY\r\n")
+	for net.sent[full] == "" {
+		net.run(second, func() {})
+	}
+	check("BUSY from all hosts", "busy.chat", "backend_calls", "backend_calls")
 }
 
-// Guards clients of a node that is emptied: each is told to move in time, spread, and what still comes is answered.
-func TestDrainMovesAllAndResumeTakesBack(t *testing.T) {
-	n, w := ready(3)
-	front := w.client("PING\r\n")
-	var held []uint64
+// A drained node moves all clients in time, spread over it, and answers requests that still come. Resume puts it back into
+// service.
+func TestDrainMovesAllAndResumeRestores(t *testing.T) {
+	n, net := newNode(3)
+	front := net.openClient("PING\r\n")
+	var established []uint64
 	for range 20 {
-		c, _ := w.stands()
-		held = append(held, c)
+		c, _ := net.establish()
+		established = append(established, c)
 	}
-	under := w.client(asks) // its set-up is under way
-	underHost := w.connect()
-	if status, body := w.ask(t, "PUT", "/-/drain"); status != 200 || body != "drained\n" {
+	pending := net.openClient(openLine) // a flow that is being set up
+	pendingHost := net.connectLast()
+	if status, body := net.callOperator(t, "PUT", "/-/drain"); status != 200 || body != "drained\n" {
 		t.Fatal(status, body)
 	}
 	from := n.now
-	w.bytes(front, "PING\r\n")
-	w.want(t, front, "PONG\r\nNO\r\n", "")
-	late, _ := w.stands() // on a connection that was open
-	w.bytes(underHost, "UP 9\r\n")
-	w.play(from + drainFrom - 20*ms)
+	net.receive(front, "PING\r\n")
+	net.expect(t, front, "PONG\r\nNO\r\n", "")
+	late, _ := net.establish() // requested after the drain
+	net.receive(pendingHost, "UP 9\r\n")
+	net.runUntil(from + drainMoveDelay - 20*ms)
 	if n.Count.Moves != 0 {
-		t.Fatal(n.Count.Moves, "moved before the front has turned away")
+		t.Fatal(n.Count.Moves, "clients moved before the front-end load balancer sends elsewhere")
 	}
-	w.play(from + drainFrom + (drainEnd-drainFrom)/2)
+	net.runUntil(from + drainMoveDelay + (drainDuration-drainMoveDelay)/2)
 	if n.Count.Moves < 7 || n.Count.Moves > 14 {
-		t.Fatal(n.Count.Moves, "moved at half the time")
+		t.Fatal(n.Count.Moves, "clients moved by half of the time; want 7 to 14")
 	}
-	w.ask(t, "PUT", "/-/drain") // changes nothing
-	w.play(from + drainEnd + 20*ms)
-	for _, c := range append(held, under, late) {
-		if !strings.HasSuffix(w.sent[c], "MOVE\r\n") || w.ended[c] == "" {
-			t.Fatalf("%q %q", w.sent[c], w.ended[c])
+	net.callOperator(t, "PUT", "/-/drain") // changes nothing
+	net.runUntil(from + drainDuration + 20*ms)
+	for _, c := range append(established, pending, late) {
+		if !strings.HasSuffix(net.sent[c], "MOVE\r\n") || net.ended[c] == "" {
+			t.Fatalf("%q %q", net.sent[c], net.ended[c])
 		}
 	}
-	refused := w.client(asks)
-	w.turn(1, func() {})
-	if !strings.HasPrefix(w.sent[refused], "BUSY") {
-		t.Fatalf("%q", w.sent[refused])
+	refused := net.openClient(openLine)
+	net.run(1, func() {})
+	if !strings.HasPrefix(net.sent[refused], "BUSY") {
+		t.Fatalf("%q", net.sent[refused])
 	}
-	if status, body := w.ask(t, "PUT", "/-/resume"); status != 200 || body != "ready\n" {
+	if status, body := net.callOperator(t, "PUT", "/-/resume"); status != 200 || body != "ready\n" {
 		t.Fatal(status, body)
 	}
-	c, _ := w.stands()
-	w.play(n.now + 5*second)
-	w.want(t, c, "UP 7\r\n", "")
-	w.bytes(front, "PING\r\n")
-	w.want(t, front, "PONG\r\nNO\r\nPONG\r\n", "")
+	c, _ := net.establish()
+	net.runUntil(n.now + 5*second)
+	net.expect(t, c, "UP 7\r\n", "")
+	net.receive(front, "PING\r\n")
+	net.expect(t, front, "PONG\r\nNO\r\nPONG\r\n", "")
 }
 
-// Guards against a set-up that outlasts the drain, a resume that leaves the moves going, and an end while drained that
-// takes longer than either.
+// A flow that is being set up has its answer before a drain ends, a resume ends the moves, and a stop of a drained node takes no
+// longer than the drain would have.
 func TestDrainAnswersSetUpsAndResumeEndsMoves(t *testing.T) {
-	n, w := ready(1)
-	slow := w.client("OPEN 1 2 c=chat,d=9000\r\n")
-	w.connect()
+	n, net := newNode(1)
+	slow := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
+	net.connectLast()
 	n.Drain()
-	if w.play(n.drainAt + drainEnd); !strings.HasPrefix(w.sent[slow], "BUSY") {
-		t.Fatalf("%q", w.sent[slow])
+	if net.runUntil(n.drainAt + drainDuration); !strings.HasPrefix(net.sent[slow], "BUSY") {
+		t.Fatalf("%q", net.sent[slow])
 	}
 	n.Resume()
-	c, _ := w.stands()
+	c, _ := net.establish()
 	n.Drain()
-	w.turn(drainFrom/2, n.Resume)
-	w.turn(drainEnd, func() {})
-	w.want(t, c, "UP 7\r\n", "")
+	net.run(drainMoveDelay/2, n.Resume)
+	net.run(drainDuration, func() {})
+	net.expect(t, c, "UP 7\r\n", "")
 	n.Drain()
 	n.Stop()
-	if w.play(n.drainAt + drainEnd + 20*ms); w.ended[c] == "" || n.state() != "ending" {
-		t.Fatal(w.ended[c], n.state())
+	if net.runUntil(n.drainAt + drainDuration + 20*ms); net.ended[c] == "" || n.state() != "ending" {
+		t.Fatal(net.ended[c], n.state())
 	}
 }
 
-// Guards clients that take two seconds over their line against a crowd that asks PING once and stays.
-func TestASlowLineOutlivesACrowdThatStays(t *testing.T) {
-	n, w := ready(1)
-	front := w.client("PING\r\n")
-	line := asks[:8]
-	slow := w.client(line)
+// Clients that take two seconds over their first line are not shed for a crowd that sends PING once and stays.
+func TestSlowLineOutlivesIdleCrowd(t *testing.T) {
+	n, net := newNode(1)
+	front := net.openClient("PING\r\n")
+	line := openLine[:8]
+	slow := net.openClient(line)
 	for i := range 20 {
-		w.client("PING\r\n")
-		w.turn(idled/10, func() {
-			if i >= 12 && !n.shed() { // one for each that comes
-				t.Error("nobody went")
+		net.openClient("PING\r\n")
+		net.run(shedAfterPing/10, func() {
+			if i >= 12 && !n.shedOne() { // one client is shed for each new one
+				t.Error("no client was shed")
 			}
 		})
 		if i%4 == 3 {
-			w.bytes(slow, asks[8+i/4:9+i/4])
+			net.receive(slow, openLine[8+i/4:9+i/4])
 		}
 	}
-	if w.ended[slow] != "" || w.ended[front] != "" || n.Count.Shed != 8 {
-		t.Fatal(w.ended[slow], w.ended[front], n.Count.Shed)
+	if net.ended[slow] != "" || net.ended[front] != "" || n.Count.Shed != 8 {
+		t.Fatal(net.ended[slow], net.ended[front], n.Count.Shed)
 	}
-	w.bytes(slow, asks[13:])
-	w.bytes(w.connect(), "UP 7\r\n")
-	w.want(t, slow, "UP 7\r\n", "")
+	net.receive(slow, openLine[13:])
+	net.receive(net.connectLast(), "UP 7\r\n")
+	net.expect(t, slow, "UP 7\r\n", "")
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,46 +5,47 @@
 	"coursewinch/cluster/peers"
 )
 
-const mostHeard = 4096 // groups that peers alone have named
+const maxPeerHeldGroups = 4096 // groups known only from messages of other nodes
 
-// Tell passes what the module has for the other nodes on to the sockets; without peers nobody hears it.
-func (n *Node) Tell(servers []*balance.Server, homes []balance.Home) {
-	if n.conf.Tell != nil {
-		peers.Write(servers, homes, n.conf.Tell)
+// Tell sends what the module reports to the other nodes. Where no way to send is configured, it does nothing.
+func (n *Node) Tell(servers []*balance.Server, holders []balance.Home) {
+	if n.config.Tell != nil {
+		peers.Write(servers, holders, n.config.Tell)
 	}
 }
 
-// Heard takes a datagram of another node. What makes no sense, or names hosts that the list doesn't, is dropped.
-func (n *Node) Heard(p []byte) {
-	defer n.guard(nil)
-	if !peers.Read(p, func(host uint32, busy float64) {
-		if h := n.short[host]; h != nil {
-			n.b.Reported(&h.Server, busy, false)
+// Heard handles a datagram of another node. Invalid datagrams and hosts that are not listed are ignored.
+func (n *Node) Heard(datagram []byte) {
+	defer n.recoverPanic(nil)
+	if !peers.Read(datagram, func(host uint32, busy float64) {
+		if h := n.hostsByShortHash[host]; h != nil {
+			n.decider.Reported(&h.Server, busy, false)
 		}
-	}, n.heardHome) {
-		n.note("peer_unread", "a datagram that is none of ours")
+	}, n.peerHoldsGroup) {
+		n.logThrottled("peer_unread", "datagram in an unknown encoding")
 	}
 }
 
-// heardHome keeps where others hold a group for the time when this node meets it.
-func (n *Node) heardHome(group, host uint32) {
-	h := n.short[host]
+// peerHoldsGroup records that a host holds a group for another node. The module is told at once if this node knows the group,
+// otherwise when its first flow comes.
+func (n *Node) peerHoldsGroup(group, host uint32) {
+	h := n.hostsByShortHash[host]
 	if h == nil {
 		return
 	}
-	if len(n.away) >= mostHeard {
-		clear(n.away) // guards the memory; what still holds is told again
+	if len(n.peerHeldGroups) >= maxPeerHeldGroups {
+		clear(n.peerHeldGroups) // bounds memory; what is still true is reported again
 	}
-	n.away[group] = h
-	if g := n.groups[n.whole[group]]; g != nil {
-		n.b.Held(&g.Group, &h.Server)
+	n.peerHeldGroups[group] = h
+	if g := n.groups[n.groupHashes[group]]; g != nil {
+		n.decider.Held(&g.Group, &h.Server)
 	}
 }
 
-// meet tells the module of a new group what others said of it before.
-func (n *Node) meet(g *group) {
-	n.whole[peers.Short(g.Hash)] = g.Hash
-	if h := n.away[peers.Short(g.Hash)]; h != nil {
-		n.b.Held(&g.Group, &h.Server)
+// announcePeerHolder tells the module which host holds a new group for another node, if that is known.
+func (n *Node) announcePeerHolder(g *group) {
+	n.groupHashes[peers.Short(g.Hash)] = g.Hash
+	if h := n.peerHeldGroups[peers.Short(g.Hash)]; h != nil {
+		n.decider.Held(&g.Group, &h.Server)
 	}
 }
--- a/node/quota.go
+++ b/node/quota.go
@@ -1,59 +1,59 @@
 package node
 
-// A node whose core is full serves fewer the more come: it takes all, and their clients leave before it comes to them.
-// How many it takes a turn is therefore cut when turns grow long; what has been taken is finished first, and what waits
-// at the listener longer than that is turned away at the least cost.
+// A node whose core is saturated serves fewer clients the more connections it accepts, because clients leave before it gets to
+// them. It therefore accepts fewer connections per loop iteration when iterations grow long, and finishes the accepted ones
+// first. Connections that then wait too long at the listener are refused at the lowest cost.
 
 const (
-	mostTaken  = 128      // connections a turn
-	longTurn   = 8 * ms   // a turn that takes longer has taken too many
-	fullFor    = 250 * ms // without a pause: the core is full, and no burst
-	refuseCost = 6        // so many refusals cost about what one flow costs
-	refusePart = 12       // a twelfth of what flows cost is spent on refusals at the most
+	maxAccepts          = 128      // connections per loop iteration
+	longIteration       = 8 * ms   // an iteration that takes longer has accepted too many connections
+	saturatedAfter      = 250 * ms // work without a pause for this long is saturation and not a burst
+	refusalsPerFlow     = 6        // refusals that cost about as much as one flow
+	refusalShareDivisor = 12       // at most one over this of the cost of flows is spent on refusals
 )
 
-// quota is how many connections a turn may take.
-type quota struct {
-	take  int
-	since int64 // since when no wait has been one; 0 when the last was
-	tried int   // taken in this turn
+// acceptQuota is the number of connections that a loop iteration may accept.
+type acceptQuota struct {
+	accepts   int   // 0 before the first adjustment
+	busySince int64 // since when the loop has not waited for events; 0 if it just has
+	accepted  int   // in this iteration
 }
 
-// pace sets the quota by the turn before. It halves when that was long and had taken its fill, and grows by an eighth
-// else.
-func (n *Node) pace(late, before int64) {
-	q := &n.taking
-	if q.take == 0 {
-		q.take = mostTaken
+// adjustQuota sets the quota by how late the loop is and how long the previous iteration took. The quota is halved when that
+// iteration was long and accepted connections, and grows by an eighth when it was short.
+func (n *Node) adjustQuota(lateness, lastLength int64) {
+	quota := &n.acceptQuota
+	if quota.accepts == 0 {
+		quota.accepts = maxAccepts
 	}
 	switch {
-	case before > longTurn && q.tried > 0:
-		q.take = max(min(q.take, q.tried)/2, 1)
-	case before < longTurn/2:
-		q.take = min(q.take+q.take/8+1, mostTaken)
+	case lastLength > longIteration && quota.accepted > 0:
+		quota.accepts = max(min(quota.accepts, quota.accepted)/2, 1)
+	case lastLength < longIteration/2:
+		quota.accepts = min(quota.accepts+quota.accepts/8+1, maxAccepts)
 	}
-	q.tried = 0
-	if late == 0 {
-		q.since = 0
-	} else if q.since == 0 {
-		q.since = n.now
+	quota.accepted = 0
+	if lateness == 0 {
+		quota.busySince = 0
+	} else if quota.busySince == 0 {
+		quota.busySince = n.now
 	}
 }
 
-// Quota is how many new connections this turn may take, and how many after these it may turn away.
+// Quota returns how many connections this loop iteration may accept, and how many further ones it may refuse.
 func (n *Node) Quota() (take, refuse int) {
-	q := &n.taking
-	if n.shutAt > 0 {
-		return 0, mostTaken
+	quota := &n.acceptQuota
+	if n.acceptStoppedAt > 0 {
+		return 0, maxAccepts
 	}
-	if q.take == 0 {
-		return mostTaken, 0
+	if quota.accepts == 0 {
+		return maxAccepts, 0
 	}
-	if q.since > 0 && n.now-q.since > fullFor && q.take < mostTaken {
-		refuse = max(q.take*refuseCost/refusePart, 1)
+	if quota.busySince > 0 && n.now-quota.busySince > saturatedAfter && quota.accepts < maxAccepts {
+		refuse = max(quota.accepts*refusalsPerFlow/refusalShareDivisor, 1)
 	}
-	return q.take, refuse
+	return quota.accepts, refuse
 }
 
-// Refused is that the loop has turned a connection away.
+// Refused counts a connection that the event loop has refused.
 func (n *Node) Refused() { n.Count.Refused++ }
--- a/node/writer.go
+++ b/node/writer.go
@@ -8,8 +8,8 @@
 
 var _ balance.Writer = (*Node)(nil)
 
-// Alarm asks for a Tick.
-func (n *Node) Alarm(at int64) { n.times.set(&n.alarm, at) }
+// Alarm schedules the decider's next alarm.
+func (n *Node) Alarm(at int64) { n.deadlines.set(&n.tickAlarm, at) }
 
-// Trace writes a line of the module.
+// Trace logs a line of the decider.
 func (n *Node) Trace(text string) { log.Printf("msg=module text=%q", text) }
