--- a/rehearsal/fleet/best.go
+++ b/rehearsal/fleet/best.go
@@ -18,11 +18,11 @@
 	var places []*place
 	for _, g := range s.Hosts {
 		for range g.Count {
-			places = append(places, &place{rate: core * g.Speed, cores: g.Cores, held: make([]float64, len(s.Types))})
+			places = append(places, &place{rate: coreWorkPerSecond * g.Speed, cores: g.Cores, held: make([]float64, len(s.Types))})
 		}
 	}
-	usual := core / s.Fleet.PerCore
-	message := usual * float64(s.Clients.Every) / 1e6 / messageParts
+	usual := coreWorkPerSecond / s.Fleet.PerCore
+	message := usual * float64(s.Clients.LineInterval) / 1e6 / messagesPerLine
 	worth := func(p *place, more int) (total float64) {
 		load, held := p.load, 0.0
 		if more >= 0 {
@@ -34,7 +34,7 @@
 			}
 			if held > 0 {
 				free := 1 - min(load/(p.rate*p.cores), 0.999)
-				total += held * k.Benefit * (1 - math.Exp(-float64(k.Message.Us())/1e6*free*p.rate/message))
+				total += held * k.Benefit * (1 - math.Exp(-float64(k.MessageTarget.Us())/1e6*free*p.rate/message))
 			}
 		}
 		return total
--- a/rehearsal/fleet/clients.go
+++ b/rehearsal/fleet/clients.go
@@ -12,181 +12,181 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-type wishState uint8
+type clientState uint8
 
 const (
-	idle wishState = iota
-	asking
-	established
-	over
+	clientIdle clientState = iota
+	clientAsking
+	clientEstablished
+	clientDone
 )
 
-// wish is one client that wants a connection from start to end, whatever breaks meanwhile.
-type wish struct {
-	w        *World
-	no       uint64
-	addr     netip.Addr
-	own      *rand.Rand // for what befalls it
-	life     *rand.Rand // for what it is
-	typ      int
-	zone     int
-	group    string
-	key      string
-	usual    float64 // its load, about which it changes
-	load     float64
-	start    int64
-	end      int64
-	byHost   bool // its host ends it
-	looping  bool
-	at       *host // that held its flow before the run; until its first answer
-	recorded bool  // its load changes as a capture has it
-	window   int   // of a bulk client
-
-	state   wishState
-	tries   int // in a row without success
-	rounds  int // of tries used up in a row
-	again   bool
-	retry   bool
-	flow    *record.Flow
-	conn    *Conn
-	hostCn  *hostConn
-	host    *host // where hostCn is
-	counted *host // where it is counted as held
-	node    *nodeState
-	parted  string // the last word that came
-	gen     int    // of what waits for this try
-	askedAt int64  // the first line that nothing came back for
-	silent  bool   // said so already
-	live    bool   // its node has sent it UP
-	toHost  owed
-	toSelf  owed
-	hostEnd int64 // when the node heard of the host's end
-}
-
-// owed is what a node has been given to pass on and has not yet.
-type owed struct {
-	in, out int64
-	chunks  []chunk
-}
-
-type chunk struct {
-	until int64
-	at    int64
-}
-
-func (o *owed) put(n int, now int64) {
-	o.in += int64(n)
-	o.chunks = append(o.chunks, chunk{o.in, now})
-}
-
-// took gives the longest time that what went just now had been held.
-func (o *owed) took(n int, now int64) (held int64) {
-	o.out += int64(n)
-	for len(o.chunks) > 0 && o.chunks[0].until <= o.out {
-		held = max(held, now-o.chunks[0].at)
-		o.chunks = o.chunks[1:]
+// client is one client that wants a connection from start to end, whatever breaks meanwhile.
+type client struct {
+	world       *World
+	number      uint64
+	address     netip.Addr
+	eventRand   *rand.Rand // for what befalls it
+	profileRand *rand.Rand // for what it is
+	serviceType int
+	zone        int
+	group       string
+	key         string
+	baseLoad    float64 // its load, about which it changes
+	load        float64
+	startedAt   int64
+	endsAt      int64
+	endedByHost bool // its host ends it
+	looping     bool
+	initialHost *host // that held its flow before the run; until its first answer
+	fromCapture bool  // its load changes as a capture has it
+	bulkWindow  int   // of a bulk client
+
+	state           clientState
+	failures        int // in a row without success
+	retryRounds     int // of tries used up in a row
+	returning       bool
+	retrying        bool
+	flow            *record.Flow
+	conn            *Conn
+	hostConn        *hostConn
+	host            *host // where hostCn is
+	countedAt       *host // where it is counted as held
+	node            *nodeState
+	closingLine     string // the last word that came
+	generation      int    // of what waits for this try
+	unansweredSince int64  // the first line that nothing came back for
+	silenceRecorded bool   // said so already
+	upSent          bool   // its node has sent it UP
+	pendingToHost   pendingBytes
+	pendingToClient pendingBytes
+	hostEndAt       int64 // when the node heard of the host's end
+}
+
+// pendingBytes is what a node has been given to pass on and has not yet.
+type pendingBytes struct {
+	received, forwarded int64
+	chunks              []pendingChunk
+}
+
+type pendingChunk struct {
+	endOffset  int64
+	receivedAt int64
+}
+
+func (b *pendingBytes) add(n int, now int64) {
+	b.received += int64(n)
+	b.chunks = append(b.chunks, pendingChunk{b.received, now})
+}
+
+// forward gives the longest time that what went just now had been held.
+func (b *pendingBytes) forward(n int, now int64) (held int64) {
+	b.forwarded += int64(n)
+	for len(b.chunks) > 0 && b.chunks[0].endOffset <= b.forwarded {
+		held = max(held, now-b.chunks[0].receivedAt)
+		b.chunks = b.chunks[1:]
 	}
 	return held
 }
 
-const heldTooLong = second + 50_000
+const maxHoldTime = second + 50_000
 
-// plan sets all clients up, one after another as they come.
-func (w *World) plan() {
-	d := w.s.Demand
+// scheduleDemand sets all clients up, one after another as they come.
+func (w *World) scheduleDemand() {
+	d := w.script.Demand
 	if d.Flows != "" {
-		for _, f := range w.s.Recorded {
-			w.At(f.At.Us(), func() { w.comeRecorded(f) })
+		for _, f := range w.script.Recorded {
+			w.At(f.At.Us(), func() { w.startRecordedClient(f) })
 		}
 	} else if d.Rate > 0 {
-		w.At(w.nextArrival(0), w.arrive)
+		w.At(w.nextArrivalTime(0), w.handleArrival)
 	}
-	if d.Stand > 0 {
-		w.At(-standBefore, w.stand)
+	if d.Standing > 0 {
+		w.At(-standingLeadTime, w.createStandingFlows)
 	}
 	for i, l := range d.Loops {
 		from := netip.Addr{}
 		if l.OneAddress {
-			from = address(1<<23 - 1 - uint64(i))
+			from = clientAddress(1<<23 - 1 - uint64(i))
 		}
 		for range l.Count {
-			w.crowd(l.At.Us(), l.For.Us(), l.Type, l.Zone, true, 0, from)
+			w.scheduleSpecialClient(l.At.Us(), l.For.Us(), l.Type, l.Zone, true, 0, from)
 		}
 	}
 	for _, b := range d.Bulk {
 		for range b.Count {
-			w.crowd(b.At.Us(), b.For.Us(), b.Type, b.Zone, false, b.Window, netip.Addr{})
+			w.scheduleSpecialClient(b.At.Us(), b.For.Us(), b.Type, b.Zone, false, b.Window, netip.Addr{})
 		}
 	}
-	for _, b := range d.Bad {
-		w.At(b.At.Us(), func() { w.badClients(b) })
+	for _, b := range d.BadClients {
+		w.At(b.At.Us(), func() { w.scheduleBadClients(b) })
 	}
 }
 
 const (
-	standBefore = second      // the start: the flows that stood before come
-	standWait   = 30 * second // they wait for so long
+	standingLeadTime       = second      // the start: the flows that stood before come
+	standingConnectTimeout = 30 * second // they wait for so long
 )
 
-// stand brings the clients whose flows stood before the run: each at the host that holds it, and partly through.
-func (w *World) stand() {
-	d, f := w.s.Demand, w.s.Fleet
+// createStandingFlows brings the clients whose flows stood before the run: each at the host that holds it, and partly through.
+func (w *World) createStandingFlows() {
+	d, f := w.script.Demand, w.script.Fleet
 	shares, lives := 0.0, 0.0
-	for _, t := range w.s.Types {
+	for _, t := range w.script.Types {
 		shares += t.Share
 		lives += t.Share * t.Life
 	}
 	weights, total := make([]float64, len(w.hosts)), 0.0
 	for i, h := range w.hosts {
-		if h.state == running {
-			weights[i] = h.full() * spread(w.demand, d.Tilt)
+		if h.state == hostRunning {
+			weights[i] = h.capacity() * logNormal(w.demandRand, d.StandingTilt)
 		}
 		total += weights[i]
 	}
-	for range int(d.Stand*d.Rate*w.times(0)*d.Life.Seconds()*lives/shares + 0.5) {
-		p := w.draw(func(t scenario.Type) float64 { return t.Share * t.Life })
+	for range int(d.Standing*d.Rate*w.rateMultiplier(0)*d.Life.Seconds()*lives/shares + 0.5) {
+		cl := w.drawClient(func(t scenario.ServiceType) float64 { return t.Share * t.Life })
 		longer := math.Exp(f.LifeSpread * f.LifeSpread) // one met at some moment is a long one
-		p.end = int64(float64(p.end-w.now) * longer * p.life.Float64())
-		x := w.demand.Float64() * total
+		cl.endsAt = int64(float64(cl.endsAt-w.now) * longer * cl.profileRand.Float64())
+		x := w.demandRand.Float64() * total
 		for i, h := range w.hosts {
 			if x -= weights[i]; x < 0 {
-				p.at = h
+				cl.initialHost = h
 				break
 			}
 		}
-		if p.end > 0 && p.at != nil {
-			p.begin()
+		if cl.endsAt > 0 && cl.initialHost != nil {
+			cl.start()
 		}
 	}
 }
 
-// times is by how much the rate is multiplied at a moment.
-func (w *World) times(at int64) float64 {
-	waves := w.s.Demand.Waves
+// rateMultiplier is by how much the rate is multiplied at a moment.
+func (w *World) rateMultiplier(at int64) float64 {
+	waves := w.script.Demand.Waves
 	if len(waves) == 0 {
 		return 1
 	}
 	before := waves[0]
 	if at <= before.At.Us() {
-		return before.Times
+		return before.RateMultiplier
 	}
 	for _, v := range waves[1:] {
 		if at < v.At.Us() {
 			part := float64(at-before.At.Us()) / float64(v.At-before.At)
-			return before.Times + part*(v.Times-before.Times)
+			return before.RateMultiplier + part*(v.RateMultiplier-before.RateMultiplier)
 		}
 		before = v
 	}
-	return before.Times
+	return before.RateMultiplier
 }
 
-// nextArrival is the next moment of a Poisson process whose rate changes.
-func (w *World) nextArrival(from int64) int64 {
+// nextArrivalTime is the next moment of a Poisson process whose rate changes.
+func (w *World) nextArrivalTime(from int64) int64 {
 	top := 0.0
-	for _, v := range w.s.Demand.Waves {
-		top = max(top, v.Times)
+	for _, v := range w.script.Demand.Waves {
+		top = max(top, v.RateMultiplier)
 	}
-	if len(w.s.Demand.Waves) == 0 {
+	if len(w.script.Demand.Waves) == 0 {
 		top = 1
 	}
 	if top == 0 {
@@ -194,86 +194,86 @@
 	}
 	at := float64(from)
 	for at < float64(w.run.Length) {
-		at += w.demand.ExpFloat64() / (w.s.Demand.Rate * top) * 1e6
-		if w.demand.Float64()*top < w.times(int64(at)) {
+		at += w.demandRand.ExpFloat64() / (w.script.Demand.Rate * top) * 1e6
+		if w.demandRand.Float64()*top < w.rateMultiplier(int64(at)) {
 			return int64(at)
 		}
 	}
 	return never
 }
 
-func (w *World) arrive() {
+func (w *World) handleArrival() {
 	if w.now > w.run.Length {
 		return
 	}
-	w.come()
-	if next := w.nextArrival(w.now); next != never {
-		w.At(next, w.arrive)
+	w.startDrawnClient()
+	if next := w.nextArrivalTime(w.now); next != never {
+		w.At(next, w.handleArrival)
 	}
 }
 
-func (w *World) newWish(typ, zone int) *wish {
-	w.crowds++
-	no := w.crowds
-	p := &wish{w: w, no: no, typ: typ, zone: zone, start: w.now,
-		own:  rand.New(rand.NewPCG(w.seed, uint64(forWishes)+2*no)),
-		life: rand.New(rand.NewPCG(w.seed, uint64(forWishes)+2*no+1))}
-	p.key = fmt.Sprintf("%016x", p.life.Uint64())
-	p.addr = address(no)
-	return p
+func (w *World) newClient(serviceType, zone int) *client {
+	w.clientCount++
+	number := w.clientCount
+	cl := &client{world: w, number: number, serviceType: serviceType, zone: zone, startedAt: w.now,
+		eventRand:   rand.New(rand.NewPCG(w.seed, uint64(randClients)+2*number)),
+		profileRand: rand.New(rand.NewPCG(w.seed, uint64(randClients)+2*number+1))}
+	cl.key = fmt.Sprintf("%016x", cl.profileRand.Uint64())
+	cl.address = clientAddress(number)
+	return cl
 }
 
-// address is that of a client: one each, of 127.128.0.0/9, so that live play can use them too.
-func address(no uint64) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, 128 | byte(no>>16&0x7f), byte(no >> 8), byte(no)})
+// clientAddress is that of a client: one each, of 127.128.0.0/9, so that live play can use them too.
+func clientAddress(number uint64) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, 128 | byte(number>>16&0x7f), byte(number >> 8), byte(number)})
 }
 
-// come is a new client.
-func (w *World) come() {
-	w.draw(func(t scenario.Type) float64 { return t.Share }).begin()
+// startDrawnClient is a new client.
+func (w *World) startDrawnClient() {
+	w.drawClient(func(t scenario.ServiceType) float64 { return t.Share }).start()
 }
 
-// draw makes a client by the script's figures; its type goes by weight.
-func (w *World) draw(weight func(scenario.Type) float64) *wish {
+// drawClient makes a client by the script's figures; its type goes by weight.
+func (w *World) drawClient(weight func(scenario.ServiceType) float64) *client {
 	total, pick := 0.0, 0
-	for _, t := range w.s.Types {
+	for _, t := range w.script.Types {
 		total += weight(t)
 	}
-	for x := w.demand.Float64() * total; pick < len(w.s.Types)-1 && x >= weight(w.s.Types[pick]); pick++ {
-		x -= weight(w.s.Types[pick])
+	for x := w.demandRand.Float64() * total; pick < len(w.script.Types)-1 && x >= weight(w.script.Types[pick]); pick++ {
+		x -= weight(w.script.Types[pick])
 	}
-	p := w.newWish(pick, w.drawZone())
-	t, f := w.s.Types[pick], w.s.Fleet
-	p.usual = t.Load * spread(p.life, f.LoadSpread)
-	p.end = w.now + int64(float64(w.s.Demand.Life)*t.Life*spread(p.life, f.LifeSpread))
-	p.byHost = p.life.IntN(2) == 0
+	cl := w.newClient(pick, w.drawZone())
+	t, f := w.script.Types[pick], w.script.Fleet
+	cl.baseLoad = t.Load * logNormal(cl.profileRand, f.LoadSpread)
+	cl.endsAt = w.now + int64(float64(w.script.Demand.Life)*t.Life*logNormal(cl.profileRand, f.LifeSpread))
+	cl.endedByHost = cl.profileRand.IntN(2) == 0
 	if f.Groups > 0 {
-		p.group = fmt.Sprintf("g%d", int(float64(f.Groups)*math.Pow(p.life.Float64(), 1.6))) // some are larger than others
+		cl.group = fmt.Sprintf("g%d", int(float64(f.Groups)*math.Pow(cl.profileRand.Float64(), 1.6))) // some are larger than others
 	}
-	return p
+	return cl
 }
 
-// comeRecorded is a client of a capture: its load changes as it did then.
-func (w *World) comeRecorded(r scenario.Recorded) {
-	p := w.newWish(r.Type, r.Zone)
-	p.group, p.usual, p.end, p.recorded = r.Group, r.Loads[0].Load, w.now+r.Life.Us(), true
+// startRecordedClient is a client of a capture: its load changes as it did then.
+func (w *World) startRecordedClient(r scenario.Recorded) {
+	cl := w.newClient(r.Type, r.Zone)
+	cl.group, cl.baseLoad, cl.endsAt, cl.fromCapture = r.Group, r.Loads[0].Load, w.now+r.Life.Us(), true
 	if r.Key != "" {
-		p.key = r.Key
+		cl.key = r.Key
 	}
-	p.begin()
+	cl.start()
 	for _, l := range r.Loads[1:] {
-		w.after(l.After.Us(), func() { p.weigh(l.Load) })
+		w.after(l.After.Us(), func() { cl.setLoad(l.Load) })
 	}
 }
 
-// weigh sets the client's load, wherever it stands.
-func (p *wish) weigh(load float64) {
-	if p.state == over {
+// setLoad sets the client's load, wherever it stands.
+func (cl *client) setLoad(load float64) {
+	if cl.state == clientDone {
 		return
 	}
-	p.load = load
-	if p.hostCn != nil {
-		p.host.changed(p.hostCn)
+	cl.load = load
+	if cl.hostConn != nil {
+		cl.host.loadChanged(cl.hostConn)
 	}
 }
 
@@ -281,19 +281,19 @@
 func (w *World) drawZone() int {
 	total := 0.0
 	weight := func(i int) float64 {
-		if len(w.zones[i]) == 0 {
+		if len(w.nodesByZone[i]) == 0 {
 			return 0
 		}
-		if v, ok := w.s.Demand.Skew[w.s.Zones[i]]; ok {
+		if v, ok := w.script.Demand.ZoneWeights[w.script.Zones[i]]; ok {
 			return v
 		}
 		return 1
 	}
-	for i := range w.s.Zones {
+	for i := range w.script.Zones {
 		total += weight(i)
 	}
-	x := w.demand.Float64() * total
-	for i := range w.s.Zones {
+	x := w.demandRand.Float64() * total
+	for i := range w.script.Zones {
 		if x -= weight(i); x < 0 {
 			return i
 		}
@@ -301,494 +301,494 @@
 	return w.nodes[0].zone
 }
 
-// spread draws a log-normal figure of mean 1.
-func spread(chance *rand.Rand, sigma float64) float64 {
-	return math.Exp(sigma*chance.NormFloat64() - sigma*sigma/2)
+// logNormal draws a log-normal figure of mean 1.
+func logNormal(random *rand.Rand, sigma float64) float64 {
+	return math.Exp(sigma*random.NormFloat64() - sigma*sigma/2)
 }
 
-// crowd is a client that loops, or sends in bulk.
-func (w *World) crowd(at, length int64, typ, zone string, loops bool, window int, from netip.Addr) {
+// scheduleSpecialClient is a client that loops, or sends in bulk.
+func (w *World) scheduleSpecialClient(at, length int64, serviceType, zone string, loops bool, window int, from netip.Addr) {
 	w.At(at, func() {
-		z := w.nodes[0].zone
+		zoneIndex := w.nodes[0].zone
 		if zone != "" {
-			z = w.zoneNo(zone)
+			zoneIndex = w.zoneIndex(zone)
 		}
-		p := w.newWish(max(w.s.TypeNo(typ), 0), z)
-		p.usual, p.end, p.looping, p.window = 0.01, w.now+length, loops, window
+		cl := w.newClient(max(w.script.TypeNo(serviceType), 0), zoneIndex)
+		cl.baseLoad, cl.endsAt, cl.looping, cl.bulkWindow = 0.01, w.now+length, loops, window
 		if from.IsValid() {
-			p.addr = from
+			cl.address = from
 		}
 		if length == 0 {
-			p.end = w.run.Length
+			cl.endsAt = w.run.Length
 		}
-		p.begin()
+		cl.start()
 	})
 }
 
-func (p *wish) begin() {
-	w := p.w
-	p.load = p.usual
-	w.wishes = append(w.wishes, p)
-	if !p.looping {
-		w.wantBy[p.typ]++
+func (cl *client) start() {
+	w := cl.world
+	cl.load = cl.baseLoad
+	w.clients = append(w.clients, cl)
+	if !cl.looping {
+		w.demandByType[cl.serviceType]++
 	}
 	w.run.Counts.Wishes++
-	w.At(p.end, p.finish)
-	if p.window == 0 && !p.looping && !p.recorded {
-		p.vary()
+	w.At(cl.endsAt, cl.finish)
+	if cl.bulkWindow == 0 && !cl.looping && !cl.fromCapture {
+		cl.varyLoad()
 	}
-	p.ask()
+	cl.attempt()
 }
 
-// vary changes the load now and then, whether or not the client has its connection.
-func (p *wish) vary() {
-	if p.w.s.Fleet.Swing == 0 {
+// varyLoad changes the load now and then, whether or not the client has its connection.
+func (cl *client) varyLoad() {
+	if cl.world.script.Fleet.LoadSwing == 0 {
 		return
 	}
-	wait := int64(float64(p.w.s.Fleet.Change) * p.life.ExpFloat64())
-	at := p.w.now + max(wait, 1)
-	load := p.usual * spread(p.life, p.w.s.Fleet.Swing)
-	if at >= p.end {
+	wait := int64(float64(cl.world.script.Fleet.LoadChange) * cl.profileRand.ExpFloat64())
+	at := cl.world.now + max(wait, 1)
+	load := cl.baseLoad * logNormal(cl.profileRand, cl.world.script.Fleet.LoadSwing)
+	if at >= cl.endsAt {
 		return
 	}
-	p.w.At(at, func() {
-		if p.state != over {
-			p.weigh(load)
-			p.vary()
+	cl.world.At(at, func() {
+		if cl.state != clientDone {
+			cl.setLoad(load)
+			cl.varyLoad()
 		}
 	})
 }
 
 // finish is the end of what the client wanted.
-func (p *wish) finish() {
-	if p.state == over {
+func (cl *client) finish() {
+	if cl.state == clientDone {
 		return
 	}
-	if p.state == established && p.byHost && p.hostCn != nil && p.hostCn.seat != nil {
-		p.w.after(second, p.finish) // its host says BYE
+	if cl.state == clientEstablished && cl.endedByHost && cl.hostConn != nil && cl.hostConn.hosted != nil {
+		cl.world.after(second, cl.finish) // its host says BYE
 		return
 	}
-	p.stopWanting()
-	p.leave()
-	p.state = over
+	cl.withdrawDemand()
+	cl.disconnect()
+	cl.state = clientDone
 }
 
-func (p *wish) stopWanting() {
-	if !p.looping && p.usual >= 0 {
-		p.w.wantBy[p.typ]--
-		p.usual = -1
+func (cl *client) withdrawDemand() {
+	if !cl.looping && cl.baseLoad >= 0 {
+		cl.world.demandByType[cl.serviceType]--
+		cl.baseLoad = -1
 	}
 }
 
-// leave ends the client's connection.
-func (p *wish) leave() {
-	p.gen++
-	if p.conn != nil {
-		if p.flow != nil {
-			p.flow.Add(record.Event{At: p.w.now, Kind: record.Left, Host: -1})
+// disconnect ends the client's connection.
+func (cl *client) disconnect() {
+	cl.generation++
+	if cl.conn != nil {
+		if cl.flow != nil {
+			cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Left, Host: -1})
 		}
-		p.w.hang(p.conn, false)
+		cl.world.closePeerSide(cl.conn, false)
 	}
-	p.rest()
+	cl.clearConnection()
 }
 
-// rest forgets the connection.
-func (p *wish) rest() {
-	if p.counted != nil {
-		p.counted.held[p.typ]--
-		p.counted = nil
+// clearConnection forgets the connection.
+func (cl *client) clearConnection() {
+	if cl.countedAt != nil {
+		cl.countedAt.clientsByType[cl.serviceType]--
+		cl.countedAt = nil
 	}
-	if p.node != nil {
-		for i, o := range p.node.flows {
-			if o == p {
-				last := len(p.node.flows) - 1
-				p.node.flows[i] = p.node.flows[last]
-				p.node.flows = p.node.flows[:last]
+	if cl.node != nil {
+		for i, o := range cl.node.clients {
+			if o == cl {
+				last := len(cl.node.clients) - 1
+				cl.node.clients[i] = cl.node.clients[last]
+				cl.node.clients = cl.node.clients[:last]
 				break
 			}
 		}
 	}
-	p.conn, p.host, p.hostCn, p.node, p.askedAt, p.parted = nil, nil, nil, nil, 0, ""
-	if p.state != over {
-		p.state = idle
+	cl.conn, cl.host, cl.hostConn, cl.node, cl.unansweredSince, cl.closingLine = nil, nil, nil, nil, 0, ""
+	if cl.state != clientDone {
+		cl.state = clientIdle
 	}
 }
 
-// close writes down how a run found a client at its end.
-func (p *wish) close() {
-	if p.state == established && p.hostEnd > 0 && p.w.now-p.hostEnd > heldTooLong {
-		p.flow.Add(record.Event{At: p.w.now, Kind: record.Unended, Host: -1, Value: p.w.now - p.hostEnd})
+// closeRecord writes down how a run found a client at its end.
+func (cl *client) closeRecord() {
+	if cl.state == clientEstablished && cl.hostEndAt > 0 && cl.world.now-cl.hostEndAt > maxHoldTime {
+		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Unended, Host: -1, Value: cl.world.now - cl.hostEndAt})
 	}
 }
 
-// ask makes one try.
-func (p *wish) ask() {
-	w := p.w
-	if p.state == over || w.now > w.run.Length || w.now >= p.end {
+// attempt makes one try.
+func (cl *client) attempt() {
+	w := cl.world
+	if cl.state == clientDone || w.now > w.run.Length || w.now >= cl.endsAt {
 		return
 	}
-	n := w.deal(p.zone, p.own)
+	n := w.pickNode(cl.zone, cl.eventRand)
 	if n == nil {
-		p.failed(-1)
+		cl.attemptFailed(-1)
 		return
 	}
-	w.ids++
-	f := &record.Flow{ID: fmt.Sprintf("%016x", mix(w.seed, w.ids)), Key: p.key, Type: p.typ, Group: p.group, Node: n.no,
-		Zone: p.zone, Timeout: w.run.Types[p.typ].Timeout, Again: p.again, Host: -1, Load: p.load, LifeLeft: p.end - w.now}
+	w.flowCount++
+	f := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, Type: cl.serviceType, Group: cl.group, Node: n.index,
+		Zone: cl.zone, Timeout: w.run.Types[cl.serviceType].Timeout, Again: cl.returning, Host: -1, Load: cl.load, LifeLeft: cl.endsAt - w.now}
 	w.run.Flows = append(w.run.Flows, f)
 	w.run.Counts.Tries++
-	w.byID[f.ID], w.wishOf[f.ID] = f, p
-	if p.at != nil {
-		f.Timeout, f.Stood = standWait, true
-	}
-	p.flow, p.state, p.node, p.hostEnd, p.silent = f, asking, n, 0, false
-	p.toHost, p.toSelf, p.live = owed{}, owed{}, false
-	n.flows = append(n.flows, p)
-	p.conn = w.open(p, n.no, p.addr)
-	p.conn.asked = f
-	p.gen++
-	gen := p.gen
+	w.flowByID[f.ID], w.clientByFlowID[f.ID] = f, cl
+	if cl.initialHost != nil {
+		f.Timeout, f.Stood = standingConnectTimeout, true
+	}
+	cl.flow, cl.state, cl.node, cl.hostEndAt, cl.silenceRecorded = f, clientAsking, n, 0, false
+	cl.pendingToHost, cl.pendingToClient, cl.upSent = pendingBytes{}, pendingBytes{}, false
+	n.clients = append(n.clients, cl)
+	cl.conn = w.openToNode(cl, n.index, cl.address)
+	cl.conn.clientFlow = f
+	cl.generation++
+	generation := cl.generation
 	w.after(f.Timeout, func() { // also when not even the connection came up
-		if p.gen == gen && p.state == asking && p.flow.Find(record.Asked) == nil {
-			p.giveUp()
+		if cl.generation == generation && cl.state == clientAsking && cl.flow.Find(record.Asked) == nil {
+			cl.timeOut()
 		}
 	})
 }
 
-// mix makes ids that tell nothing of their order.
-func mix(seed, n uint64) uint64 {
+// mixID makes ids that tell nothing of their order.
+func mixID(seed, n uint64) uint64 {
 	x := seed*0x9e3779b97f4a7c15 + n
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-func (p *wish) accepted(*Conn) {}
+func (cl *client) accepted(*Conn) {}
 
-// up is that the connection stands: the client says what it wants.
-func (p *wish) up(c *Conn) {
-	w, f := p.w, p.flow
+// connected is that the connection stands: the client says what it wants.
+func (cl *client) connected(c *Conn) {
+	w, f := cl.world, cl.flow
 	var b strings.Builder
-	fmt.Fprintf(&b, "OPEN %s %s c=%s,d=%d", f.ID, f.Key, w.s.Types[p.typ].Name, f.Timeout/1000)
-	if p.group != "" {
-		fmt.Fprintf(&b, ",g=%s", p.group)
+	fmt.Fprintf(&b, "OPEN %s %s c=%s,d=%d", f.ID, f.Key, w.script.Types[cl.serviceType].Name, f.Timeout/1000)
+	if cl.group != "" {
+		fmt.Fprintf(&b, ",g=%s", cl.group)
 	}
-	if p.at != nil {
-		fmt.Fprintf(&b, ",at=%s", p.at.uid)
+	if cl.initialHost != nil {
+		fmt.Fprintf(&b, ",at=%s", cl.initialHost.uid)
 	}
-	if p.retry {
+	if cl.retrying {
 		b.WriteString(",r=1")
 	}
-	if p.again {
+	if cl.returning {
 		b.WriteString(",again=1")
 	}
 	b.WriteString("\r\n")
 	f.Add(record.Event{At: w.now, Kind: record.Asked, Host: -1})
-	w.say(c, b.String(), nil)
-	gen := p.gen
+	w.sendToNode(c, b.String(), nil)
+	generation := cl.generation
 	w.after(f.Timeout, func() {
-		if p.gen == gen && p.state == asking {
-			p.giveUp()
+		if cl.generation == generation && cl.state == clientAsking {
+			cl.timeOut()
 		}
 	})
 }
 
-// giveUp is that no answer came in the client's time.
-func (p *wish) giveUp() {
-	p.leave()
-	p.failed(0)
+// timeOut is that no answer came in the client's time.
+func (cl *client) timeOut() {
+	cl.disconnect()
+	cl.attemptFailed(0)
 }
 
-// failed lets the client try again, or not. It was told to wait so many microseconds; under 0 it was told nothing.
-func (p *wish) failed(told int64) {
-	c := p.w.s.Clients
-	p.tries++
-	p.retry = true
-	if p.looping {
-		p.w.after(1000, p.ask)
+// attemptFailed lets the client try again, or not. It was told to wait so many microseconds; under 0 it was told nothing.
+func (cl *client) attemptFailed(retryAfter int64) {
+	c := cl.world.script.Clients
+	cl.failures++
+	cl.retrying = true
+	if cl.looping {
+		cl.world.after(1000, cl.attempt)
 		return
 	}
-	if c.Wait == "none" || p.tries > c.Retries {
+	if c.RetryWait == "none" || cl.failures > c.Retries {
 		if !c.GivesUp {
-			p.later()
+			cl.scheduleNextRound()
 		}
 		return
 	}
 	wait := int64(0)
-	switch c.Wait {
+	switch c.RetryWait {
 	case "fixed":
-		wait = c.Pause.Us()
+		wait = c.RetryPause.Us()
 	case "exponential":
-		wait = c.Pause.Us() << min(p.tries-1, 10)
-		wait = wait/2 + p.own.Int64N(wait/2+1)
+		wait = c.RetryPause.Us() << min(cl.failures-1, 10)
+		wait = wait/2 + cl.eventRand.Int64N(wait/2+1)
 	}
-	if told > 0 && p.own.Float64() < c.Honour {
-		wait = max(wait, told)
+	if retryAfter > 0 && cl.eventRand.Float64() < c.HonourShare {
+		wait = max(wait, retryAfter)
 	}
-	p.w.after(max(wait, 1), p.ask)
+	cl.world.after(max(wait, 1), cl.attempt)
 }
 
-const longestWait = 8 * second
+const maxRoundWait = 8 * second
 
-// later lets a client come again whose tries are used up, after ever longer waits.
-func (p *wish) later() {
-	wait := min(p.w.s.Clients.Back[1].Us()<<min(p.rounds, 10), longestWait)
-	p.rounds++
-	p.tries = 0
-	p.w.after(wait/2+p.own.Int64N(wait/2+1), p.ask)
+// scheduleNextRound lets a client come again whose tries are used up, after ever longer waits.
+func (cl *client) scheduleNextRound() {
+	wait := min(cl.world.script.Clients.ReturnAfterBreak[1].Us()<<min(cl.retryRounds, 10), maxRoundWait)
+	cl.retryRounds++
+	cl.failures = 0
+	cl.world.after(wait/2+cl.eventRand.Int64N(wait/2+1), cl.attempt)
 }
 
-// back lets a client come again whose connection broke or was moved.
-func (p *wish) back(within [2]int64) {
-	p.again, p.retry, p.tries, p.rounds = true, false, 0, 0
-	p.w.after(within[0]+p.own.Int64N(within[1]-within[0]+1), p.ask)
+// scheduleReturn lets a client come again whose connection broke or was moved.
+func (cl *client) scheduleReturn(within [2]int64) {
+	cl.returning, cl.retrying, cl.failures, cl.retryRounds = true, false, 0, 0
+	cl.world.after(within[0]+cl.eventRand.Int64N(within[1]-within[0]+1), cl.attempt)
 }
 
-func (p *wish) line(c *Conn, line []byte) {
-	if c != p.conn {
+func (cl *client) receiveLine(c *Conn, line []byte) {
+	if c != cl.conn {
 		return
 	}
-	switch p.state {
-	case asking:
-		p.answer(string(line))
-	case established:
-		p.heard(string(line))
+	switch cl.state {
+	case clientAsking:
+		cl.receiveAnswer(string(line))
+	case clientEstablished:
+		cl.receiveHostLine(string(line))
 	}
 }
 
-// answer takes the one final answer.
-func (p *wish) answer(text string) {
-	w, f := p.w, p.flow
+// receiveAnswer takes the one final answer.
+func (cl *client) receiveAnswer(text string) {
+	w, f := cl.world, cl.flow
 	f.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: text})
-	p.at = nil
+	cl.initialHost = nil
 	receipt, up := strings.CutPrefix(text, "UP ")
 	if !up {
-		told := int64(-1)
+		retryAfter := int64(-1)
 		var wait float64
 		if n, _ := fmt.Sscanf(text, "BUSY %f", &wait); n == 1 {
-			told = int64(wait * 1000)
+			retryAfter = int64(wait * 1000)
 		}
-		w.hang(p.conn, false)
-		p.gen++
-		p.rest()
-		p.failed(told)
+		w.closePeerSide(cl.conn, false)
+		cl.generation++
+		cl.clearConnection()
+		cl.attemptFailed(retryAfter)
 		return
 	}
 	f.Establish = w.now - f.Find(record.Asked).At
 	name, _, _ := strings.Cut(receipt, ".")
-	p.state, p.tries, p.rounds, p.retry = established, 0, 0, false
+	cl.state, cl.failures, cl.retryRounds, cl.retrying = clientEstablished, 0, 0, false
 	for _, h := range w.hosts {
 		if h.uid == name {
-			f.Host = h.no
-			f.Crossed = h.zone != p.node.zone
+			f.Host = h.index
+			f.Crossed = h.zone != cl.node.zone
 			if f.Crossed {
 				w.run.Counts.Crossings++
 			}
-			if !p.looping {
-				h.held[p.typ]++
-				p.counted = h
+			if !cl.looping {
+				h.clientsByType[cl.serviceType]++
+				cl.countedAt = h
 			}
 		}
 	}
-	p.gen++
+	cl.generation++
 	switch {
-	case p.looping:
-		p.leave()
-		w.after(1, p.ask)
-	case p.window > 0:
-		p.pump(p.window)
+	case cl.looping:
+		cl.disconnect()
+		w.after(1, cl.attempt)
+	case cl.bulkWindow > 0:
+		cl.sendBulk(cl.bulkWindow)
 	default:
-		p.talk(p.gen)
+		cl.scheduleNextLine(cl.generation)
 	}
 }
 
-const bulkLine = 128
+const bulkLineBytes = 128
 
-// pump sends so many bytes of a bulk client.
-func (p *wish) pump(bytes int) {
-	line := strings.Repeat("x", bulkLine-2) + "\r\n"
-	p.send(strings.Repeat(line, max(bytes/bulkLine, 1)))
+// sendBulk sends so many bytes of a bulk client.
+func (cl *client) sendBulk(bytes int) {
+	line := strings.Repeat("x", bulkLineBytes-2) + "\r\n"
+	cl.send(strings.Repeat(line, max(bytes/bulkLineBytes, 1)))
 }
 
-// talk sends a line now and then, and sees whether they come back.
-func (p *wish) talk(gen int) {
-	every := p.w.s.Clients.Every.Us()
-	p.w.after(every*3/4+p.own.Int64N(every/2+1), func() {
-		if p.gen != gen || p.state != established {
+// scheduleNextLine sends a line now and then, and sees whether they come back.
+func (cl *client) scheduleNextLine(generation int) {
+	every := cl.world.script.Clients.LineInterval.Us()
+	cl.world.after(every*3/4+cl.eventRand.Int64N(every/2+1), func() {
+		if cl.generation != generation || cl.state != clientEstablished {
 			return
 		}
-		if p.askedAt > 0 && p.w.now-p.askedAt > 7*second+50_000+4*every && !p.silent {
-			p.silent = true
-			p.flow.Add(record.Event{At: p.w.now, Kind: record.Unended, Host: -1, Text: "silent", Value: p.w.now - p.askedAt})
+		if cl.unansweredSince > 0 && cl.world.now-cl.unansweredSince > 7*second+50_000+4*every && !cl.silenceRecorded {
+			cl.silenceRecorded = true
+			cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Unended, Host: -1, Text: "silent", Value: cl.world.now - cl.unansweredSince})
 		}
-		if p.askedAt == 0 {
-			p.askedAt = p.w.now
+		if cl.unansweredSince == 0 {
+			cl.unansweredSince = cl.world.now
 		}
-		p.send(fmt.Sprintf("say %d\r\n", p.w.now/1000))
-		p.talk(gen)
+		cl.send(fmt.Sprintf("say %d\r\n", cl.world.now/1000))
+		cl.scheduleNextLine(generation)
 	})
 }
 
 // send is bytes of an established client; the node owes them to the host.
-func (p *wish) send(text string) {
-	flow := p.flow
-	p.w.say(p.conn, text, func() {
-		if p.flow == flow && p.state == established {
-			p.toHost.put(len(text), p.w.now)
+func (cl *client) send(text string) {
+	flow := cl.flow
+	cl.world.sendToNode(cl.conn, text, func() {
+		if cl.flow == flow && cl.state == clientEstablished {
+			cl.pendingToHost.add(len(text), cl.world.now)
 		}
 	})
 }
 
-func (p *wish) heard(text string) {
+func (cl *client) receiveHostLine(text string) {
 	switch {
 	case text == "MOVE", text == "BYE":
-		p.parted = text
+		cl.closingLine = text
 		return
 	case strings.HasPrefix(text, "LOAD "):
 		return
 	}
-	p.askedAt = 0
-	if p.window > 0 {
-		p.pump(bulkLine)
+	cl.unansweredSince = 0
+	if cl.bulkWindow > 0 {
+		cl.sendBulk(bulkLineBytes)
 	}
 }
 
-// bulk takes many lines of a bulk client at once, and sends as much again.
-func (p *wish) bulk(c *Conn, b []byte) bool {
-	if c != p.conn || p.state != established || p.window == 0 || b[0] != 'x' {
+// receiveBulk takes many lines of a bulk client at once, and sends as much again.
+func (cl *client) receiveBulk(c *Conn, b []byte) bool {
+	if c != cl.conn || cl.state != clientEstablished || cl.bulkWindow == 0 || b[0] != 'x' {
 		return false
 	}
-	p.askedAt = 0
-	p.pump(len(b))
+	cl.unansweredSince = 0
+	cl.sendBulk(len(b))
 	return true
 }
 
-// ended is that the node's side is gone.
-func (p *wish) ended(c *Conn, broken bool) {
-	if c != p.conn {
+// closed is that the node's side is gone.
+func (cl *client) closed(c *Conn, broken bool) {
+	if c != cl.conn {
 		return
 	}
-	w, f, word, was := p.w, p.flow, p.parted, p.state
+	w, f, closingLine, state := cl.world, cl.flow, cl.closingLine, cl.state
 	kind := record.Cut
-	if word == "MOVE" {
+	if closingLine == "MOVE" {
 		kind = record.Moved
 	}
-	if word != "BYE" {
+	if closingLine != "BYE" {
 		f.Add(record.Event{At: w.now, Kind: kind, Host: -1})
 	}
-	w.hang(c, false)
-	p.gen++
-	p.rest()
+	w.closePeerSide(c, false)
+	cl.generation++
+	cl.clearConnection()
 	switch {
-	case was == asking:
-		p.failed(-1)
-	case word == "BYE":
-		p.stopWanting()
-		p.state = over
-	case p.looping:
-		p.failed(-1)
-	case word == "MOVE":
+	case state == clientAsking:
+		cl.attemptFailed(-1)
+	case closingLine == "BYE":
+		cl.withdrawDemand()
+		cl.state = clientDone
+	case cl.looping:
+		cl.attemptFailed(-1)
+	case closingLine == "MOVE":
 		w.run.Counts.Moves++
-		p.back([2]int64{w.s.Clients.Moved[0].Us(), w.s.Clients.Moved[1].Us()})
+		cl.scheduleReturn([2]int64{w.script.Clients.ReturnAfterMove[0].Us(), w.script.Clients.ReturnAfterMove[1].Us()})
 	default:
 		w.run.Counts.Breaks++
-		p.back([2]int64{w.s.Clients.Back[0].Us(), w.s.Clients.Back[1].Us()})
+		cl.scheduleReturn([2]int64{w.script.Clients.ReturnAfterBreak[0].Us(), w.script.Clients.ReturnAfterBreak[1].Us()})
 	}
 }
 
-func (p *wish) nodeDied() {
-	if p.flow != nil {
-		p.flow.Add(record.Event{At: p.w.now, Kind: record.NodeKilled, Host: -1})
+func (cl *client) nodeKilled() {
+	if cl.flow != nil {
+		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.NodeKilled, Host: -1})
 	}
 }
 
-// sent looks at what a node sends: a connect's line on its way to a host, or what it owed.
-func (w *World) sent(c *Conn, p []byte) {
+// observeNodeData looks at what a node sends: a connect's line on its way to a host, or what it owed.
+func (w *World) observeNodeData(c *Conn, p []byte) {
 	switch {
-	case c.Host >= 0 && !c.spoke:
-		c.spoke = true
-		w.connect(c, p)
-	case c.Host >= 0 && c.wish != nil && c.wish.flow == c.flow:
-		if held := c.wish.toHost.took(len(p), w.now); held > heldTooLong {
-			c.flow.Add(record.Event{At: w.now, Kind: record.Held, Host: c.Host, Try: c.try, Text: "to the host", Value: held})
+	case c.Host >= 0 && !c.nodeSent:
+		c.nodeSent = true
+		w.observeConnect(c, p)
+	case c.Host >= 0 && c.client != nil && c.client.flow == c.flow:
+		if held := c.client.pendingToHost.forward(len(p), w.now); held > maxHoldTime {
+			c.flow.Add(record.Event{At: w.now, Kind: record.Held, Host: c.Host, Try: c.attempt, Text: "to the host", Value: held})
 		}
 	case c.Host < 0:
-		w.seconds(c, p)
-		if q, ok := c.peer.(*wish); ok && q.conn == c {
-			q.given(p)
+		w.observeAnswer(c, p)
+		if cl, ok := c.peer.(*client); ok && cl.conn == c {
+			cl.observeForwarded(p)
 		}
 	}
 }
 
-// seconds notes what a node sends a client after a final answer that was not UP.
-func (w *World) seconds(c *Conn, p []byte) {
-	if c.asked == nil || bytes.HasPrefix(p, []byte("UP ")) && !c.final || c.wasUp {
-		c.wasUp = true
+// observeAnswer notes what a node sends a client after a final answer that was not UP.
+func (w *World) observeAnswer(c *Conn, p []byte) {
+	if c.clientFlow == nil || bytes.HasPrefix(p, []byte("UP ")) && !c.finalSent || c.upSent {
+		c.upSent = true
 		return
 	}
 	for _, line := range bytes.Split(bytes.TrimSuffix(p, []byte("\n")), []byte("\n")) {
-		if c.final {
-			c.asked.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: string(line)})
+		if c.finalSent {
+			c.clientFlow.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: string(line)})
 		}
-		c.final = true
+		c.finalSent = true
 	}
 }
 
-// connect notes that a flow's line leaves for a host.
-func (w *World) connect(c *Conn, p []byte) {
+// observeConnect notes that a flow's line leaves for a host.
+func (w *World) observeConnect(c *Conn, p []byte) {
 	rest, ok := strings.CutPrefix(string(p), "OPEN ")
 	id, _, _ := strings.Cut(rest, " ")
-	f := w.byID[id]
+	f := w.flowByID[id]
 	if !ok || f == nil {
 		return
 	}
-	c.flow, c.wish, c.try = f, w.wishOf[id], f.Connects
+	c.flow, c.client, c.attempt = f, w.clientByFlowID[id], f.Connects
 	f.Connects++
 	w.run.Counts.Connects++
-	f.Add(record.Event{At: w.now, Kind: record.Sent, Host: c.Host, Try: c.try})
+	f.Add(record.Event{At: w.now, Kind: record.Sent, Host: c.Host, Try: c.attempt})
 }
 
-// given looks at what the node sends a client.
-func (p *wish) given(b []byte) {
+// observeForwarded looks at what the node sends a client.
+func (cl *client) observeForwarded(b []byte) {
 	n := len(b)
-	if !p.live {
+	if !cl.upSent {
 		if !strings.HasPrefix(string(b), "UP ") {
 			return
 		}
-		p.live = true
+		cl.upSent = true
 		n -= strings.IndexByte(string(b), '\n') + 1
 	}
-	if held := p.toSelf.took(n, p.w.now); held > heldTooLong {
-		p.flow.Add(record.Event{At: p.w.now, Kind: record.Held, Host: -1, Text: "to the client", Value: held})
+	if held := cl.pendingToClient.forward(n, cl.world.now); held > maxHoldTime {
+		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Held, Host: -1, Text: "to the client", Value: held})
 	}
 }
 
-// gaveUp notes that a node ends its side of a connection.
-func (w *World) gaveUp(c *Conn) {
+// observeNodeClose notes that a node ends its side of a connection.
+func (w *World) observeNodeClose(c *Conn) {
 	if c.flow != nil {
-		c.flow.Add(record.Event{At: w.now, Kind: record.Stopped, Host: c.Host, Try: c.try})
+		c.flow.Add(record.Event{At: w.now, Kind: record.Stopped, Host: c.Host, Try: c.attempt})
 		return
 	}
-	if p, ok := c.peer.(*wish); ok && p.conn == c && p.hostEnd > 0 && w.now-p.hostEnd > heldTooLong {
-		p.flow.Add(record.Event{At: w.now, Kind: record.Unended, Host: -1, Value: w.now - p.hostEnd})
-		p.hostEnd = 0
+	if cl, ok := c.peer.(*client); ok && cl.conn == c && cl.hostEndAt > 0 && w.now-cl.hostEndAt > maxHoldTime {
+		cl.flow.Add(record.Event{At: w.now, Kind: record.Unended, Host: -1, Value: w.now - cl.hostEndAt})
+		cl.hostEndAt = 0
 	}
 }
 
-// lost notes that a node has heard of the end of a host's side.
-func (w *World) lost(c *Conn) {
+// observeHostClose notes that a node has heard of the end of a host's side.
+func (w *World) observeHostClose(c *Conn) {
 	if c.flow == nil {
 		return
 	}
-	c.flow.Add(record.Event{At: w.now, Kind: record.Lost, Host: c.Host, Try: c.try})
-	if p := c.wish; p.flow == c.flow && p.live && p.hostEnd == 0 {
-		p.hostEnd = w.now
+	c.flow.Add(record.Event{At: w.now, Kind: record.Lost, Host: c.Host, Try: c.attempt})
+	if cl := c.client; cl.flow == c.flow && cl.upSent && cl.hostEndAt == 0 {
+		cl.hostEndAt = w.now
 	}
 }
 
-func (w *World) nonsense(hc *hostConn, why string) {
+func (w *World) recordInvalidLine(hc *hostConn, why string) {
 	if hc.flow != nil {
-		hc.flow.Add(record.Event{At: w.now, Kind: record.Nonsense, Host: hc.Host, Try: hc.try, Text: why})
+		hc.flow.Add(record.Event{At: w.now, Kind: record.Nonsense, Host: hc.Host, Try: hc.attempt, Text: why})
 		return
 	}
 	w.run.Strange = append(w.run.Strange, fmt.Sprintf("%.6f s: n-%d sent h-%d what no client sent: %.80s",
--- a/rehearsal/fleet/discovery.go
+++ b/rehearsal/fleet/discovery.go
@@ -10,241 +10,241 @@
 	"coursewinch/rehearsal/record"
 )
 
-// change is one entry of discovery's journal.
-type change struct {
-	rev   int64
-	entry entry
+// journalRecord is one entry of discovery's journal.
+type journalRecord struct {
+	revision int64
+	entry    hostEntry
 }
 
-// entry is what a list says of a host.
-type entry struct {
-	host  int
-	state string // ready, draining or gone
-	boot  int64
-	at    int64 // when it became true
+// hostEntry is what a list says of a host.
+type hostEntry struct {
+	host     int
+	state    string // ready, draining or gone
+	bootedAt int64
+	since    int64 // when it became true
 }
 
 // watch is one node's connection to discovery.
 type watch struct {
-	c      *Conn
-	asked  bool
-	after  int64 // the last version told
-	done   bool
-	spoke  int64
-	target string
+	conn         *Conn
+	answered     bool
+	sentRevision int64 // the last version told
+	closed       bool
+	lastSentAt   int64
+	target       string
 }
 
 // discovery names the hosts, late, to those who watch.
 type discovery struct {
-	w       *World
-	chance  *rand.Rand
-	journal []change
-	now     []entry // by host; state "" before it ever was listed
-	watches []*watch
-	down    int
-	refuses float64
-	freeAt  int64 // when it has dealt with the calls that wait
-	addrs   map[string]bool
-}
-
-func (d *discovery) exists(addr string) bool { return d.down == 0 && d.addrs[addr] }
-
-// learn puts what became of a host into the journal, after the time that discovery takes to notice.
-func (d *discovery) learn(h *host) {
-	e := entry{h.no, h.listed, h.boot, d.w.now}
+	world        *World
+	random       *rand.Rand
+	journal      []journalRecord
+	entries      []hostEntry // by host; state "" before it ever was listed
+	watches      []*watch
+	outages      int
+	refusalShare float64
+	busyUntil    int64 // when it has dealt with the calls that wait
+	addresses    map[string]bool
+}
+
+func (d *discovery) isListening(addr string) bool { return d.outages == 0 && d.addresses[addr] }
+
+// scheduleUpdate puts what became of a host into the journal, after the time that discovery takes to notice.
+func (d *discovery) scheduleUpdate(h *host) {
+	e := hostEntry{h.index, h.listed, h.bootedAt, d.world.now}
 	if h.listed == "" {
 		e.state = "gone"
 	}
-	wait := float64(d.w.s.Discovery.Notice) * (0.6 + 0.8*d.chance.Float64())
-	d.w.after(int64(wait), func() { d.note(e) })
+	wait := float64(d.world.script.Discovery.NoticeDelay) * (0.6 + 0.8*d.random.Float64())
+	d.world.after(int64(wait), func() { d.apply(e) })
 }
 
-func (d *discovery) note(e entry) {
-	if old := d.now[e.host]; e.at < old.at {
+func (d *discovery) apply(e hostEntry) {
+	if old := d.entries[e.host]; e.since < old.since {
 		return // what is newer is known already
 	}
-	d.now[e.host] = e
-	d.journal = append(d.journal, change{int64(len(d.journal) + 1), e})
+	d.entries[e.host] = e
+	d.journal = append(d.journal, journalRecord{int64(len(d.journal) + 1), e})
 }
 
 func (d *discovery) accepted(c *Conn) {
-	d.w.nodes[c.Node].askedAt = d.w.now
-	t := &watch{c: c, target: c.Addr}
-	c.state = t
+	d.world.nodes[c.Node].lastAskedAt = d.world.now
+	t := &watch{conn: c, target: c.Addr}
+	c.peerState = t
 	d.watches = append(d.watches, t)
 }
 
-func (d *discovery) up(*Conn) {}
+func (d *discovery) connected(*Conn) {}
 
-func (d *discovery) ended(c *Conn, _ bool) {
-	if t, ok := c.state.(*watch); ok {
+func (d *discovery) closed(c *Conn, _ bool) {
+	if t, ok := c.peerState.(*watch); ok {
 		d.forget(t)
 	}
 }
 
 func (d *discovery) forget(t *watch) {
-	t.done = true
-	d.w.nodes[t.c.Node].askedAt = d.w.now
+	t.closed = true
+	d.world.nodes[t.conn.Node].lastAskedAt = d.world.now
 	d.watches = slices.DeleteFunc(d.watches, func(o *watch) bool { return o == t })
 }
 
-// line reads a request: its first line tells all.
-func (d *discovery) line(c *Conn, line []byte) {
-	t, ok := c.state.(*watch)
-	if !ok || t.done {
+// receiveLine reads a request: its first line tells all.
+func (d *discovery) receiveLine(c *Conn, line []byte) {
+	t, ok := c.peerState.(*watch)
+	if !ok || t.closed {
 		return
 	}
 	text := string(line)
 	switch {
 	case strings.HasPrefix(text, "GET "):
-		t.after = -1
+		t.sentRevision = -1
 		if _, v, ok := strings.Cut(text, "after="); ok {
 			v, _, _ = strings.Cut(v, " ")
 			if n, err := strconv.ParseInt(v, 10, 64); err == nil {
-				t.after = n
+				t.sentRevision = n
 			}
 		}
 	case text == "":
-		d.call(t)
+		d.answerCall(t)
 	}
 }
 
-// call deals with calls one after another.
-func (d *discovery) call(t *watch) {
-	s := d.w.s.Discovery
-	if d.chance.Float64() < s.Refuses+d.refuses {
-		d.w.say(t.c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", nil)
-		d.w.hang(t.c, false)
+// answerCall deals with calls one after another.
+func (d *discovery) answerCall(t *watch) {
+	s := d.world.script.Discovery
+	if d.random.Float64() < s.RefusalShare+d.refusalShare {
+		d.world.sendToNode(t.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", nil)
+		d.world.closePeerSide(t.conn, false)
 		d.forget(t)
 		return
 	}
 	wait := int64(1000)
-	if s.Calls > 0 {
-		d.freeAt = max(d.freeAt, d.w.now) + int64(1e6/s.Calls)
-		wait = d.freeAt - d.w.now
+	if s.CallRate > 0 {
+		d.busyUntil = max(d.busyUntil, d.world.now) + int64(1e6/s.CallRate)
+		wait = d.busyUntil - d.world.now
 	}
-	d.w.after(wait, func() {
-		if t.done || d.down > 0 {
+	d.world.after(wait, func() {
+		if t.closed || d.outages > 0 {
 			return
 		}
-		t.asked = true
-		all := t.after < 0 || t.after > int64(len(d.journal))
-		var told []entry
+		t.answered = true
+		all := t.sentRevision < 0 || t.sentRevision > int64(len(d.journal))
+		var entries []hostEntry
 		if all {
-			for _, e := range d.now {
+			for _, e := range d.entries {
 				if e.state != "" && e.state != "gone" {
-					told = append(told, e)
+					entries = append(entries, e)
 				}
 			}
 		} else {
-			told = d.since(t.after)
+			entries = d.entriesSince(t.sentRevision)
 		}
-		d.w.say(t.c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n", nil)
-		d.tell(t, told, all)
+		d.world.sendToNode(t.conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n", nil)
+		d.sendList(t, entries, all)
 	})
 }
 
-func (d *discovery) since(rev int64) (told []entry) {
-	for _, c := range d.journal[rev:] {
-		told = append(told, c.entry)
+func (d *discovery) entriesSince(revision int64) (entries []hostEntry) {
+	for _, c := range d.journal[revision:] {
+		entries = append(entries, c.entry)
 	}
-	return told
+	return entries
 }
 
-// tell writes one list of a watch.
-func (d *discovery) tell(t *watch, told []entry, all bool) {
-	t.after, t.spoke = int64(len(d.journal)), d.w.now
-	text := d.w.list(t.c.Node, t.after, told, all) + "\n"
-	rev := t.after
-	d.w.say(t.c, fmt.Sprintf("%x\r\n%s\r\n", len(text), text), func() { d.w.told(t.c.Node, rev, told, all) })
+// sendList writes one list of a watch.
+func (d *discovery) sendList(t *watch, entries []hostEntry, all bool) {
+	t.sentRevision, t.lastSentAt = int64(len(d.journal)), d.world.now
+	text := d.world.listJSON(t.conn.Node, t.sentRevision, entries, all) + "\n"
+	revision := t.sentRevision
+	d.world.sendToNode(t.conn, fmt.Sprintf("%x\r\n%s\r\n", len(text), text), func() { d.world.applyList(t.conn.Node, revision, entries, all) })
 }
 
-// beat tells all who watch what has changed.
-func (d *discovery) beat() {
+// sendUpdates tells all who watch what has changed.
+func (d *discovery) sendUpdates() {
 	for _, t := range d.watches {
 		switch {
-		case !t.asked:
-		case t.after < int64(len(d.journal)):
-			d.tell(t, d.since(t.after), false)
-		case d.w.now-t.spoke >= 2*second:
-			t.spoke = d.w.now
-			d.w.say(t.c, "1\r\n\n\r\n", nil)
+		case !t.answered:
+		case t.sentRevision < int64(len(d.journal)):
+			d.sendList(t, d.entriesSince(t.sentRevision), false)
+		case d.world.now-t.lastSentAt >= 2*second:
+			t.lastSentAt = d.world.now
+			d.world.sendToNode(t.conn, "1\r\n\n\r\n", nil)
 		}
 	}
 }
 
-// fail ends all watches.
-func (d *discovery) fail() {
+// breakWatches ends all watches.
+func (d *discovery) breakWatches() {
 	for _, t := range slices.Clone(d.watches) {
-		d.w.hang(t.c, true)
+		d.world.closePeerSide(t.conn, true)
 		d.forget(t)
 	}
 }
 
-const askWithin = 6 * second // what the nodes' settings say
+const askDiscoveryWithin = 6 * second // what the nodes' settings say
 
-// deem tells nodes that have neither watched nor asked for so long what they could have heard.
-func (w *World) deem() {
+// applyMissedUpdates tells nodes that have neither watched nor asked for so long what they could have heard.
+func (w *World) applyMissedUpdates() {
 	watching := map[int]bool{}
-	for _, t := range w.disc.watches {
-		watching[t.c.Node] = true
+	for _, t := range w.discovery.watches {
+		watching[t.conn.Node] = true
 	}
 	for _, n := range w.nodes {
-		if !n.running || watching[n.no] || w.now-n.askedAt < askWithin {
+		if !n.running || watching[n.index] || w.now-n.lastAskedAt < askDiscoveryWithin {
 			continue
 		}
-		for _, e := range w.disc.now {
-			if e.state != "" && e != n.view[e.host] {
-				w.tellOne(n, e, false)
+		for _, e := range w.discovery.entries {
+			if e.state != "" && e != n.hostView[e.host] {
+				w.applyEntry(n, e, false)
 			}
 		}
 	}
 }
 
-// list is a list in discovery's form, as one node sees it.
-func (w *World) list(node int, rev int64, told []entry, all bool) string {
+// listJSON is a list in discovery's form, as one node sees it.
+func (w *World) listJSON(node int, revision int64, entries []hostEntry, all bool) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, `{"rev":%d,"all":%t,"targets":[`, rev, all)
-	for i, e := range told {
+	fmt.Fprintf(&b, `{"rev":%d,"all":%t,"targets":[`, revision, all)
+	for i, e := range entries {
 		if i > 0 {
 			b.WriteByte(',')
 		}
 		h := w.hosts[e.host]
 		boot := int64(0)
-		if e.boot > 0 {
-			boot = (w.epoch + e.boot) / 1000
+		if e.bootedAt > 0 {
+			boot = (w.epoch + e.bootedAt) / 1000
 		}
 		fmt.Fprintf(&b, `{"uid":%q,"endpoint":%q,"az":%q,"model":%q,"pod_group":%d,"state":%q,"capacity_hint":%.3f,"boot_ms":%d}`,
-			h.uid, w.endpoint(node, h), w.s.Zones[h.zone], h.kind, h.zone, e.state, h.cores*h.speed/w.meanSize, boot)
+			h.uid, w.endpoint(node, h), w.script.Zones[h.zone], h.model, h.zone, e.state, h.cores*h.speed/w.meanCapacity, boot)
 	}
 	b.WriteString("]}")
 	return b.String()
 }
 
-// told is that a node has a list: what it says counts from now on.
-func (w *World) told(node int, rev int64, told []entry, all bool) {
+// applyList is that a node has a list: what it says counts from now on.
+func (w *World) applyList(node int, revision int64, entries []hostEntry, all bool) {
 	n := w.nodes[node]
-	n.rev = rev
+	n.revision = revision
 	if all {
-		gone := slices.Clone(n.view)
-		for _, e := range told {
-			gone[e.host].state = ""
+		missing := slices.Clone(n.hostView)
+		for _, e := range entries {
+			missing[e.host].state = ""
 		}
-		for no, e := range gone {
+		for index, e := range missing {
 			if e.state != "" && e.state != "gone" {
-				w.tellOne(n, entry{no, "gone", e.boot, w.now}, false)
+				w.applyEntry(n, hostEntry{index, "gone", e.bootedAt, w.now}, false)
 			}
 		}
 	}
-	for _, e := range told {
-		w.tellOne(n, e, false)
+	for _, e := range entries {
+		w.applyEntry(n, e, false)
 	}
 }
 
-func (w *World) tellOne(n *nodeState, e entry, restart bool) {
-	old := n.view[e.host]
-	n.view[e.host] = e
+func (w *World) applyEntry(n *nodeState, e hostEntry, restart bool) {
+	old := n.hostView[e.host]
+	n.hostView[e.host] = e
 	if up := e.state == "ready"; restart || up != (old.state == "ready") {
-		w.run.Told = append(w.run.Told, record.Told{Node: n.no, Host: e.host, At: w.now, Up: up, Restart: restart})
+		w.run.Told = append(w.run.Told, record.Told{Node: n.index, Host: e.host, At: w.now, Up: up, Restart: restart})
 	}
 }
--- a/rehearsal/fleet/engine.go
+++ b/rehearsal/fleet/engine.go
@@ -9,97 +9,97 @@
 
 // event is something that happens at a moment. Those of one moment happen in the order in which they were asked for.
 type event struct {
-	at  int64
-	seq uint64
-	do  func()
+	at       int64
+	sequence uint64
+	action   func()
 }
 
-// events is a heap, the next one first.
-type events struct {
-	heap []event
-	seq  uint64
+// eventQueue is a heap, the next one first.
+type eventQueue struct {
+	heap     []event
+	sequence uint64
 }
 
-func (h *events) less(i, j int) bool {
-	x, y := &h.heap[i], &h.heap[j]
-	return x.at < y.at || x.at == y.at && x.seq < y.seq
+func (q *eventQueue) less(i, j int) bool {
+	x, y := &q.heap[i], &q.heap[j]
+	return x.at < y.at || x.at == y.at && x.sequence < y.sequence
 }
 
-func (h *events) put(at int64, do func()) {
-	h.seq++
-	h.heap = append(h.heap, event{at, h.seq, do})
-	for i := len(h.heap) - 1; i > 0; {
-		p := (i - 1) / 2
-		if !h.less(i, p) {
+func (q *eventQueue) push(at int64, action func()) {
+	q.sequence++
+	q.heap = append(q.heap, event{at, q.sequence, action})
+	for i := len(q.heap) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if !q.less(i, parent) {
 			break
 		}
-		h.heap[i], h.heap[p] = h.heap[p], h.heap[i]
-		i = p
+		q.heap[i], q.heap[parent] = q.heap[parent], q.heap[i]
+		i = parent
 	}
 }
 
-func (h *events) take() event {
-	top := h.heap[0]
-	last := len(h.heap) - 1
-	h.heap[0] = h.heap[last]
-	h.heap[last] = event{}
-	h.heap = h.heap[:last]
+func (q *eventQueue) pop() event {
+	top := q.heap[0]
+	last := len(q.heap) - 1
+	q.heap[0] = q.heap[last]
+	q.heap[last] = event{}
+	q.heap = q.heap[:last]
 	for i := 0; ; {
-		c := 2*i + 1
-		if c >= last {
+		child := 2*i + 1
+		if child >= last {
 			break
 		}
-		if c+1 < last && h.less(c+1, c) {
-			c++
+		if child+1 < last && q.less(child+1, child) {
+			child++
 		}
-		if !h.less(c, i) {
+		if !q.less(child, i) {
 			break
 		}
-		h.heap[i], h.heap[c] = h.heap[c], h.heap[i]
-		i = c
+		q.heap[i], q.heap[child] = q.heap[child], q.heap[i]
+		i = child
 	}
 	return top
 }
 
 // At asks for something to happen at a moment, now at the earliest.
-func (w *World) At(at int64, do func()) { w.q.put(max(at, w.now), do) }
+func (w *World) At(at int64, action func()) { w.queue.push(max(at, w.now), action) }
 
-func (w *World) after(wait int64, do func()) { w.At(w.now+wait, do) }
+func (w *World) after(wait int64, action func()) { w.At(w.now+wait, action) }
 
 // Now is the time, microseconds from the start of the run.
 func (w *World) Now() int64 { return w.now }
 
 // Next is when something happens next; ok is false when nothing will.
 func (w *World) Next() (at int64, ok bool) {
-	if len(w.q.heap) == 0 {
+	if len(w.queue.heap) == 0 {
 		return 0, false
 	}
-	return w.q.heap[0].at, true
+	return w.queue.heap[0].at, true
 }
 
 // Advance plays all that happens up to a moment and sets the time to it.
 func (w *World) Advance(to int64) {
-	for len(w.q.heap) > 0 && w.q.heap[0].at <= to {
-		e := w.q.take()
+	for len(w.queue.heap) > 0 && w.queue.heap[0].at <= to {
+		e := w.queue.pop()
 		w.now = max(w.now, e.at)
 		w.run.Counts.Events++
-		e.do()
+		e.action()
 	}
 	w.now = max(w.now, to)
 }
 
-// chance is a source of its own for each purpose, so that one more draw for the one changes nothing for the others.
-func (w *World) chance(purpose uint64) *rand.Rand {
+// newRand is a source of its own for each purpose, so that one more draw for the one changes nothing for the others.
+func (w *World) newRand(purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(w.seed, purpose*0x9e3779b97f4a7c15+1))
 }
 
 const (
-	forNet uint64 = iota + 1
-	forHosts
-	forDiscovery
-	forDemand
-	forFaults
-	forBad
-	forLinks
-	forWishes uint64 = 1 << 32 // and up, one a client
+	randNetwork uint64 = iota + 1
+	randHosts
+	randDiscovery
+	randDemand
+	randFaults
+	randBadClients
+	randLinks
+	randClients uint64 = 1 << 32 // and up, one a client
 )
--- a/rehearsal/fleet/faults.go
+++ b/rehearsal/fleet/faults.go
@@ -9,26 +9,26 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// strike begins a fault. Who is struck by chance is drawn from a source of the fault's own.
-func (w *World) strike(f *scenario.Fault) {
-	no := uint64(slices.IndexFunc(w.s.Faults, func(o scenario.Fault) bool { return o.At == f.At && o.Kind == f.Kind }))
-	pick := func(names []string, total int) []int { return w.pick(f, forFaults+no<<8, names, total) }
-	length := f.For.Us()
+// injectFault begins a fault. Who is struck by chance is drawn from a source of the fault's own.
+func (w *World) injectFault(f *scenario.Fault) {
+	index := uint64(slices.IndexFunc(w.script.Faults, func(o scenario.Fault) bool { return o.At == f.At && o.Kind == f.Kind }))
+	pick := func(names []string, total int) []int { return w.pickMembers(f, randFaults+index<<8, names, total) }
+	duration := f.For.Us()
 	switch f.Kind {
 	case "cut", "delay", "breaks":
-		w.strikeZone(f, w.zoneNo(f.Zone))
+		w.injectZoneFault(f, w.zoneIndex(f.Zone))
 	case "store_slow":
-		w.storeBy *= f.Size
-		w.after(length, func() { w.storeBy /= f.Size })
+		w.storeSlowdown *= f.Size
+		w.after(duration, func() { w.storeSlowdown /= f.Size })
 	case "discovery":
-		w.disc.down++
-		w.disc.fail()
-		w.after(length, func() { w.disc.down-- })
+		w.discovery.outages++
+		w.discovery.breakWatches()
+		w.after(duration, func() { w.discovery.outages-- })
 	case "discovery_no":
-		w.disc.refuses += f.Size
-		w.after(length, func() { w.disc.refuses -= f.Size })
+		w.discovery.refusalShare += f.Size
+		w.after(duration, func() { w.discovery.refusalShare -= f.Size })
 	case "reconnect", "vanish":
-		w.reconnect(f, w.chance(forFaults+no<<8+1<<20))
+		w.dropClients(f, w.newRand(randFaults+index<<8+1<<20))
 	case "link_loss", "link_delay", "link_twice", "link_mixed", "link_bent", "link_again", "link_mute", "link_cut", "link_split", "link_liar":
 		var to []int
 		if len(f.To) > 0 {
@@ -38,266 +38,266 @@
 		if f.Kind != "link_split" {
 			nodes = pick(f.Nodes, len(w.nodes))
 		}
-		w.strikeLinks(f, nodes, to)
+		w.injectLinkFault(f, nodes, to)
 	case "node_kill", "node_stop", "node_reload", "node_starve", "node_pause", "node_twin", "node_clock", "node_rate":
 		for i, n := range pick(f.Nodes, len(w.nodes)) {
-			w.after(int64(i)*f.Step.Us(), func() { w.strikeNode(f, n) })
+			w.after(int64(i)*f.Step.Us(), func() { w.injectNodeFault(f, n) })
 		}
 	default:
 		for i, h := range pick(f.Hosts, len(w.hosts)) {
-			w.after(int64(i)*f.Step.Us(), func() { w.strikeHost(f, w.hosts[h]) })
+			w.after(int64(i)*f.Step.Us(), func() { w.injectHostFault(f, w.hosts[h]) })
 		}
 	}
 }
 
-func (w *World) pick(f *scenario.Fault, purpose uint64, names []string, total int) []int {
-	var all []int
+func (w *World) pickMembers(f *scenario.Fault, purpose uint64, names []string, total int) []int {
+	var indexes []int
 	for _, n := range names {
-		no, _ := strconv.Atoi(n[strings.IndexByte(n, '-')+1:])
-		all = append(all, no)
+		index, _ := strconv.Atoi(n[strings.IndexByte(n, '-')+1:])
+		indexes = append(indexes, index)
 	}
 	if len(names) > 0 {
-		return all
+		return indexes
 	}
 	count := f.Count
 	if count == 0 {
 		count = max(int(f.Share*float64(total)+0.5), 1)
 	}
-	return w.chance(purpose).Perm(total)[:min(count, total)]
+	return w.newRand(purpose).Perm(total)[:min(count, total)]
 }
 
-func (w *World) strikeHost(f *scenario.Fault, h *host) {
-	length := f.For.Us()
-	turn := func(on, off func()) {
-		h.play()
-		on()
-		h.plan()
-		w.after(length, func() {
-			h.play()
-			off()
-			h.plan()
+func (w *World) injectHostFault(f *scenario.Fault, h *host) {
+	duration := f.For.Us()
+	applyTemporarily := func(begin, end func()) {
+		h.advance()
+		begin()
+		h.scheduleCompletion()
+		w.after(duration, func() {
+			h.advance()
+			end()
+			h.scheduleCompletion()
 		})
 	}
 	switch f.Kind {
 	case "crash":
-		w.crash(h, length)
+		w.crashHost(h, duration)
 	case "silent":
-		h.die(mute)
-		w.listAs(h, "gone")
-		w.after(length, func() { w.rise(h) })
+		h.stop(hostSilent)
+		w.setListed(h, "gone")
+		w.after(duration, func() { w.startHost(h) })
 	case "pause":
-		turn(func() { h.paused++ }, func() { h.paused-- })
+		applyTemporarily(func() { h.pauses++ }, func() { h.pauses-- })
 	case "slow":
-		turn(func() { h.slow *= f.Size }, func() { h.slow /= f.Size })
+		applyTemporarily(func() { h.slowdown *= f.Size }, func() { h.slowdown /= f.Size })
 	case "errors":
-		turn(func() { h.errs += f.Size }, func() { h.errs -= f.Size })
+		applyTemporarily(func() { h.extraErrorRate += f.Size }, func() { h.extraErrorRate -= f.Size })
 	case "neighbour":
-		w.neighbour(f, h, w.now+length)
+		w.runNeighbour(f, h, w.now+duration)
 	case "drain":
-		w.drain(h, length, 0)
+		w.drainHost(h, duration, 0)
 	case "restart":
-		w.drain(h, length, second/2)
+		w.drainHost(h, duration, second/2)
 	case "join":
-		w.join(h)
+		w.startAbsentHost(h)
 	case "relist":
-		w.relist(h, f.On.Us(), w.now+length)
+		w.republish(h, f.Interval.Us(), w.now+duration)
 	}
 }
 
-// relist lets discovery tell of a host again and again, as it is.
-func (w *World) relist(h *host, every, until int64) {
-	w.disc.learn(h)
+// republish lets discovery tell of a host again and again, as it is.
+func (w *World) republish(h *host, every, until int64) {
+	w.discovery.scheduleUpdate(h)
 	if every = max(every, 100_000); w.now+every < until {
-		w.after(every, func() { w.relist(h, every, until) })
+		w.after(every, func() { w.republish(h, every, until) })
 	}
 }
 
-// neighbour lets another program take a share of the machine, on and off.
-func (w *World) neighbour(f *scenario.Fault, h *host, until int64) {
-	h.play()
-	h.taken = f.Size
-	h.plan()
-	on := f.On.Us()
-	if on == 0 {
-		on = until - w.now
+// runNeighbour lets another program take a share of the machine, on and off.
+func (w *World) runNeighbour(f *scenario.Fault, h *host, until int64) {
+	h.advance()
+	h.neighbourShare = f.Size
+	h.scheduleCompletion()
+	interval := f.Interval.Us()
+	if interval == 0 {
+		interval = until - w.now
 	}
-	w.At(min(w.now+on, until), func() {
-		h.play()
-		h.taken = 0
-		h.plan()
-		if w.now+on < until {
-			w.after(on, func() { w.neighbour(f, h, until) })
+	w.At(min(w.now+interval, until), func() {
+		h.advance()
+		h.neighbourShare = 0
+		h.scheduleCompletion()
+		if w.now+interval < until {
+			w.after(interval, func() { w.runNeighbour(f, h, until) })
 		}
 	})
 }
 
-// listAs says what discovery will learn of a host.
-func (w *World) listAs(h *host, state string) {
+// setListed says what discovery will learn of a host.
+func (w *World) setListed(h *host, state string) {
 	h.listed = state
-	w.disc.learn(h)
+	w.discovery.scheduleUpdate(h)
 }
 
-// crash ends a host's process at once; after back it starts again, cold, if back is over 0.
-func (w *World) crash(h *host, back int64) {
-	if h.state != running {
+// crashHost ends a host's process at once; after back it starts again, cold, if back is over 0.
+func (w *World) crashHost(h *host, restartAfter int64) {
+	if h.state != hostRunning {
 		return
 	}
-	h.die(dead)
-	w.listAs(h, "gone")
-	if back > 0 {
-		w.after(back, func() { w.rise(h) })
+	h.stop(hostDead)
+	w.setListed(h, "gone")
+	if restartAfter > 0 {
+		w.after(restartAfter, func() { w.startHost(h) })
 	}
 }
 
-func (w *World) rise(h *host) {
-	if h.fell || h.state == running {
+func (w *World) startHost(h *host) {
+	if h.fellOver || h.state == hostRunning {
 		return
 	}
 	h.start()
-	w.listAs(h, "ready")
+	w.setListed(h, "ready")
 }
 
-// drain lets a host finish what it has; then it stops, and after back starts again, cold, if back is over 0.
-func (w *World) drain(h *host, length, back int64) {
-	if h.state != running || h.listed != "ready" {
+// drainHost lets a host finish what it has; then it stops, and after back starts again, cold, if back is over 0.
+func (w *World) drainHost(h *host, length, restartAfter int64) {
+	if h.state != hostRunning || h.listed != "ready" {
 		return
 	}
-	boot := h.boot
-	h.leaves = w.now + length
-	w.listAs(h, "draining")
+	bootedAt := h.bootedAt
+	h.stopsAt = w.now + length
+	w.setListed(h, "draining")
 	w.after(length, func() {
-		if h.state == running && h.boot == boot {
-			w.crash(h, back)
+		if h.state == hostRunning && h.bootedAt == bootedAt {
+			w.crashHost(h, restartAfter)
 		}
 	})
 }
 
-// join starts a host that was not there before.
-func (w *World) join(h *host) {
-	if h.state == absent || h.state == dead {
-		w.rise(h)
+// startAbsentHost starts a host that was not there before.
+func (w *World) startAbsentHost(h *host) {
+	if h.state == hostAbsent || h.state == hostDead {
+		w.startHost(h)
 	}
 }
 
-func (w *World) strikeNode(f *scenario.Fault, no int) {
+func (w *World) injectNodeFault(f *scenario.Fault, index int) {
 	switch f.Kind {
 	case "node_kill":
-		w.kill(no, f.For.Us())
+		w.killNode(index, f.For.Us())
 	case "node_stop":
-		w.stop(no, f.For.Us())
+		w.stopNode(index, f.For.Us())
 	case "node_reload":
-		n := w.nodes[no]
-		n.reload++
+		n := w.nodes[index]
+		n.reloads++
 		if n.running {
-			w.side.Reload(no, w.conf(n))
+			w.player.Reload(index, w.nodeConfig(n))
 		}
 	case "node_pause":
-		n := w.nodes[no]
+		n := w.nodes[index]
 		if n.pauses++; n.pauses == 1 {
-			w.run.Stills = append(w.run.Stills, record.Still{Node: no, From: w.now})
+			w.run.Stills = append(w.run.Stills, record.Still{Node: index, From: w.now})
 		}
-		w.side.Pause(no, true)
+		w.player.Pause(index, true)
 		w.after(f.For.Us(), func() {
 			if n.pauses--; n.pauses == 0 {
 				for i := range w.run.Stills {
-					if s := &w.run.Stills[i]; s.Node == no && s.To == 0 {
+					if s := &w.run.Stills[i]; s.Node == index && s.To == 0 {
 						s.To = w.now
 					}
 				}
-				w.side.Pause(no, false)
+				w.player.Pause(index, false)
 			}
 		})
 	case "node_twin":
-		w.side.Twin(no, w.conf(w.nodes[no]), true)
-		w.after(f.For.Us(), func() { w.side.Twin(no, Conf{}, false) })
+		w.player.Twin(index, w.nodeConfig(w.nodes[index]), true)
+		w.after(f.For.Us(), func() { w.player.Twin(index, Conf{}, false) })
 	case "node_clock":
-		w.side.Clock(no, int64(f.Size*1e6), 1)
+		w.player.Clock(index, int64(f.Size*1e6), 1)
 	case "node_rate":
-		w.side.Clock(no, 0, f.Size)
-		w.after(f.For.Us(), func() { w.side.Clock(no, 0, 1) })
+		w.player.Clock(index, 0, f.Size)
+		w.after(f.For.Us(), func() { w.player.Clock(index, 0, 1) })
 	case "node_starve":
-		n := w.nodes[no]
-		n.starve = append(n.starve, f.Size)
-		w.side.Starve(no, n.starved())
+		n := w.nodes[index]
+		n.starvedShares = append(n.starvedShares, f.Size)
+		w.player.Starve(index, n.starvedShare())
 		w.after(f.For.Us(), func() {
-			i := slices.Index(n.starve, f.Size)
-			n.starve = slices.Delete(n.starve, i, i+1)
-			w.side.Starve(no, n.starved())
+			i := slices.Index(n.starvedShares, f.Size)
+			n.starvedShares = slices.Delete(n.starvedShares, i, i+1)
+			w.player.Starve(index, n.starvedShare())
 		})
 	}
 }
 
-// starved is the share of a node's core that others take.
-func (n *nodeState) starved() float64 {
+// starvedShare is the share of a node's core that others take.
+func (n *nodeState) starvedShare() float64 {
 	left := 1.0
-	for _, s := range n.starve {
+	for _, s := range n.starvedShares {
 		left *= 1 - s
 	}
 	return 1 - left
 }
 
-func (w *World) strikeZone(f *scenario.Fault, zone int) {
-	l := &w.links[zone]
+func (w *World) injectZoneFault(f *scenario.Fault, zone int) {
+	l := &w.zoneLinks[zone]
 	switch f.Kind {
 	case "cut":
-		l.cut++
+		l.cuts++
 		w.after(f.For.Us(), func() {
-			l.cut--
-			w.resume()
+			l.cuts--
+			w.resumeAfterCut()
 		})
 	case "delay":
-		l.added += f.Delay.Us()
-		w.after(f.For.Us(), func() { l.added -= f.Delay.Us() })
+		l.addedDelay += f.Delay.Us()
+		w.after(f.For.Us(), func() { l.addedDelay -= f.Delay.Us() })
 	case "breaks":
-		chance := w.chance(forFaults + 1<<30)
+		random := w.newRand(randFaults + 1<<30)
 		for _, n := range w.nodes {
 			for _, c := range slices.Clone(n.conns) {
-				if c.Host >= 0 && c.way.zone != n.zone && (c.way.zone == zone || n.zone == zone) && chance.Float64() < f.Size {
-					w.breakWay(c)
+				if c.Host >= 0 && c.path.zone != n.zone && (c.path.zone == zone || n.zone == zone) && random.Float64() < f.Size {
+					w.breakConnection(c)
 				}
 			}
 		}
 	}
 }
 
-// breakWay breaks a connection on its way: both ends hear of it.
-func (w *World) breakWay(c *Conn) {
-	w.end(c, true)
-	w.carry(c, &c.toNode, func() {
-		if w.alive(c) && !c.nodeDone {
-			w.lost(c)
-			w.bury(c)
-			w.side.Broken(c)
+// breakConnection breaks a connection on its way: both ends hear of it.
+func (w *World) breakConnection(c *Conn) {
+	w.notifyClosed(c, true)
+	w.transmit(c, &c.toNode, func() {
+		if w.isAlive(c) && !c.nodeDone {
+			w.observeHostClose(c)
+			w.removeConn(c)
+			w.player.Broken(c)
 		}
 	})
 }
 
-// reconnect lets a share of the clients drop and come again.
-func (w *World) reconnect(f *scenario.Fault, chance interface{ Float64() float64 }) {
-	for _, p := range slices.Clone(w.wishes) {
-		if p.state != established || p.looping || chance.Float64() >= f.Size {
+// dropClients lets a share of the clients drop and come again.
+func (w *World) dropClients(f *scenario.Fault, random interface{ Float64() float64 }) {
+	for _, cl := range slices.Clone(w.clients) {
+		if cl.state != clientEstablished || cl.looping || random.Float64() >= f.Size {
 			continue
 		}
-		p.flow.Add(record.Event{At: w.now, Kind: record.Left, Host: -1})
+		cl.flow.Add(record.Event{At: w.now, Kind: record.Left, Host: -1})
 		if f.Kind == "reconnect" {
-			w.hang(p.conn, true)
+			w.closePeerSide(cl.conn, true)
 		}
-		p.gen++
-		p.rest()
+		cl.generation++
+		cl.clearConnection()
 		w.run.Counts.Breaks++
-		p.again, p.retry, p.tries = true, false, 0
-		w.after(int64(chance.Float64()*float64(f.For)), p.ask)
+		cl.returning, cl.retrying, cl.failures = true, false, 0
+		w.after(int64(random.Float64()*float64(f.For)), cl.attempt)
 	}
 }
 
 // badClient is one that keeps no protocol.
 type badClient struct {
-	w    *World
-	kind string
-	no   int // in the record
+	world *World
+	kind  string
+	index int // in the record
 }
 
-func (w *World) badClients(b scenario.Bad) {
+func (w *World) scheduleBadClients(b scenario.BadClients) {
 	until := b.At.Us() + b.For.Us()
 	if b.For == 0 {
 		until = w.run.Length
@@ -307,56 +307,56 @@
 		if w.now > until {
 			return
 		}
-		zone := w.badChance.IntN(len(w.zones))
+		zone := w.badClientRand.IntN(len(w.nodesByZone))
 		if b.Zone != "" {
-			zone = w.zoneNo(b.Zone)
+			zone = w.zoneIndex(b.Zone)
 		}
-		if n := w.deal(zone, w.badChance); n != nil {
-			w.run.Bad = append(w.run.Bad, record.BadClient{Kind: b.Kind, Node: n.no, At: w.now, Within: 3 * second})
-			w.open(&badClient{w, b.Kind, len(w.run.Bad) - 1}, n.no, address(1<<22+uint64(len(w.run.Bad))))
+		if n := w.pickNode(zone, w.badClientRand); n != nil {
+			w.run.Bad = append(w.run.Bad, record.BadClient{Kind: b.Kind, Node: n.index, At: w.now, Within: 3 * second})
+			w.openToNode(&badClient{w, b.Kind, len(w.run.Bad) - 1}, n.index, clientAddress(1<<22+uint64(len(w.run.Bad))))
 		}
-		w.after(int64(w.badChance.ExpFloat64()/b.Rate*1e6), next)
+		w.after(int64(w.badClientRand.ExpFloat64()/b.Rate*1e6), next)
 	}
 	next()
 }
 
 func (b *badClient) accepted(*Conn) {}
 
-func (b *badClient) up(c *Conn) {
-	typ := b.w.s.Types[0].Name
+func (b *badClient) connected(c *Conn) {
+	serviceType := b.world.script.Types[0].Name
 	text := map[string]string{
 		"garbage": "\x00\xff\x17 \x80 \x01 what is this\r\n",
 		"endless": strings.Repeat("x", 16<<10),
 		"mute":    "",
 		"half":    "OPEN 1234 56",
-		"no_type": "OPEN bad" + strconv.Itoa(b.no) + " k c=nothing-such,d=1000\r\n",
-		"no_time": "OPEN bad" + strconv.Itoa(b.no) + " k c=" + typ + ",d=soon\r\n",
-		"many":    strings.Repeat("OPEN bad"+strconv.Itoa(b.no)+" k c="+typ+",d=1000\r\n", 100),
-		"early":   "OPEN bad" + strconv.Itoa(b.no) + " k c=" + typ + ",d=1000\r\nGET / HTTP/1.1\r\n",
-		"huge":    "OPEN bad" + strconv.Itoa(b.no) + " k c=" + typ + ",d=1000,h=" + strings.Repeat("9", 6000) + "\r\n",
+		"no_type": "OPEN bad" + strconv.Itoa(b.index) + " k c=nothing-such,d=1000\r\n",
+		"no_time": "OPEN bad" + strconv.Itoa(b.index) + " k c=" + serviceType + ",d=soon\r\n",
+		"many":    strings.Repeat("OPEN bad"+strconv.Itoa(b.index)+" k c="+serviceType+",d=1000\r\n", 100),
+		"early":   "OPEN bad" + strconv.Itoa(b.index) + " k c=" + serviceType + ",d=1000\r\nGET / HTTP/1.1\r\n",
+		"huge":    "OPEN bad" + strconv.Itoa(b.index) + " k c=" + serviceType + ",d=1000,h=" + strings.Repeat("9", 6000) + "\r\n",
 	}[b.kind]
 	if text != "" {
-		b.w.say(c, text, nil)
+		b.world.sendToNode(c, text, nil)
 	}
 }
 
-func (b *badClient) line(c *Conn, line []byte) {
-	at := &b.w.run.Bad[b.no]
+func (b *badClient) receiveLine(c *Conn, line []byte) {
+	result := &b.world.run.Bad[b.index]
 	if strings.HasPrefix(string(line), "UP ") {
-		at.Served = true
+		result.Served = true
 	}
-	b.settled()
+	b.recordOutcome()
 }
 
-func (b *badClient) ended(c *Conn, _ bool) {
-	b.settled()
-	b.w.hang(c, false)
+func (b *badClient) closed(c *Conn, _ bool) {
+	b.recordOutcome()
+	b.world.closePeerSide(c, false)
 }
 
-func (b *badClient) settled() {
-	if at := &b.w.run.Bad[b.no]; at.AnsweredAt == 0 {
-		at.AnsweredAt = b.w.now
-		n := b.w.nodes[at.Node]
-		at.Excused = !n.running
+func (b *badClient) recordOutcome() {
+	if result := &b.world.run.Bad[b.index]; result.AnsweredAt == 0 {
+		result.AnsweredAt = b.world.now
+		n := b.world.nodes[result.Node]
+		result.Excused = !n.running
 	}
 }
--- a/rehearsal/fleet/fleet_test.go
+++ b/rehearsal/fleet/fleet_test.go
@@ -7,27 +7,27 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// nobody is Nodes that do nothing.
-type nobody struct{ bytes []string }
+// idlePlayer is Nodes that do nothing.
+type idlePlayer struct{ received []string }
 
-func (n *nobody) Start(int, Conf)           {}
-func (n *nobody) Kill(int)                  {}
-func (n *nobody) Stop(int)                  {}
-func (n *nobody) Reload(int, Conf)          {}
-func (n *nobody) Starve(int, float64)       {}
-func (n *nobody) Arrive(*Conn) bool         { return true }
-func (n *nobody) Up(*Conn)                  {}
-func (n *nobody) Refused(*Conn)             {}
-func (n *nobody) Bytes(_ *Conn, b []byte)   { n.bytes = append(n.bytes, string(b)) }
-func (n *nobody) End(*Conn)                 {}
-func (n *nobody) Broken(*Conn)              { n.bytes = append(n.bytes, "broken") }
-func (n *nobody) Listening(int, bool)       {}
-func (n *nobody) Datagram(int, int, []byte) {}
-func (n *nobody) Pause(int, bool)           {}
-func (n *nobody) Twin(int, Conf, bool)      {}
-func (n *nobody) Clock(int, int64, float64) {}
+func (n *idlePlayer) Start(int, Conf)           {}
+func (n *idlePlayer) Kill(int)                  {}
+func (n *idlePlayer) Stop(int)                  {}
+func (n *idlePlayer) Reload(int, Conf)          {}
+func (n *idlePlayer) Starve(int, float64)       {}
+func (n *idlePlayer) Arrive(*Conn) bool         { return true }
+func (n *idlePlayer) Up(*Conn)                  {}
+func (n *idlePlayer) Refused(*Conn)             {}
+func (n *idlePlayer) Bytes(_ *Conn, b []byte)   { n.received = append(n.received, string(b)) }
+func (n *idlePlayer) End(*Conn)                 {}
+func (n *idlePlayer) Broken(*Conn)              { n.received = append(n.received, "broken") }
+func (n *idlePlayer) Listening(int, bool)       {}
+func (n *idlePlayer) Datagram(int, int, []byte) {}
+func (n *idlePlayer) Pause(int, bool)           {}
+func (n *idlePlayer) Twin(int, Conf, bool)      {}
+func (n *idlePlayer) Clock(int, int64, float64) {}
 
-const plain = `name = "plain"
+const plainScript = `name = "plain"
 zones = ["a", "b"]
 [network]
 jitter = 0.0
@@ -50,30 +50,30 @@
 message_target = "60ms"
 `
 
-func world(t *testing.T, more string) (*World, *host, *nobody) {
+func newWorld(t *testing.T, more string) (*World, *host, *idlePlayer) {
 	t.Helper()
-	s, err := scenario.Parse("plain.toml", []byte(plain+more))
+	s, err := scenario.Parse("plain.toml", []byte(plainScript+more))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &nobody{}
-	w := New(s, 1, n, Places{Discovery: func(int, int) string { return "discovery" }})
-	w.nodes[0].running, w.nodes[0].run = true, 1
+	player := &idlePlayer{}
+	w := New(s, 1, player, Places{Discovery: func(int, int) string { return "discovery" }})
+	w.nodes[0].running, w.nodes[0].starts = true, 1
 	w.hosts[0].speed = 1
-	return w, w.hosts[0], n
+	return w, w.hosts[0], player
 }
 
-// work puts a set-up of so much work in and gives the time at which it is done.
-func work(w *World, h *host, us float64) *job {
-	h.play()
-	j := &job{work: us, gone: true, c: &hostConn{Conn: &Conn{}}}
-	h.push(j)
-	h.plan()
+// addSetup puts a set-up of so much work in and gives the time at which it is done.
+func addSetup(w *World, h *host, us float64) *setupJob {
+	h.advance()
+	j := &setupJob{work: us, abandoned: true, conn: &hostConn{Conn: &Conn{}}}
+	h.pushJob(j)
+	h.scheduleCompletion()
 	return j
 }
 
-func doneAt(w *World, h *host, left int) int64 {
-	for len(h.inWork) > left {
+func advanceUntilLeft(w *World, h *host, left int) int64 {
+	for len(h.activeSetups) > left {
 		next, ok := w.Next()
 		if !ok {
 			return -1
@@ -94,19 +94,19 @@
 		{"alone", func(*host) {}, []float64{10_000}, 10_000, 10_000},
 		{"two share one core", func(*host) {}, []float64{10_000, 20_000}, 20_000, 30_000},
 		{"two cores", func(h *host) { h.cores = 2 }, []float64{10_000, 20_000}, 10_000, 20_000},
-		{"a neighbour takes half", func(h *host) { h.taken = 0.5 }, []float64{10_000}, 20_000, 20_000},
-		{"four times slower", func(h *host) { h.slow = 4 }, []float64{10_000}, 40_000, 40_000},
+		{"a neighbour takes half", func(h *host) { h.neighbourShare = 0.5 }, []float64{10_000}, 20_000, 20_000},
+		{"four times slower", func(h *host) { h.slowdown = 4 }, []float64{10_000}, 40_000, 40_000},
 		{"messages take their part", func(h *host) { h.load = 1e6 }, []float64{10_000}, 20_000, 20_000},
-		{"cold", func(h *host) { h.boot = 1; h.w.now = 1; h.at = 1 }, []float64{1_200}, 10_000, 10_000},
+		{"cold", func(h *host) { h.bootedAt = 1; h.world.now = 1; h.updatedAt = 1 }, []float64{1_200}, 10_000, 10_000},
 	} {
-		w, h, _ := world(t, "")
+		w, h, _ := newWorld(t, "")
 		c.set(h)
 		from := w.now
 		for _, us := range c.works {
-			work(w, h, us)
+			addSetup(w, h, us)
 		}
-		first := doneAt(w, h, len(c.works)-1) - from
-		last := doneAt(w, h, 0) - from
+		first := advanceUntilLeft(w, h, len(c.works)-1) - from
+		last := advanceUntilLeft(w, h, 0) - from
 		if math.Abs(float64(first-c.first)) > 20 || math.Abs(float64(last-c.last)) > 20 {
 			t.Errorf("%s: done after %d and %d us, not %d and %d", c.name, first, last, c.first, c.last)
 		}
@@ -114,23 +114,23 @@
 }
 
 func TestPauseHoldsWork(t *testing.T) {
-	w, h, _ := world(t, "")
-	work(w, h, 10_000)
+	w, h, _ := newWorld(t, "")
+	addSetup(w, h, 10_000)
 	w.Advance(5_000)
-	w.strikeHost(&scenario.Fault{Kind: "pause", For: 100_000}, h)
-	if at := doneAt(w, h, 0); at < 109_900 || at > 110_100 {
+	w.injectHostFault(&scenario.Fault{Kind: "pause", For: 100_000}, h)
+	if at := advanceUntilLeft(w, h, 0); at < 109_900 || at > 110_100 {
 		t.Errorf("done at %d us", at)
 	}
 }
 
 func TestWarmUp(t *testing.T) {
-	w, h, _ := world(t, "")
-	h.boot = 1
+	w, h, _ := newWorld(t, "")
+	h.bootedAt = 1
 	for _, c := range []struct {
 		at   int64
 		want float64
 	}{{1, 0.12}, {11_000_001, 0.56}, {22_000_001, 1}, {60_000_000, 1}} {
-		if got := h.warm(c.at); math.Abs(got-c.want) > 0.001 {
+		if got := h.warmShare(c.at); math.Abs(got-c.want) > 0.001 {
 			t.Errorf("after %d us warm %.3f, not %.3f", c.at, got, c.want)
 		}
 	}
@@ -143,54 +143,54 @@
 		times float64
 		falls bool
 	}{{0.5, false}, {2, false}, {6, true}} {
-		w, h, _ := world(t, "")
-		h.boot = 1
-		can := h.full() / w.meanLoad / w.s.Fleet.ColdTime.Seconds()
+		w, h, _ := newWorld(t, "")
+		h.bootedAt = 1
+		can := h.capacity() / w.meanLoad / w.script.Fleet.ColdTime.Seconds()
 		for at, owed := int64(1), 0.0; at < 15_000_000; at += 10_000 {
 			w.Advance(at)
-			if owed += can * h.warm(at) * c.times * 0.01; owed >= 1 && !h.fell {
+			if owed += can * h.warmShare(at) * c.times * 0.01; owed >= 1 && !h.fellOver {
 				owed--
-				h.burden()
+				h.countColdConnect()
 			}
 		}
-		if h.fell != c.falls {
-			t.Errorf("%.1f times what it can do: fell %t, at most %.2f times", c.times, h.fell, h.pushed)
+		if h.fellOver != c.falls {
+			t.Errorf("%.1f times what it can do: fell %t, at most %.2f times", c.times, h.fellOver, h.peakColdRatio)
 		}
-		if w.Advance(20_000_000); c.falls && (h.state != dead || w.run.Hosts[0].FellAt == 0) {
+		if w.Advance(20_000_000); c.falls && (h.state != hostDead || w.run.Hosts[0].FellAt == 0) {
 			t.Error("it fell over and is not down")
 		}
-		if w.rise(h); c.falls && h.state != dead {
+		if w.startHost(h); c.falls && h.state != hostDead {
 			t.Error("it did not stay down")
 		}
 	}
 }
 
 func TestGroupCostsOnce(t *testing.T) {
-	w, h, _ := world(t, "")
-	w.s.Fleet.GroupCost = 3
-	h.join("g", 1)
-	h.join("g", 1)
-	h.join("o", 1)
-	if want := 2 * 3 * w.usual(); h.load != want {
+	w, h, _ := newWorld(t, "")
+	w.script.Fleet.GroupCost = 3
+	h.addToGroup("g", 1)
+	h.addToGroup("g", 1)
+	h.addToGroup("o", 1)
+	if want := 2 * 3 * w.unitLoadRate(); h.load != want {
 		t.Errorf("load %f, not %f", h.load, want)
 	}
-	h.join("g", -1)
-	h.join("g", -1)
-	h.join("o", -1)
-	if h.load != 0 || len(h.groups) != 0 {
-		t.Errorf("left over: load %f, %d groups", h.load, len(h.groups))
+	h.addToGroup("g", -1)
+	h.addToGroup("g", -1)
+	h.addToGroup("o", -1)
+	if h.load != 0 || len(h.flowsByGroup) != 0 {
+		t.Errorf("left over: load %f, %d groups", h.load, len(h.flowsByGroup))
 	}
 }
 
 func TestQualityFalls(t *testing.T) {
-	w, h, _ := world(t, "")
+	w, h, _ := newWorld(t, "")
 	last := 1.1
 	for _, load := range []float64{0, 0.5, 0.8, 0.95, 1.2} {
-		h.load, h.backlog = load*core, 0
+		h.load, h.backlog = load*coreWorkPerSecond, 0
 		if load > 1 {
-			h.backlog = 0.1 * core
+			h.backlog = 0.1 * coreWorkPerSecond
 		}
-		q := h.quality(60_000)
+		q := h.messageQuality(60_000)
 		if q >= last {
 			t.Errorf("at load %.2f quality %.3f, not under %.3f", load, q, last)
 		}
@@ -204,7 +204,7 @@
 
 // TestSameMoment guards the order of what happens in the same microsecond: that in which it was asked for.
 func TestSameMoment(t *testing.T) {
-	w, _, _ := world(t, "")
+	w, _, _ := newWorld(t, "")
 	var got []int
 	for i := range 20 {
 		w.At(500, func() {
@@ -227,27 +227,27 @@
 
 // TestCut holds what crosses a cut and lets it go after, in order.
 func TestCut(t *testing.T) {
-	w, h, n := world(t, "")
+	w, h, n := newWorld(t, "")
 	far := w.hosts[1]
-	near := &Conn{Node: 0, peer: h, way: way{0, h.zone}, run: 1, isUp: true}
-	over := &Conn{Node: 0, peer: far, way: way{0, far.zone}, run: 1, isUp: true}
-	w.strikeZone(&scenario.Fault{Kind: "cut", For: 3_000_000}, far.zone)
-	w.say(near, "near", nil)
-	w.say(over, "one", nil)
-	w.say(over, "two", nil)
-	if w.Advance(2_900_000); len(n.bytes) != 1 || n.bytes[0] != "near" {
-		t.Fatalf("during the cut came %v", n.bytes)
+	near := &Conn{Node: 0, peer: h, path: path{0, h.zone}, nodeStarts: 1, isUp: true}
+	over := &Conn{Node: 0, peer: far, path: path{0, far.zone}, nodeStarts: 1, isUp: true}
+	w.injectZoneFault(&scenario.Fault{Kind: "cut", For: 3_000_000}, far.zone)
+	w.sendToNode(near, "near", nil)
+	w.sendToNode(over, "one", nil)
+	w.sendToNode(over, "two", nil)
+	if w.Advance(2_900_000); len(n.received) != 1 || n.received[0] != "near" {
+		t.Fatalf("during the cut came %v", n.received)
 	}
-	w.hang(over, true)
+	w.closePeerSide(over, true)
 	w.Advance(4_000_000)
-	if len(n.bytes) != 4 || n.bytes[1] != "one" || n.bytes[2] != "two" || n.bytes[3] != "broken" {
-		t.Errorf("after it came %v", n.bytes)
+	if len(n.received) != 4 || n.received[1] != "one" || n.received[2] != "two" || n.received[3] != "broken" {
+		t.Errorf("after it came %v", n.received)
 	}
 }
 
 func TestSameChancesForEveryPolicy(t *testing.T) {
 	// Guards paired comparison: the clients of a seed are the same whatever else draws from chance meanwhile.
-	first, second := keys(t, false), keys(t, true)
+	first, second := clientKeys(t, false), clientKeys(t, true)
 	if len(first) == 0 || len(first) != len(second) {
 		t.Fatalf("%d and %d clients", len(first), len(second))
 	}
@@ -258,18 +258,18 @@
 	}
 }
 
-func keys(t *testing.T, disturb bool) (all []string) {
-	w, _, _ := world(t, "")
-	w.s.Demand.Rate = 20
-	w.plan()
+func clientKeys(t *testing.T, disturb bool) (all []string) {
+	w, _, _ := newWorld(t, "")
+	w.script.Demand.Rate = 20
+	w.scheduleDemand()
 	for at := int64(0); at < 10_000_000; at += 100_000 {
 		w.Advance(at)
 		if disturb {
-			w.netChance.Float64()
-			w.disc.chance.Float64()
+			w.networkRand.Float64()
+			w.discovery.random.Float64()
 		}
 	}
-	for _, p := range w.wishes {
+	for _, p := range w.clients {
 		all = append(all, p.key)
 	}
 	return all
@@ -277,8 +277,8 @@
 
 // Where hosts report, a probe learns the load asked over what the host can do.
 func TestReport(t *testing.T) {
-	_, h, _ := world(t, "")
-	if h.load = 0.62 * core; h.pong(true)+h.pong(false) != "PONG 0,0.620\r\nPONG\r\n" {
-		t.Fatal(h.pong(true), h.pong(false))
+	_, h, _ := newWorld(t, "")
+	if h.load = 0.62 * coreWorkPerSecond; h.probeAnswer(true)+h.probeAnswer(false) != "PONG 0,0.620\r\nPONG\r\n" {
+		t.Fatal(h.probeAnswer(true), h.probeAnswer(false))
 	}
 }
--- a/rehearsal/fleet/host.go
+++ b/rehearsal/fleet/host.go
@@ -13,616 +13,616 @@
 type hostState uint8
 
 const (
-	running hostState = iota
-	dead
-	mute // the machine says nothing
-	absent
+	hostRunning hostState = iota
+	hostDead
+	hostSilent // the machine says nothing
+	hostAbsent
 )
 
 const (
-	core   = 1e6     // microseconds of work that a core of speed 1 does in a second
-	tick   = 100_000 // how often hosts and service are gone through
-	never  = int64(1) << 62
-	second = int64(1_000_000)
+	coreWorkPerSecond = 1e6     // microseconds of work that a core of speed 1 does in a second
+	tickInterval      = 100_000 // how often hosts and service are gone through
+	never             = int64(1) << 62
+	second            = int64(1_000_000)
 )
 
 // host is one server. Set-ups in work and the messages of its flows share its cores evenly; messages are a stream of
 // work that piles up when it is more than its part.
 type host struct {
-	w      *World
-	no     int
-	uid    string
-	addr   string
-	kind   string
-	zone   int
-	cores  float64
-	speed  float64
-	state  hostState
-	listed string // what the world knows: ready, draining or gone
-	boot   int64  // when it started; 0 for long ago
-	fell   bool
-
-	paused int     // pauses in force
-	slow   float64 // times slower
-	taken  float64 // share of the machine that a neighbour has
-	errs   float64 // share of set-ups answered ERR
-	leaves int64   // when it will stop, while it drains
-
-	at      int64   // until when the following holds
-	done    float64 // work that each set-up has got since the start
-	inWork  []*job  // a heap by goal
-	queue   []*job
-	load    float64 // work a second of the flows' messages, groups' share included
-	backlog float64 // work of messages piled up
-	busy    float64 // share of its cores used of late
-	gen     int     // of the event that waits for the next set-up
-
-	flows  []*seat     // that stand here
-	conns  []*hostConn // all that are open
-	groups map[string]int
-	held   []float64 // clients that think they stand here, by type
-	sentTo []int64   // when connects came of late, while cold
-	pushed float64   // the most that it was sent, of what it could do
-	given  int       // receipts
-	mutes  []*Conn   // that were open when the machine went silent; they break when it is back
-}
-
-// job is a set-up or a probe in work.
-type job struct {
-	goal float64 // of done
-	c    *hostConn
-	took int64 // when the line came
-	work float64
-	wait int64 // how long the node waits
-	ping bool
-	told bool // the probe asks for the report
-	gone bool // its connection is gone
+	world    *World
+	index    int
+	uid      string
+	address  string
+	model    string
+	zone     int
+	cores    float64
+	speed    float64
+	state    hostState
+	listed   string // what the world knows: ready, draining or gone
+	bootedAt int64  // when it started; 0 for long ago
+	fellOver bool
+
+	pauses         int     // pauses in force
+	slowdown       float64 // times slower
+	neighbourShare float64 // share of the machine that a neighbour has
+	extraErrorRate float64 // share of set-ups answered ERR
+	stopsAt        int64   // when it will stop, while it drains
+
+	updatedAt    int64       // until when the following holds
+	workPerSetup float64     // work that each set-up has got since the start
+	activeSetups []*setupJob // a heap by goal
+	queuedSetups []*setupJob
+	load         float64 // work a second of the flows' messages, groups' share included
+	backlog      float64 // work of messages piled up
+	utilization  float64 // share of its cores used of late
+	generation   int     // of the event that waits for the next set-up
+
+	flows         []*hostedFlow // that stand here
+	conns         []*hostConn   // all that are open
+	flowsByGroup  map[string]int
+	clientsByType []float64 // clients that think they stand here, by type
+	coldConnects  []int64   // when connects came of late, while cold
+	peakColdRatio float64   // the most that it was sent, of what it could do
+	receipts      int       // receipts
+	silentConns   []*Conn   // that were open when the machine went silent; they break when it is back
+}
+
+// setupJob is a set-up or a probe in work.
+type setupJob struct {
+	workGoal    float64 // of done
+	conn        *hostConn
+	receivedAt  int64 // when the line came
+	work        float64
+	timeout     int64 // how long the node waits
+	isProbe     bool
+	wantsReport bool // the probe asks for the report
+	abandoned   bool // its connection is gone
 }
 
 // hostConn is one connection at a host.
 type hostConn struct {
 	*Conn
-	job  *job
-	seat *seat
-	pos  int // in host.conns
+	job    *setupJob
+	hosted *hostedFlow
+	index  int // in host.conns
 }
 
-// seat is a flow that stands at a host.
-type seat struct {
-	c    *hostConn
-	load float64
-	pos  int // in host.flows
+// hostedFlow is a flow that stands at a host.
+type hostedFlow struct {
+	conn  *hostConn
+	load  float64
+	index int // in host.flows
 }
 
-func (h *host) takes() bool  { return h.state == running && h.listed != "" }
-func (h *host) silent() bool { return h.state == mute }
+func (h *host) acceptsConnections() bool { return h.state == hostRunning && h.listed != "" }
+func (h *host) isSilent() bool           { return h.state == hostSilent }
 
-// warm is the share of its capacity that a host has by now.
-func (h *host) warm(at int64) float64 {
-	t := h.w.s.Fleet
-	if h.boot == 0 || at >= h.boot+t.ColdTime.Us() {
+// warmShare is the share of its capacity that a host has by now.
+func (h *host) warmShare(at int64) float64 {
+	t := h.world.script.Fleet
+	if h.bootedAt == 0 || at >= h.bootedAt+t.ColdTime.Us() {
 		return 1
 	}
-	return 1 - (1-t.Cold)*float64(h.boot+t.ColdTime.Us()-at)/float64(t.ColdTime.Us())
+	return 1 - (1-t.ColdFrom)*float64(h.bootedAt+t.ColdTime.Us()-at)/float64(t.ColdTime.Us())
 }
 
-// perCore is the work a second that one of its cores does now.
-func (h *host) perCore() float64 {
-	if h.state != running || h.paused > 0 {
+// coreRate is the work a second that one of its cores does now.
+func (h *host) coreRate() float64 {
+	if h.state != hostRunning || h.pauses > 0 {
 		return 0
 	}
-	rate := core * h.speed * h.warm(h.at) * (1 - h.taken) / max(h.slow, 1)
-	if t := h.w.s.Fleet; t.Thrash > 0 && h.backlog > 0 {
+	rate := coreWorkPerSecond * h.speed * h.warmShare(h.updatedAt) * (1 - h.neighbourShare) / max(h.slowdown, 1)
+	if t := h.world.script.Fleet; t.Thrash > 0 && h.backlog > 0 {
 		rate *= 1 - t.Thrash*min(h.backlog/(t.Buffer.Seconds()*rate*h.cores), 1)
 	}
 	return rate
 }
 
-// full is the load of flows, of load 1 each, that fill the host when it is warm and alone.
-func (h *host) full() float64 { return h.cores * h.speed * h.w.s.Fleet.PerCore }
+// capacity is the load of flows, of load 1 each, that fill the host when it is warm and alone.
+func (h *host) capacity() float64 { return h.cores * h.speed * h.world.script.Fleet.PerCore }
 
-// usual is the work a second of a flow of load 1.
-func (w *World) usual() float64 { return core / w.s.Fleet.PerCore }
+// unitLoadRate is the work a second of a flow of load 1.
+func (w *World) unitLoadRate() float64 { return coreWorkPerSecond / w.script.Fleet.PerCore }
 
-// shares are the work a second that each set-up and that all messages get now.
-func (h *host) shares() (each, messages float64) {
-	rate := h.perCore()
+// workRates are the work a second that each set-up and that all messages get now.
+func (h *host) workRates() (perSetup, messages float64) {
+	rate := h.coreRate()
 	if rate == 0 {
 		return 0, 0
 	}
-	perMessage := h.w.usual() * float64(h.w.s.Clients.Every) / 1e6
-	wants := h.load / rate
+	perMessage := h.world.unitLoadRate() * float64(h.world.script.Clients.LineInterval) / 1e6
+	demand := h.load / rate
 	if h.backlog > 0 {
-		wants += h.backlog / perMessage
+		demand += h.backlog / perMessage
 	}
-	n := float64(len(h.inWork))
-	part := rate
-	if n+wants > h.cores {
-		part = rate * h.cores / (n + wants)
+	setups := float64(len(h.activeSetups))
+	perConsumer := rate
+	if setups+demand > h.cores {
+		perConsumer = rate * h.cores / (setups + demand)
 	}
-	messages = wants * part
+	messages = demand * perConsumer
 	if h.backlog == 0 {
 		messages = min(messages, h.load)
 	}
-	return part, messages
+	return perConsumer, messages
 }
 
-// play brings the host up to now.
-func (h *host) play() {
-	dt := float64(h.w.now-h.at) / 1e6
-	if dt > 0 {
-		each, messages := h.shares()
-		h.done += each * dt
-		h.backlog += (h.load - messages) * dt
+// advance brings the host up to now.
+func (h *host) advance() {
+	elapsed := float64(h.world.now-h.updatedAt) / 1e6
+	if elapsed > 0 {
+		perSetup, messages := h.workRates()
+		h.workPerSetup += perSetup * elapsed
+		h.backlog += (h.load - messages) * elapsed
 		if h.backlog < 1 {
 			h.backlog = 0
 		}
-		work := (each*float64(len(h.inWork)) + messages) * dt
-		h.w.run.Counts.Work += work
-		if rate := h.perCore(); rate > 0 {
-			h.busy += (min((each*float64(len(h.inWork))+messages)/(rate*h.cores), 1) - h.busy) * min(dt*2, 1)
+		work := (perSetup*float64(len(h.activeSetups)) + messages) * elapsed
+		h.world.run.Counts.Work += work
+		if rate := h.coreRate(); rate > 0 {
+			h.utilization += (min((perSetup*float64(len(h.activeSetups))+messages)/(rate*h.cores), 1) - h.utilization) * min(elapsed*2, 1)
 		}
 	}
-	h.at = h.w.now
+	h.updatedAt = h.world.now
 }
 
-// plan asks for the moment at which the next set-up is done.
-func (h *host) plan() {
-	h.gen++
-	each, _ := h.shares()
-	if len(h.inWork) == 0 || each == 0 {
+// scheduleCompletion asks for the moment at which the next set-up is done.
+func (h *host) scheduleCompletion() {
+	h.generation++
+	perSetup, _ := h.workRates()
+	if len(h.activeSetups) == 0 || perSetup == 0 {
 		return
 	}
-	gen := h.gen
-	wait := (h.inWork[0].goal - h.done) / each * 1e6
-	h.w.after(int64(math.Ceil(max(wait, 1))), func() {
-		if h.gen == gen {
-			h.play()
-			h.finish()
-			h.plan()
+	generation := h.generation
+	wait := (h.activeSetups[0].workGoal - h.workPerSetup) / perSetup * 1e6
+	h.world.after(int64(math.Ceil(max(wait, 1))), func() {
+		if h.generation == generation {
+			h.advance()
+			h.completeDue()
+			h.scheduleCompletion()
 		}
 	})
 }
 
-func (h *host) finish() {
-	for len(h.inWork) > 0 && h.inWork[0].goal <= h.done+0.5 {
-		j := h.pop()
-		h.next()
+func (h *host) completeDue() {
+	for len(h.activeSetups) > 0 && h.activeSetups[0].workGoal <= h.workPerSetup+0.5 {
+		j := h.popJob()
+		h.startQueued()
 		switch {
-		case j.ping:
-			h.w.say(j.c.Conn, h.pong(j.told), nil)
-		case h.w.s.Store.Rate > 0:
-			h.w.store(func() { h.setUp(j) })
+		case j.isProbe:
+			h.world.sendToNode(j.conn.Conn, h.probeAnswer(j.wantsReport), nil)
+		case h.world.script.Store.CallRate > 0:
+			h.world.callStore(func() { h.completeSetup(j) })
 		default:
-			h.setUp(j)
+			h.completeSetup(j)
 		}
 	}
 }
 
-// next takes the first of the queue into work.
-func (h *host) next() {
-	slots := int(math.Ceil(h.w.s.Fleet.Slots * h.cores))
-	for len(h.queue) > 0 && len(h.inWork) < slots {
-		j := h.queue[0]
-		h.queue = h.queue[1:]
+// startQueued takes the first of the queue into work.
+func (h *host) startQueued() {
+	slots := int(math.Ceil(h.world.script.Fleet.SlotsPerCore * h.cores))
+	for len(h.queuedSetups) > 0 && len(h.activeSetups) < slots {
+		j := h.queuedSetups[0]
+		h.queuedSetups = h.queuedSetups[1:]
 		switch {
-		case j.gone:
-		case h.w.now-j.took > j.wait: // its client's time is up
-			h.answer(j.c, "BUSY")
+		case j.abandoned:
+		case h.world.now-j.receivedAt > j.timeout: // its client's time is up
+			h.refuse(j.conn, "BUSY")
 		default:
-			h.push(j)
+			h.pushJob(j)
 		}
 	}
 }
 
-func (h *host) push(j *job) {
-	j.goal = h.done + j.work
-	h.inWork = append(h.inWork, j)
-	for i := len(h.inWork) - 1; i > 0 && h.inWork[i].goal < h.inWork[(i-1)/2].goal; i = (i - 1) / 2 {
-		h.inWork[i], h.inWork[(i-1)/2] = h.inWork[(i-1)/2], h.inWork[i]
+func (h *host) pushJob(j *setupJob) {
+	j.workGoal = h.workPerSetup + j.work
+	h.activeSetups = append(h.activeSetups, j)
+	for i := len(h.activeSetups) - 1; i > 0 && h.activeSetups[i].workGoal < h.activeSetups[(i-1)/2].workGoal; i = (i - 1) / 2 {
+		h.activeSetups[i], h.activeSetups[(i-1)/2] = h.activeSetups[(i-1)/2], h.activeSetups[i]
 	}
 }
 
-func (h *host) pop() *job {
-	top := h.inWork[0]
-	last := len(h.inWork) - 1
-	h.inWork[0] = h.inWork[last]
-	h.inWork[last] = nil
-	h.inWork = h.inWork[:last]
+func (h *host) popJob() *setupJob {
+	top := h.activeSetups[0]
+	last := len(h.activeSetups) - 1
+	h.activeSetups[0] = h.activeSetups[last]
+	h.activeSetups[last] = nil
+	h.activeSetups = h.activeSetups[:last]
 	for i := 0; ; {
-		c := 2*i + 1
-		if c >= last {
+		child := 2*i + 1
+		if child >= last {
 			return top
 		}
-		if c+1 < last && h.inWork[c+1].goal < h.inWork[c].goal {
-			c++
+		if child+1 < last && h.activeSetups[child+1].workGoal < h.activeSetups[child].workGoal {
+			child++
 		}
-		if h.inWork[c].goal >= h.inWork[i].goal {
+		if h.activeSetups[child].workGoal >= h.activeSetups[i].workGoal {
 			return top
 		}
-		h.inWork[i], h.inWork[c] = h.inWork[c], h.inWork[i]
-		i = c
+		h.activeSetups[i], h.activeSetups[child] = h.activeSetups[child], h.activeSetups[i]
+		i = child
 	}
 }
 
 // The host as the other end of a node's connection.
 
 func (h *host) accepted(c *Conn) {
-	hc := &hostConn{Conn: c, pos: len(h.conns)}
-	c.state = hc
+	hc := &hostConn{Conn: c, index: len(h.conns)}
+	c.peerState = hc
 	h.conns = append(h.conns, hc)
 }
 
-func (h *host) up(*Conn) {}
+func (h *host) connected(*Conn) {}
 
-// pong answers a probe; its report is of flows waiting and of load asked over what the host can do.
-func (h *host) pong(told bool) string {
-	if rate := h.perCore() * h.cores; told && rate > 0 {
-		return fmt.Sprintf("PONG %d,%.3f\r\n", len(h.inWork), h.load/rate)
+// probeAnswer answers a probe; its report is of flows waiting and of load asked over what the host can do.
+func (h *host) probeAnswer(withReport bool) string {
+	if rate := h.coreRate() * h.cores; withReport && rate > 0 {
+		return fmt.Sprintf("PONG %d,%.3f\r\n", len(h.activeSetups), h.load/rate)
 	}
 	return "PONG\r\n"
 }
 
-func (h *host) line(c *Conn, line []byte) {
-	hc, ok := c.state.(*hostConn)
-	if !ok || h.state != running {
+func (h *host) receiveLine(c *Conn, line []byte) {
+	hc, ok := c.peerState.(*hostConn)
+	if !ok || h.state != hostRunning {
 		return
 	}
-	h.play()
-	defer h.plan()
+	h.advance()
+	defer h.scheduleCompletion()
 	switch text := string(line); {
-	case hc.seat != nil:
+	case hc.hosted != nil:
 		h.echo(hc, text)
-	case text == "PING", text == "STATS" && h.w.s.Node.Reports:
-		h.w.run.Counts.Probes++
-		h.push(&job{c: hc, took: h.w.now, work: float64(h.w.s.Fleet.ProbeWork), ping: true, told: text == "STATS"})
+	case text == "PING", text == "STATS" && h.world.script.Node.HostsReportLoad:
+		h.world.run.Counts.Probes++
+		h.pushJob(&setupJob{conn: hc, receivedAt: h.world.now, work: float64(h.world.script.Fleet.ProbeWork), isProbe: true, wantsReport: text == "STATS"})
 	case strings.HasPrefix(text, "OPEN ") && hc.flow != nil && hc.job == nil:
-		h.asked(hc, line)
+		h.receiveOpen(hc, line)
 	default:
-		h.nonsense(hc, "neither PING nor OPEN: "+text)
+		h.rejectLine(hc, "neither PING nor OPEN: "+text)
 	}
 }
 
-func (h *host) nonsense(hc *hostConn, why string) {
-	h.w.nonsense(hc, why)
-	h.w.say(hc.Conn, "SYNTAX\r\n", nil)
-	h.w.hang(hc.Conn, false)
-	h.drop(hc)
+func (h *host) rejectLine(hc *hostConn, why string) {
+	h.world.recordInvalidLine(hc, why)
+	h.world.sendToNode(hc.Conn, "SYNTAX\r\n", nil)
+	h.world.closePeerSide(hc.Conn, false)
+	h.removeConn(hc)
 }
 
 // echo answers a line of an established flow.
 func (h *host) echo(hc *hostConn, text string) {
-	if h.w.s.Fleet.Echo == "at_once" && h.paused == 0 {
-		h.say(hc, text)
+	if h.world.script.Fleet.EchoMode == "at_once" && h.pauses == 0 {
+		h.sendToClient(hc, text)
 		return
 	}
 	wait := int64(0)
-	if rate := h.perCore() * h.cores; rate > 0 {
-		wait = int64((h.backlog + h.w.usual()*float64(h.w.s.Clients.Every)/1e6) / rate * 1e6)
+	if rate := h.coreRate() * h.cores; rate > 0 {
+		wait = int64((h.backlog + h.world.unitLoadRate()*float64(h.world.script.Clients.LineInterval)/1e6) / rate * 1e6)
 	} else {
 		wait = second
 	}
-	h.w.after(wait, func() {
-		if h.paused > 0 {
+	h.world.after(wait, func() {
+		if h.pauses > 0 {
 			h.echo(hc, text)
 			return
 		}
-		h.say(hc, text)
+		h.sendToClient(hc, text)
 	})
 }
 
-// bulk sends many lines back at once.
-func (h *host) bulk(c *Conn, p []byte) bool {
-	hc, ok := c.state.(*hostConn)
-	if !ok || hc.seat == nil || h.w.s.Fleet.Echo != "at_once" || h.paused > 0 || h.state != running {
+// receiveBulk sends many lines back at once.
+func (h *host) receiveBulk(c *Conn, p []byte) bool {
+	hc, ok := c.peerState.(*hostConn)
+	if !ok || hc.hosted == nil || h.world.script.Fleet.EchoMode != "at_once" || h.pauses > 0 || h.state != hostRunning {
 		return false
 	}
-	h.say(hc, strings.TrimSuffix(string(p), "\r\n"))
+	h.sendToClient(hc, strings.TrimSuffix(string(p), "\r\n"))
 	return true
 }
 
-// say sends a line that the node owes the client.
-func (h *host) say(hc *hostConn, text string) {
-	flow, p := hc.flow, hc.wish
-	h.w.say(hc.Conn, text+"\r\n", func() {
-		if p.flow == flow && p.live {
-			p.toSelf.put(len(text)+2, h.w.now)
+// sendToClient sends a line that the node owes the client.
+func (h *host) sendToClient(hc *hostConn, text string) {
+	flow, p := hc.flow, hc.client
+	h.world.sendToNode(hc.Conn, text+"\r\n", func() {
+		if p.flow == flow && p.upSent {
+			p.pendingToClient.add(len(text)+2, h.world.now)
 		}
 	})
 }
 
-// asked takes the line of a connect.
-func (h *host) asked(hc *hostConn, line []byte) {
-	o, err := lines.ParseOpen(line)
-	if err != nil || o.ID != hc.flow.ID || h.w.s.TypeNo(o.Class) != hc.flow.Type || o.Key != hc.flow.Key {
-		h.nonsense(hc, fmt.Sprint("changed on its way: ", string(line)))
+// receiveOpen takes the line of a connect.
+func (h *host) receiveOpen(hc *hostConn, line []byte) {
+	open, err := lines.ParseOpen(line)
+	if err != nil || open.ID != hc.flow.ID || h.world.script.TypeNo(open.Class) != hc.flow.Type || open.Key != hc.flow.Key {
+		h.rejectLine(hc, fmt.Sprint("changed on its way: ", string(line)))
 		return
 	}
-	hc.flow.Add(record.Event{At: h.w.now, Kind: record.Came, Host: h.no, Try: hc.try})
-	if o.At != "" {
-		if hc.wish.at != h {
-			h.nonsense(hc, "it never stood here: "+o.At)
+	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Came, Host: h.index, Try: hc.attempt})
+	if open.At != "" {
+		if hc.client.initialHost != h {
+			h.rejectLine(hc, "it never stood here: "+open.At)
 			return
 		}
-		h.setUp(&job{c: hc})
+		h.completeSetup(&setupJob{conn: hc})
 		return
 	}
-	h.burden()
-	t := h.w.s.Fleet
+	h.countColdConnect()
+	t := h.world.script.Fleet
 	switch {
 	case h.listed == "draining":
-		h.answer(hc, "BUSY")
+		h.refuse(hc, "BUSY")
 		return
-	case float64(len(h.flows)+len(h.inWork)+len(h.queue)) >= t.Cap*h.full():
-		h.answer(hc, "BUSY")
+	case float64(len(h.flows)+len(h.activeSetups)+len(h.queuedSetups)) >= t.ConnectionCap*h.capacity():
+		h.refuse(hc, "BUSY")
 		return
-	case float64(len(h.queue)) >= t.Queue*h.cores && len(h.inWork) >= int(math.Ceil(t.Slots*h.cores)):
-		h.answer(hc, "BUSY")
+	case float64(len(h.queuedSetups)) >= t.QueuePerCore*h.cores && len(h.activeSetups) >= int(math.Ceil(t.SlotsPerCore*h.cores)):
+		h.refuse(hc, "BUSY")
 		return
 	}
-	work := float64(t.SetupWork) * (0.7 + 0.6*hc.wish.own.Float64())
-	hc.job = &job{c: hc, took: h.w.now, work: work, wait: o.Wait}
-	h.queue = append(h.queue, hc.job)
-	h.next()
+	work := float64(t.SetupWork) * (0.7 + 0.6*hc.client.eventRand.Float64())
+	hc.job = &setupJob{conn: hc, receivedAt: h.world.now, work: work, timeout: open.Wait}
+	h.queuedSetups = append(h.queuedSetups, hc.job)
+	h.startQueued()
 }
 
-// coldMay is how much a host may have been sent while cold, from its start up to now: what burden lets pass, without the
+// coldAllowance is how much a host may have been sent while cold, from its start up to now: what burden lets pass, without the
 // two in hand.
-func (h *host) coldMay() float64 {
-	t := h.w.s.Fleet
-	if h.boot == 0 || t.ColdTime == 0 {
+func (h *host) coldAllowance() float64 {
+	t := h.world.script.Fleet
+	if h.bootedAt == 0 || t.ColdTime == 0 {
 		return 0
 	}
-	past := min(max(float64(h.w.now-h.boot)/float64(t.ColdTime.Us()), 0), 1)
-	mean := (h.warm(h.boot) + h.warm(h.boot+int64(past*float64(t.ColdTime.Us()-1)))) / 2
-	return t.Multiple * h.full() / h.w.meanLoad * mean * past
+	elapsed := min(max(float64(h.world.now-h.bootedAt)/float64(t.ColdTime.Us()), 0), 1)
+	mean := (h.warmShare(h.bootedAt) + h.warmShare(h.bootedAt+int64(elapsed*float64(t.ColdTime.Us()-1)))) / 2
+	return t.FallMultiple * h.capacity() / h.world.meanLoad * mean * elapsed
 }
 
-// burden counts what a cold host is sent. Over the stated multiple of what it can do, for the stated time, it falls
+// countColdConnect counts what a cold host is sent. Over the stated multiple of what it can do, for the stated time, it falls
 // over. What it can do is to fill within its warm-up, evenly, for the share that it is warm; two connects in hand are
 // let pass, as they come whole.
-func (h *host) burden() {
-	t := h.w.s.Fleet
-	if h.boot == 0 || h.w.now >= h.boot+t.ColdTime.Us() {
-		h.sentTo = nil
+func (h *host) countColdConnect() {
+	t := h.world.script.Fleet
+	if h.bootedAt == 0 || h.world.now >= h.bootedAt+t.ColdTime.Us() {
+		h.coldConnects = nil
 		return
 	}
-	h.w.run.Hosts[h.no].ColdSent++
-	h.sentTo = append(h.sentTo, h.w.now)
-	for len(h.sentTo) > 0 && h.sentTo[0] <= h.w.now-t.FallAfter.Us() {
-		h.sentTo = h.sentTo[1:]
+	h.world.run.Hosts[h.index].ColdSent++
+	h.coldConnects = append(h.coldConnects, h.world.now)
+	for len(h.coldConnects) > 0 && h.coldConnects[0] <= h.world.now-t.FallAfter.Us() {
+		h.coldConnects = h.coldConnects[1:]
 	}
-	mid := max(h.boot, h.w.now-t.FallAfter.Us()/2)
-	can := h.full() / h.w.meanLoad / t.ColdTime.Seconds() * h.warm(mid) * t.FallAfter.Seconds()
-	over := (float64(len(h.sentTo)) - 2) / can
-	h.pushed = max(h.pushed, over)
-	if may := t.Multiple * can; float64(len(h.sentTo)) > may+t.FallRoots*math.Sqrt(may)+2 {
-		h.fell = true
-		h.w.run.Hosts[h.no].FellAt = h.w.now
-		h.w.run.Counts.Falls++
-		h.w.after(0, func() { h.w.crash(h, 0) })
+	middle := max(h.bootedAt, h.world.now-t.FallAfter.Us()/2)
+	expected := h.capacity() / h.world.meanLoad / t.ColdTime.Seconds() * h.warmShare(middle) * t.FallAfter.Seconds()
+	ratio := (float64(len(h.coldConnects)) - 2) / expected
+	h.peakColdRatio = max(h.peakColdRatio, ratio)
+	if allowed := t.FallMultiple * expected; float64(len(h.coldConnects)) > allowed+t.FallRoots*math.Sqrt(allowed)+2 {
+		h.fellOver = true
+		h.world.run.Hosts[h.index].FellAt = h.world.now
+		h.world.run.Counts.Falls++
+		h.world.after(0, func() { h.world.crashHost(h, 0) })
 	}
 }
 
-// answer refuses or fails a connect and ends its connection.
-func (h *host) answer(hc *hostConn, word string) {
-	hc.flow.Add(record.Event{At: h.w.now, Kind: record.Said, Host: h.no, Try: hc.try, Text: word})
-	h.w.say(hc.Conn, word+"\r\n", nil)
-	h.w.hang(hc.Conn, false)
-	h.drop(hc)
+// refuse refuses or fails a connect and ends its connection.
+func (h *host) refuse(hc *hostConn, answer string) {
+	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Said, Host: h.index, Try: hc.attempt, Text: answer})
+	h.world.sendToNode(hc.Conn, answer+"\r\n", nil)
+	h.world.closePeerSide(hc.Conn, false)
+	h.removeConn(hc)
 }
 
-// setUp is the end of a set-up's work.
-func (h *host) setUp(j *job) {
-	hc := j.c
-	if h.state != running || hc.flow == nil {
+// completeSetup is the end of a set-up's work.
+func (h *host) completeSetup(j *setupJob) {
+	hc := j.conn
+	if h.state != hostRunning || hc.flow == nil {
 		return
 	}
-	hc.flow.Add(record.Event{At: h.w.now, Kind: record.Ran, Host: h.no, Try: hc.try})
-	if j.gone {
-		h.w.run.Counts.Wasted++
-		h.w.run.Counts.WorkWasted += j.work
+	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Ran, Host: h.index, Try: hc.attempt})
+	if j.abandoned {
+		h.world.run.Counts.Wasted++
+		h.world.run.Counts.WorkWasted += j.work
 		return
 	}
-	if errs := h.w.s.Fleet.ErrorRate + h.errs; errs > 0 && hc.wish.own.Float64() < errs {
-		h.answer(hc, "ERR")
+	if errorRate := h.world.script.Fleet.ErrorRate + h.extraErrorRate; errorRate > 0 && hc.client.eventRand.Float64() < errorRate {
+		h.refuse(hc, "ERR")
 		return
 	}
-	h.given++
-	receipt := fmt.Sprintf("%s.%d.%d", h.uid, h.boot, h.given)
+	h.receipts++
+	receipt := fmt.Sprintf("%s.%d.%d", h.uid, h.bootedAt, h.receipts)
 	hc.flow.Receipts = append(hc.flow.Receipts, receipt)
-	hc.flow.Add(record.Event{At: h.w.now, Kind: record.Said, Host: h.no, Try: hc.try, Text: "UP"})
-	hc.seat = &seat{c: hc, pos: len(h.flows)}
-	h.flows = append(h.flows, hc.seat)
-	h.weigh(hc.seat, hc.wish.load*h.w.usual())
-	h.join(hc.wish.group, 1)
-	if hc.wish.flow == hc.flow {
-		hc.wish.hostCn, hc.wish.host = hc, h
-	}
-	h.w.say(hc.Conn, "UP "+receipt+"\r\n", nil)
-	h.tell(hc)
-	if hc.wish.byHost {
-		h.w.At(hc.wish.end, func() {
-			if hc.seat != nil {
-				h.part(hc, "BYE")
+	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Said, Host: h.index, Try: hc.attempt, Text: "UP"})
+	hc.hosted = &hostedFlow{conn: hc, index: len(h.flows)}
+	h.flows = append(h.flows, hc.hosted)
+	h.setFlowLoad(hc.hosted, hc.client.load*h.world.unitLoadRate())
+	h.addToGroup(hc.client.group, 1)
+	if hc.client.flow == hc.flow {
+		hc.client.hostConn, hc.client.host = hc, h
+	}
+	h.world.sendToNode(hc.Conn, "UP "+receipt+"\r\n", nil)
+	h.reportLoad(hc)
+	if hc.client.endedByHost {
+		h.world.At(hc.client.endsAt, func() {
+			if hc.hosted != nil {
+				h.sendAway(hc, "BYE")
 			}
 		})
 	}
 }
 
-// tell says what a flow's load is, where hosts do.
-func (h *host) tell(hc *hostConn) {
-	if h.w.s.Fleet.TellsLoad {
-		h.say(hc, fmt.Sprintf("LOAD %.0f", hc.seat.load))
+// reportLoad says what a flow's load is, where hosts do.
+func (h *host) reportLoad(hc *hostConn) {
+	if h.world.script.Fleet.SendsLoad {
+		h.sendToClient(hc, fmt.Sprintf("LOAD %.0f", hc.hosted.load))
 	}
 }
 
-func (h *host) weigh(s *seat, load float64) {
+func (h *host) setFlowLoad(s *hostedFlow, load float64) {
 	h.load += load - s.load
 	s.load = load
 }
 
-// join counts a group's flows here; each group that has any costs its share of work.
-func (h *host) join(group string, by int) {
+// addToGroup counts a group's flows here; each group that has any costs its share of work.
+func (h *host) addToGroup(group string, by int) {
 	if group == "" {
 		return
 	}
-	cost := h.w.s.Fleet.GroupCost * h.w.usual()
-	if h.groups[group] == 0 {
+	cost := h.world.script.Fleet.GroupCost * h.world.unitLoadRate()
+	if h.flowsByGroup[group] == 0 {
 		h.load += cost
 	}
-	if h.groups[group] += by; h.groups[group] == 0 {
+	if h.flowsByGroup[group] += by; h.flowsByGroup[group] == 0 {
 		h.load -= cost
-		delete(h.groups, group)
+		delete(h.flowsByGroup, group)
 	}
 }
 
-// part sends a client away with a last word.
-func (h *host) part(hc *hostConn, word string) {
-	h.play()
-	h.say(hc, word)
-	h.w.hang(hc.Conn, false)
-	h.drop(hc)
-	h.plan()
+// sendAway sends a client away with a last word.
+func (h *host) sendAway(hc *hostConn, closingLine string) {
+	h.advance()
+	h.sendToClient(hc, closingLine)
+	h.world.closePeerSide(hc.Conn, false)
+	h.removeConn(hc)
+	h.scheduleCompletion()
 }
 
-func (h *host) ended(c *Conn, broken bool) {
-	if hc, ok := c.state.(*hostConn); ok {
-		h.play()
-		h.drop(hc)
-		h.plan()
+func (h *host) closed(c *Conn, broken bool) {
+	if hc, ok := c.peerState.(*hostConn); ok {
+		h.advance()
+		h.removeConn(hc)
+		h.scheduleCompletion()
 	}
 }
 
-// drop forgets a connection.
-func (h *host) drop(hc *hostConn) {
-	if hc.pos < 0 {
+// removeConn forgets a connection.
+func (h *host) removeConn(hc *hostConn) {
+	if hc.index < 0 {
 		return
 	}
 	last := len(h.conns) - 1
-	h.conns[hc.pos] = h.conns[last]
-	h.conns[hc.pos].pos = hc.pos
+	h.conns[hc.index] = h.conns[last]
+	h.conns[hc.index].index = hc.index
 	h.conns[last] = nil
 	h.conns = h.conns[:last]
-	hc.pos = -1
+	hc.index = -1
 	if hc.job != nil {
-		hc.job.gone = true
+		hc.job.abandoned = true
 	}
-	if s := hc.seat; s != nil {
-		h.weigh(s, 0)
-		h.join(hc.wish.group, -1)
+	if s := hc.hosted; s != nil {
+		h.setFlowLoad(s, 0)
+		h.addToGroup(hc.client.group, -1)
 		last := len(h.flows) - 1
-		h.flows[s.pos] = h.flows[last]
-		h.flows[s.pos].pos = s.pos
+		h.flows[s.index] = h.flows[last]
+		h.flows[s.index].index = s.index
 		h.flows[last] = nil
 		h.flows = h.flows[:last]
-		hc.seat = nil
+		hc.hosted = nil
 	}
 	if len(h.flows) == 0 {
 		h.load = 0 // rounding
 	}
 }
 
-// changed is told when the load of a client's flow has changed.
-func (h *host) changed(hc *hostConn) {
-	if hc.seat != nil && h.state == running {
-		h.play()
-		h.weigh(hc.seat, hc.wish.load*h.w.usual())
-		h.tell(hc)
-		h.plan()
+// loadChanged is told when the load of a client's flow has changed.
+func (h *host) loadChanged(hc *hostConn) {
+	if hc.hosted != nil && h.state == hostRunning {
+		h.advance()
+		h.setFlowLoad(hc.hosted, hc.client.load*h.world.unitLoadRate())
+		h.reportLoad(hc)
+		h.scheduleCompletion()
 	}
 }
 
-// die ends the process: every connection breaks, or says nothing.
-func (h *host) die(to hostState) {
-	h.play()
+// stop ends the process: every connection breaks, or says nothing.
+func (h *host) stop(to hostState) {
+	h.advance()
 	h.state = to
-	if to != mute {
-		h.w.side.Listening(h.no, false)
+	if to != hostSilent {
+		h.world.player.Listening(h.index, false)
 	}
 	conns := slices.Clone(h.conns)
 	for _, hc := range conns {
-		if to != mute {
-			h.w.hang(hc.Conn, true)
+		if to != hostSilent {
+			h.world.closePeerSide(hc.Conn, true)
 		}
-		h.drop(hc)
-		if to == mute {
-			hc.state = nil
-			h.mutes = append(h.mutes, hc.Conn)
+		h.removeConn(hc)
+		if to == hostSilent {
+			hc.peerState = nil
+			h.silentConns = append(h.silentConns, hc.Conn)
 		}
 	}
-	h.queue, h.inWork, h.backlog, h.load, h.busy = nil, nil, 0, 0, 0
-	h.groups = map[string]int{}
-	h.plan()
+	h.queuedSetups, h.activeSetups, h.backlog, h.load, h.utilization = nil, nil, 0, 0, 0
+	h.flowsByGroup = map[string]int{}
+	h.scheduleCompletion()
 }
 
 // start begins a new process, cold.
 func (h *host) start() {
-	if h.fell {
+	if h.fellOver {
 		return
 	}
-	h.play()
-	h.state, h.boot, h.sentTo, h.leaves = running, max(h.w.now, 1), nil, 0
-	for _, c := range h.mutes {
-		h.w.hang(c, true)
+	h.advance()
+	h.state, h.bootedAt, h.coldConnects, h.stopsAt = hostRunning, max(h.world.now, 1), nil, 0
+	for _, c := range h.silentConns {
+		h.world.closePeerSide(c, true)
 	}
-	h.mutes = nil
-	h.w.side.Listening(h.no, true)
+	h.silentConns = nil
+	h.world.player.Listening(h.index, true)
 }
 
-// beat goes through what time brings.
-func (h *host) beat() {
-	h.play()
-	limit := h.w.s.Fleet.Buffer.Seconds() * max(h.perCore(), core*h.speed*0.05) * h.cores
+// tick goes through what time brings.
+func (h *host) tick() {
+	h.advance()
+	limit := h.world.script.Fleet.Buffer.Seconds() * max(h.coreRate(), coreWorkPerSecond*h.speed*0.05) * h.cores
 	if h.backlog > limit {
 		h.backlog = limit
-		h.shed()
+		h.shedFlow()
 	}
-	if h.leaves > 0 && h.listed == "draining" {
-		h.usher()
+	if h.stopsAt > 0 && h.listed == "draining" {
+		h.drainFlows()
 	}
-	h.plan()
+	h.scheduleCompletion()
 }
 
-// shed drops a flow when too much is piled up.
-func (h *host) shed() {
-	var out *seat
-	switch h.w.s.Fleet.Sheds {
+// shedFlow drops a flow when too much is piled up.
+func (h *host) shedFlow() {
+	var victim *hostedFlow
+	switch h.world.script.Fleet.ShedMode {
 	case "newest":
 		if n := len(h.flows); n > 0 {
-			out = h.flows[n-1]
+			victim = h.flows[n-1]
 		}
 	case "heaviest":
 		for _, s := range h.flows {
-			if out == nil || s.load > out.load {
-				out = s
+			if victim == nil || s.load > victim.load {
+				victim = s
 			}
 		}
 	}
-	if out != nil {
-		h.w.hang(out.c.Conn, true)
-		h.drop(out.c)
+	if victim != nil {
+		h.world.closePeerSide(victim.conn.Conn, true)
+		h.removeConn(victim.conn)
 	}
 }
 
-// usher sends clients away while the host drains.
-func (h *host) usher() {
+// drainFlows sends clients away while the host drains.
+func (h *host) drainFlows() {
 	n := 0
-	switch left := (h.leaves - h.w.now) / tick; h.w.s.Fleet.Drain {
+	switch left := (h.stopsAt - h.world.now) / tickInterval; h.world.script.Fleet.DrainMode {
 	case "at_once":
 		n = len(h.flows)
 	case "paced":
 		n = (len(h.flows) + int(max(left, 1)) - 1) / int(max(left, 1))
 	}
 	for range n {
-		h.part(h.flows[len(h.flows)-1].c, "MOVE")
+		h.sendAway(h.flows[len(h.flows)-1].conn, "MOVE")
 	}
 }
 
-// quality is the share of messages that are answered within a target now: none while more is piled up than the
+// messageQuality is the share of messages that are answered within a target now: none while more is piled up than the
 // target allows, and fewer as the host nears its capacity.
-func (h *host) quality(target int64) float64 {
-	rate := h.perCore()
+func (h *host) messageQuality(target int64) float64 {
+	rate := h.coreRate()
 	if rate == 0 {
 		return 0
 	}
@@ -630,9 +630,9 @@
 	if left <= 0 {
 		return 0
 	}
-	message := h.w.usual() * float64(h.w.s.Clients.Every) / 1e6 / rate / messageParts
+	message := h.world.unitLoadRate() * float64(h.world.script.Clients.LineInterval) / 1e6 / rate / messagesPerLine
 	free := 1 - min(h.load/(rate*h.cores), 0.999)
 	return 1 - math.Exp(-left*free/message)
 }
 
-const messageParts = 16 // messages among which the work between two lines of a client is spread
+const messagesPerLine = 16 // messages among which the work between two lines of a client is spread
--- a/rehearsal/fleet/lie.go
+++ b/rehearsal/fleet/lie.go
@@ -6,20 +6,20 @@
 	"coursewinch/cluster/frame"
 )
 
-// lie keeps who sent a datagram and makes nonsense of what it tells: the largest figures that can be, for every host that
+// falseReport keeps who sent a datagram and makes nonsense of what it tells: the largest figures that can be, for every host that
 // it names, and each of them full.
-func (w *World) lie(p []byte) []byte {
-	h, payload, fault := frame.Read(p)
+func (w *World) falseReport(datagram []byte) []byte {
+	header, payload, fault := frame.Read(datagram)
 	if fault != frame.None || len(payload) < 5 {
-		return p
+		return datagram
 	}
 	out := append([]byte(nil), payload...)
-	const entry, largest = 9, 62000
-	n := 0
-	for at := len(out) - entry; at >= 7 && n < 1000; at -= entry {
-		binary.LittleEndian.PutUint16(out[at+4:], largest)
-		out[at+8] = 1
-		n++
+	const entryBytes, largestFigure = 9, 62000
+	changed := 0
+	for offset := len(out) - entryBytes; offset >= 7 && changed < 1000; offset -= entryBytes {
+		binary.LittleEndian.PutUint16(out[offset+4:], largestFigure)
+		out[offset+8] = 1
+		changed++
 	}
-	return frame.Write(h, out)
+	return frame.Write(header, out)
 }
--- a/rehearsal/fleet/links.go
+++ b/rehearsal/fleet/links.go
@@ -17,18 +17,18 @@
 }
 
 const (
-	mostSeen   = 4096 // datagrams kept to be sent again
-	againAfter = 4 * second
+	maxSeenDatagrams = 4096 // datagrams kept to be sent again
+	maxReplayDelay   = 4 * second
 )
 
 // seenDatagram is one that passed, for faults that send it again.
 type seenDatagram struct {
 	from, to int
-	p        []byte
+	payload  []byte
 }
 
-// strikes tells whether a fault is about what goes from one node to another.
-func (f *linkFault) strikes(from, to int) bool {
+// affects tells whether a fault is about what goes from one node to another.
+func (f *linkFault) affects(from, to int) bool {
 	switch {
 	case f.part != nil:
 		return f.part[from] != f.part[to]
@@ -42,98 +42,98 @@
 	return f.from[from] || f.from[to]
 }
 
-// strikeLinks begins a fault of links.
-func (w *World) strikeLinks(f *scenario.Fault, nodes, to []int) {
-	l := &linkFault{Fault: f, from: make([]bool, len(w.nodes))}
+// injectLinkFault begins a fault of links.
+func (w *World) injectLinkFault(f *scenario.Fault, nodes, to []int) {
+	fault := &linkFault{Fault: f, from: make([]bool, len(w.nodes))}
 	for _, n := range nodes {
-		l.from[n] = true
+		fault.from[n] = true
 	}
 	if len(to) > 0 {
-		l.to = make([]bool, len(w.nodes))
+		fault.to = make([]bool, len(w.nodes))
 		for _, n := range to {
-			l.to[n] = true
+			fault.to[n] = true
 		}
 	}
 	if f.Kind == "link_split" {
 		for n := range w.nodes {
-			l.part = append(l.part, n%f.Parts)
+			fault.part = append(fault.part, n%f.Parts)
 		}
 	}
-	w.linkFaults = append(w.linkFaults, l)
+	w.linkFaults = append(w.linkFaults, fault)
 	w.after(f.For.Us(), func() {
-		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == l })
+		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == fault })
 	})
 }
 
 // Told is a datagram that a node sends another. It comes, or does not, or comes as something else.
-func (w *World) Told(from, to int, p []byte) {
+func (w *World) Told(from, to int, payload []byte) {
 	w.run.Counts.Datagrams++
-	w.run.Counts.DatagramBytes += len(p)
-	chance := w.linkChance
+	w.run.Counts.DatagramBytes += len(payload)
+	random := w.linkRand
 	a, b := w.nodes[from].zone, w.nodes[to].zone
-	if a != b && (w.links[a].cut > 0 || w.links[b].cut > 0) {
+	if a != b && (w.zoneLinks[a].cuts > 0 || w.zoneLinks[b].cuts > 0) {
 		return
 	}
-	base := w.s.Network.Same.Us()
+	base := w.script.Network.SameZone.Us()
 	if a != b {
-		base = w.s.Network.Cross.Us() + w.links[a].added + w.links[b].added
+		base = w.script.Network.CrossZone.Us() + w.zoneLinks[a].addedDelay + w.zoneLinks[b].addedDelay
 	}
-	j := w.s.Network.Jitter
-	copies, late := 1, int64(float64(base)*(1-j+2*j*chance.Float64()))
+	j := w.script.Network.Jitter
+	copies, delay := 1, int64(float64(base)*(1-j+2*j*random.Float64()))
 	for _, f := range w.linkFaults {
-		if !f.strikes(from, to) {
+		if !f.affects(from, to) {
 			continue
 		}
 		switch f.Kind {
 		case "link_cut", "link_mute", "link_split":
 			return
 		case "link_loss":
-			if chance.Float64() < f.Size {
+			if random.Float64() < f.Size {
 				return
 			}
 		case "link_delay":
-			late += int64(float64(f.Delay.Us()) * (1 - f.Size + 2*f.Size*chance.Float64()))
+			delay += int64(float64(f.Delay.Us()) * (1 - f.Size + 2*f.Size*random.Float64()))
 		case "link_twice":
-			if chance.Float64() < f.Size {
+			if random.Float64() < f.Size {
 				copies++
 			}
 		case "link_mixed":
-			if chance.Float64() < f.Size {
-				late += 2 * second * int64(chance.IntN(1000)) / 1000
+			if random.Float64() < f.Size {
+				delay += 2 * second * int64(random.IntN(1000)) / 1000
 			}
 		case "link_bent":
-			if chance.Float64() < f.Size {
-				p = slices.Clone(p)
-				p[chance.IntN(len(p))] ^= byte(1 + chance.IntN(255))
+			if random.Float64() < f.Size {
+				payload = slices.Clone(payload)
+				payload[random.IntN(len(payload))] ^= byte(1 + random.IntN(255))
 			}
 		case "link_liar":
-			p = w.lie(p)
+			payload = w.falseReport(payload)
 		case "link_again":
-			w.replay(f, chance)
+			w.replayDatagram(f, random)
 		}
 	}
-	if len(w.seen) < mostSeen {
-		w.seen = append(w.seen, seenDatagram{from, to, p})
+	if len(w.seenDatagrams) < maxSeenDatagrams {
+		w.seenDatagrams = append(w.seenDatagrams, seenDatagram{from, to, payload})
 	} else {
-		w.seen[chance.IntN(mostSeen)] = seenDatagram{from, to, p}
+		w.seenDatagrams[random.IntN(maxSeenDatagrams)] = seenDatagram{from, to, payload}
 	}
 	for range copies {
-		w.deliver(from, to, p, late)
+		w.deliverDatagram(from, to, payload, delay)
 	}
 }
 
-func (w *World) deliver(from, to int, p []byte, late int64) {
-	w.after(max(late, 1), func() {
+func (w *World) deliverDatagram(from, to int, payload []byte, delay int64) {
+	w.after(max(delay, 1), func() {
 		if w.nodes[to].running {
-			w.side.Datagram(to, from, p)
+			w.player.Datagram(to, from, payload)
 		}
 	})
 }
 
-// replay sends something that passed before once more, to the node that it was for.
-func (w *World) replay(f *linkFault, chance *rand.Rand) {
-	if len(w.seen) > 0 && chance.Float64() < f.Size {
-		d := w.seen[chance.IntN(len(w.seen))]
-		w.deliver(d.from, d.to, d.p, chance.Int64N(againAfter))
+// replayDatagram sends something that passed before once more, to the node that it was for.
+func (w *World) replayDatagram(f *linkFault, random *rand.Rand) {
+	if len(w.seenDatagrams) > 0 && random.Float64() < f.Size {
+		d := w.seenDatagrams[random.IntN(len(w.seenDatagrams))]
+		w.deliverDatagram(d.from, d.to, d.payload, random.Int64N(maxReplayDelay))
 	}
 }
--- a/rehearsal/fleet/net.go
+++ b/rehearsal/fleet/net.go
@@ -7,9 +7,9 @@
 	"coursewinch/rehearsal/record"
 )
 
-// Nodes is what plays the nodes. All that reaches a node goes through it; what a node does comes back as calls on
+// NodePlayer is what plays the nodes. All that reaches a node goes through it; what a node does comes back as calls on
 // the World: Dialed, Wrote, Shut, Closed, Broke, Exited.
-type Nodes interface {
+type NodePlayer interface {
 	Start(no int, conf Conf)
 	Kill(no int)
 	Stop(no int)                            // told to end in order
@@ -30,224 +30,224 @@
 
 // peer is what stands at the other end of a node's connection.
 type peer interface {
-	accepted(c *Conn) // a node's connection has come; false from listening() kept it away
-	up(c *Conn)       // a connection to a node is up
-	line(c *Conn, line []byte)
-	ended(c *Conn, broken bool)
+	accepted(c *Conn)  // a node's connection has come; false from listening() kept it away
+	connected(c *Conn) // a connection to a node is up
+	receiveLine(c *Conn, line []byte)
+	closed(c *Conn, broken bool)
 }
 
-// bulker is a peer that may take many lines at once; it tells whether it did.
-type bulker interface {
-	bulk(c *Conn, p []byte) bool
+// bulkPeer is a peer that may take many lines at once; it tells whether it did.
+type bulkPeer interface {
+	receiveBulk(c *Conn, p []byte) bool
 }
 
 // Conn is one connection between a node and something else.
 type Conn struct {
-	Node   int
-	Host   int // it leads to, -1 for others
-	Addr   string
-	Client bool           // a client's, or the front's
-	From   netip.AddrPort // a client's address
-	Ref    any            // the Nodes' own
-
-	flow  *record.Flow // whose connect it is
-	wish  *wish
-	try   int
-	spoke bool // the node has sent something
-	early []func()
-	asked *record.Flow // whose client's it is
-	wasUp bool         // the node has sent it UP
-	final bool         // the node has refused or failed it here
-
-	run      int // of the node, counted from its first start
-	peer     peer
-	state    any // the peer's own
-	way      way
-	toNode   dir
-	toPeer   dir
-	text     []byte // come to the peer, and no whole line yet
-	isUp     bool
-	peerDone bool // the peer sends no more, or is gone
-	nodeDone bool
-	dead     bool // neither side hears more of it
+	Node       int
+	Host       int // it leads to, -1 for others
+	Addr       string
+	FromClient bool           // a client's, or the front's
+	From       netip.AddrPort // a client's address
+	Ref        any            // the Nodes' own
+
+	flow        *record.Flow // whose connect it is
+	client      *client
+	attempt     int
+	nodeSent    bool // the node has sent something
+	heldUntilUp []func()
+	clientFlow  *record.Flow // whose client's it is
+	upSent      bool         // the node has sent it UP
+	finalSent   bool         // the node has refused or failed it here
+
+	nodeStarts  int // of the node, counted from its first start
+	peer        peer
+	peerState   any // the peer's own
+	path        path
+	toNode      direction
+	toPeer      direction
+	partialLine []byte // come to the peer, and no whole line yet
+	isUp        bool
+	peerDone    bool // the peer sends no more, or is gone
+	nodeDone    bool
+	removed     bool // neither side hears more of it
 }
 
-// dir is one direction of a connection.
-type dir struct {
-	last int64 // when what was sent last comes
-	used bool
-	held []func()
-	wait bool // for the end of a cut
+// direction is one direction of a connection.
+type direction struct {
+	lastArrival int64 // when what was sent last comes
+	used        bool
+	waiting     []func()
+	blocked     bool // for the end of a cut
 }
 
-// way is the path between a node and a zone; clients are in none.
-type way struct{ node, zone int }
+// path is the path between a node and a zone; clients are in none.
+type path struct{ node, zone int }
 
-const clients = -1
+const noZone = -1
 
-// link is what the network does to the ways between a zone and the others.
-type link struct {
-	cut   int // cuts in force
-	added int64
+// zoneLink is what the network does to the ways between a zone and the others.
+type zoneLink struct {
+	cuts       int // cuts in force
+	addedDelay int64
 }
 
-// crossing tells whether a way leads from one zone to another.
-func (w *World) crossing(y way) bool {
-	return y.zone != clients && y.zone != w.nodes[y.node].zone
+// crossesZones tells whether a way leads from one zone to another.
+func (w *World) crossesZones(p path) bool {
+	return p.zone != noZone && p.zone != w.nodes[p.node].zone
 }
 
-func (w *World) isCut(y way) bool {
-	return w.crossing(y) && (w.links[y.zone].cut > 0 || w.links[w.nodes[y.node].zone].cut > 0)
+func (w *World) isCut(p path) bool {
+	return w.crossesZones(p) && (w.zoneLinks[p.zone].cuts > 0 || w.zoneLinks[w.nodes[p.node].zone].cuts > 0)
 }
 
-// latency is one way's time for one message.
-func (w *World) latency(y way) int64 {
-	base := w.s.Network.Same.Us()
+// drawLatency is one way's time for one message.
+func (w *World) drawLatency(p path) int64 {
+	base := w.script.Network.SameZone.Us()
 	switch {
-	case y.zone == clients:
-		base = w.s.Network.Client.Us()
-	case w.crossing(y):
-		base = w.s.Network.Cross.Us() + w.links[y.zone].added + w.links[w.nodes[y.node].zone].added
+	case p.zone == noZone:
+		base = w.script.Network.Client.Us()
+	case w.crossesZones(p):
+		base = w.script.Network.CrossZone.Us() + w.zoneLinks[p.zone].addedDelay + w.zoneLinks[w.nodes[p.node].zone].addedDelay
 	}
-	j := w.s.Network.Jitter
-	return max(int64(float64(base)*(1-j+2*j*w.netChance.Float64())), 1)
+	jitter := w.script.Network.Jitter
+	return max(int64(float64(base)*(1-jitter+2*jitter*w.networkRand.Float64())), 1)
 }
 
-// carry brings something over a way, after all that was sent on it before. What meets a cut waits for its end.
-func (w *World) carry(c *Conn, d *dir, do func()) {
-	if d.wait || w.isCut(c.way) {
-		d.held = append(d.held, do)
-		if !d.wait {
-			d.wait = true
-			w.cutOff = append(w.cutOff, d)
-			w.cutWays = append(w.cutWays, c)
+// transmit brings something over a way, after all that was sent on it before. What meets a cut waits for its end.
+func (w *World) transmit(c *Conn, d *direction, action func()) {
+	if d.blocked || w.isCut(c.path) {
+		d.waiting = append(d.waiting, action)
+		if !d.blocked {
+			d.blocked = true
+			w.blockedDirections = append(w.blockedDirections, d)
+			w.blockedConns = append(w.blockedConns, c)
 		}
 		return
 	}
-	at := w.now + w.latency(c.way)
+	at := w.now + w.drawLatency(c.path)
 	if d.used {
-		at = max(at, d.last)
+		at = max(at, d.lastArrival)
 	}
-	d.last, d.used = at, true
-	w.At(at, do)
+	d.lastArrival, d.used = at, true
+	w.At(at, action)
 }
 
-// resume lets go what waited for the end of a cut.
-func (w *World) resume() {
-	dirs, conns := w.cutOff, w.cutWays
-	w.cutOff, w.cutWays = nil, nil
-	for i, d := range dirs {
+// resumeAfterCut lets go what waited for the end of a cut.
+func (w *World) resumeAfterCut() {
+	directions, conns := w.blockedDirections, w.blockedConns
+	w.blockedDirections, w.blockedConns = nil, nil
+	for i, d := range directions {
 		c := conns[i]
-		if w.isCut(c.way) {
-			w.cutOff, w.cutWays = append(w.cutOff, d), append(w.cutWays, c)
+		if w.isCut(c.path) {
+			w.blockedDirections, w.blockedConns = append(w.blockedDirections, d), append(w.blockedConns, c)
 			continue
 		}
-		d.wait = false
-		held := d.held
-		d.held = nil
-		d.last, d.used = max(d.last, w.now+w.netChance.Int64N(resent)), true
-		for _, do := range held {
-			w.carry(c, d, do)
+		d.blocked = false
+		waiting := d.waiting
+		d.waiting = nil
+		d.lastArrival, d.used = max(d.lastArrival, w.now+w.networkRand.Int64N(maxRetransmitDelay)), true
+		for _, action := range waiting {
+			w.transmit(c, d, action)
 		}
 	}
 }
 
-const resent = 200_000 // what was lost is sent again within this
+const maxRetransmitDelay = 200_000 // what was lost is sent again within this
 
-// alive tells whether the node of a connection still is the process that it was.
-func (w *World) alive(c *Conn) bool {
+// isAlive tells whether the node of a connection still is the process that it was.
+func (w *World) isAlive(c *Conn) bool {
 	n := w.nodes[c.Node]
-	return !c.dead && n.running && n.run == c.run
+	return !c.removed && n.running && n.starts == c.nodeStarts
 }
 
-// open is a peer's connection to a node. It hears up, or ended.
-func (w *World) open(p peer, node int, from netip.Addr) *Conn {
-	c := &Conn{Node: node, Host: -1, Client: true, peer: p, From: netip.AddrPortFrom(from, 0), way: way{node, clients}, run: w.nodes[node].run}
-	w.knock(c, p)
+// openToNode is a peer's connection to a node. It hears up, or ended.
+func (w *World) openToNode(p peer, node int, address netip.Addr) *Conn {
+	c := &Conn{Node: node, Host: -1, FromClient: true, peer: p, From: netip.AddrPortFrom(address, 0), path: path{node, noZone}, nodeStarts: w.nodes[node].starts}
+	w.requestConnection(c, p)
 	return c
 }
 
-const again = second // after which a system asks again for a connection that was dropped
+const connectRetryInterval = second // after which a system asks again for a connection that was dropped
 
-// knock asks for a connection.
-func (w *World) knock(c *Conn, p peer) {
+// requestConnection asks for a connection.
+func (w *World) requestConnection(c *Conn, p peer) {
 	node := c.Node
-	w.carry(c, &c.toNode, func() {
+	w.transmit(c, &c.toNode, func() {
 		n := w.nodes[node]
-		if c.dead || c.peerDone {
+		if c.removed || c.peerDone {
 			return
 		}
 		if !n.running || !n.listening {
-			w.carry(c, &c.toPeer, func() { w.end(c, true) })
+			w.transmit(c, &c.toPeer, func() { w.notifyClosed(c, true) })
 			return
 		}
-		c.run = n.run
-		if !w.side.Arrive(c) {
-			w.after(again, func() { w.knock(c, p) })
+		c.nodeStarts = n.starts
+		if !w.player.Arrive(c) {
+			w.after(connectRetryInterval, func() { w.requestConnection(c, p) })
 			return
 		}
 		n.conns = append(n.conns, c)
-		w.carry(c, &c.toPeer, func() {
-			if !c.dead && !c.peerDone {
+		w.transmit(c, &c.toPeer, func() {
+			if !c.removed && !c.peerDone {
 				c.isUp = true
-				p.up(c)
+				p.connected(c)
 			}
 		})
 	})
 }
 
-// say sends a peer's bytes to the node; told is called when they have come.
-func (w *World) say(c *Conn, text string, told func()) {
-	if c.dead || c.peerDone {
+// sendToNode sends a peer's bytes to the node; told is called when they have come.
+func (w *World) sendToNode(c *Conn, text string, delivered func()) {
+	if c.removed || c.peerDone {
 		return
 	}
-	w.carry(c, &c.toNode, func() {
-		if w.alive(c) {
-			w.side.Bytes(c, []byte(text))
-			if told != nil {
-				told()
+	w.transmit(c, &c.toNode, func() {
+		if w.isAlive(c) {
+			w.player.Bytes(c, []byte(text))
+			if delivered != nil {
+				delivered()
 			}
 		}
 	})
 }
 
-// hang ends a peer's side: it sends no more and hears no more.
-func (w *World) hang(c *Conn, broken bool) {
+// closePeerSide ends a peer's side: it sends no more and hears no more.
+func (w *World) closePeerSide(c *Conn, broken bool) {
 	if c.peerDone {
 		return
 	}
 	c.peerDone = true
-	w.carry(c, &c.toNode, func() {
+	w.transmit(c, &c.toNode, func() {
 		switch {
-		case !w.alive(c):
+		case !w.isAlive(c):
 		case broken:
-			w.lost(c)
-			w.bury(c)
-			w.side.Broken(c)
+			w.observeHostClose(c)
+			w.removeConn(c)
+			w.player.Broken(c)
 		default:
-			w.lost(c)
-			w.side.End(c)
+			w.observeHostClose(c)
+			w.player.End(c)
 		}
 	})
 }
 
-// end tells the peer that the node's side is gone.
-func (w *World) end(c *Conn, broken bool) {
+// notifyClosed tells the peer that the node's side is gone.
+func (w *World) notifyClosed(c *Conn, broken bool) {
 	if c.peerDone {
 		return
 	}
 	c.peerDone = true
-	c.peer.ended(c, broken)
+	c.peer.closed(c, broken)
 }
 
-// bury takes a connection out of its node.
-func (w *World) bury(c *Conn) {
-	if c.dead {
+// removeConn takes a connection out of its node.
+func (w *World) removeConn(c *Conn) {
+	if c.removed {
 		return
 	}
-	c.dead = true
+	c.removed = true
 	n := w.nodes[c.Node]
-	if n.run == c.run {
+	if n.starts == c.nodeStarts {
 		for i, o := range n.conns {
 			if o == c {
 				last := len(n.conns) - 1
@@ -265,43 +265,43 @@
 // Dialed is a connection that a node opens; it hears Up or Refused, or nothing at all.
 func (w *World) Dialed(node int, addr string, ref any) *Conn {
 	n := w.nodes[node]
-	c := &Conn{Node: node, Host: -1, Addr: addr, Ref: ref, run: n.run}
+	c := &Conn{Node: node, Host: -1, Addr: addr, Ref: ref, nodeStarts: n.starts}
 	n.conns = append(n.conns, c)
-	h, isHost := w.byAddr[addr]
+	h, isHost := w.hostByAddress[addr]
 	switch {
 	case isHost:
-		c.Host, c.peer, c.way = h.no, h, way{node, h.zone}
+		c.Host, c.peer, c.path = h.index, h, path{node, h.zone}
 	default:
-		c.peer, c.way, n.askedAt = w.disc, way{node, n.zone}, w.now // it asks, whatever comes of it
+		c.peer, c.path, n.lastAskedAt = w.discovery, path{node, n.zone}, w.now // it asks, whatever comes of it
 	}
-	w.carry(c, &c.toPeer, func() {
-		if !w.alive(c) || c.nodeDone {
+	w.transmit(c, &c.toPeer, func() {
+		if !w.isAlive(c) || c.nodeDone {
 			return
 		}
 		switch {
-		case isHost && h.silent(), !isHost && !w.disc.exists(addr) && addr == "":
+		case isHost && h.isSilent(), !isHost && !w.discovery.isListening(addr) && addr == "":
 			return // nothing comes back
-		case isHost && !h.takes(), !isHost && !w.disc.exists(addr):
-			w.carry(c, &c.toNode, func() {
-				if w.alive(c) && !c.nodeDone {
-					w.bury(c)
-					w.side.Refused(c)
+		case isHost && !h.acceptsConnections(), !isHost && !w.discovery.isListening(addr):
+			w.transmit(c, &c.toNode, func() {
+				if w.isAlive(c) && !c.nodeDone {
+					w.removeConn(c)
+					w.player.Refused(c)
 				}
 			})
 			return
 		}
 		c.peer.accepted(c)
-		w.carry(c, &c.toNode, func() {
-			if !w.alive(c) && !c.nodeDone {
+		w.transmit(c, &c.toNode, func() {
+			if !w.isAlive(c) && !c.nodeDone {
 				return
 			}
 			c.isUp = true
-			for _, do := range c.early {
-				w.carry(c, &c.toPeer, do)
+			for _, action := range c.heldUntilUp {
+				w.transmit(c, &c.toPeer, action)
 			}
-			c.early = nil
+			c.heldUntilUp = nil
 			if !c.nodeDone {
-				w.side.Up(c)
+				w.player.Up(c)
 			}
 		})
 	})
@@ -310,37 +310,37 @@
 
 // Wrote is bytes that a node has sent. They are the World's from then on.
 func (w *World) Wrote(c *Conn, p []byte) {
-	if c.dead || c.nodeDone || len(p) == 0 {
+	if c.removed || c.nodeDone || len(p) == 0 {
 		return
 	}
-	w.sent(c, p)
-	w.out(c, func() { w.came(c, p) })
+	w.observeNodeData(c, p)
+	w.transmitFromNode(c, func() { w.receiveAtPeer(c, p) })
 }
 
-// out carries what a node sends. On sockets a connection is up before the emulated network has brought it there and
+// transmitFromNode carries what a node sends. On sockets a connection is up before the emulated network has brought it there and
 // back; what is sent meanwhile waits for that.
-func (w *World) out(c *Conn, do func()) {
-	if !c.Client && !c.isUp {
-		c.early = append(c.early, do)
+func (w *World) transmitFromNode(c *Conn, action func()) {
+	if !c.FromClient && !c.isUp {
+		c.heldUntilUp = append(c.heldUntilUp, action)
 		return
 	}
-	w.carry(c, &c.toPeer, do)
+	w.transmit(c, &c.toPeer, action)
 }
 
-// came splits what has come to a peer into lines.
-func (w *World) came(c *Conn, p []byte) {
+// receiveAtPeer splits what has come to a peer into lines.
+func (w *World) receiveAtPeer(c *Conn, p []byte) {
 	if c.peerDone {
 		return
 	}
-	if h, ok := c.peer.(*host); ok && h.silent() {
+	if h, ok := c.peer.(*host); ok && h.isSilent() {
 		return
 	}
-	if len(c.text) > 0 {
-		p = append(c.text, p...)
-		c.text = nil
+	if len(c.partialLine) > 0 {
+		p = append(c.partialLine, p...)
+		c.partialLine = nil
 	}
-	if i := bytes.LastIndexByte(p, '\n') + 1; i > bulkLine {
-		if b, ok := c.peer.(bulker); ok && b.bulk(c, p[:i]) {
+	if i := bytes.LastIndexByte(p, '\n') + 1; i > bulkLineBytes {
+		if b, ok := c.peer.(bulkPeer); ok && b.receiveBulk(c, p[:i]) {
 			p = p[i:]
 		}
 	}
@@ -349,45 +349,45 @@
 		if i < 0 {
 			break
 		}
-		c.peer.line(c, bytes.TrimSuffix(p[:i], []byte("\r")))
+		c.peer.receiveLine(c, bytes.TrimSuffix(p[:i], []byte("\r")))
 		p = p[i+1:]
 	}
 	if len(p) > 0 {
-		c.text = append([]byte(nil), p...)
+		c.partialLine = append([]byte(nil), p...)
 	}
 }
 
 // Shut is that a node sends no more on a connection; it still reads.
-func (w *World) Shut(c *Conn) { w.finish(c, false) }
+func (w *World) Shut(c *Conn) { w.closeNodeSide(c, false) }
 
 // Closed is that a node has closed a connection; Broke that it broke it.
 func (w *World) Closed(c *Conn) {
-	w.finish(c, false)
-	w.bury(c)
+	w.closeNodeSide(c, false)
+	w.removeConn(c)
 }
 
 func (w *World) Broke(c *Conn) {
-	w.finish(c, true)
-	w.bury(c)
+	w.closeNodeSide(c, true)
+	w.removeConn(c)
 }
 
-func (w *World) finish(c *Conn, broken bool) {
-	if c.dead || c.nodeDone {
+func (w *World) closeNodeSide(c *Conn, broken bool) {
+	if c.removed || c.nodeDone {
 		return
 	}
-	w.gaveUp(c)
+	w.observeNodeClose(c)
 	c.nodeDone = true
-	if !c.Client && !c.isUp && len(c.early) == 0 {
+	if !c.FromClient && !c.isUp && len(c.heldUntilUp) == 0 {
 		c.isUp = true // it gave up before it was up
 	}
-	w.out(c, func() {
+	w.transmitFromNode(c, func() {
 		if c.peerDone {
 			return
 		}
-		w.end(c, broken)
-		w.carry(c, &c.toNode, func() { // what has no more to say ends its side as well
-			if w.alive(c) {
-				w.side.End(c)
+		w.notifyClosed(c, broken)
+		w.transmit(c, &c.toNode, func() { // what has no more to say ends its side as well
+			if w.isAlive(c) {
+				w.player.End(c)
 			}
 		})
 	})
@@ -402,5 +402,5 @@
 	if !n.stopping {
 		w.run.Notes = append(w.run.Notes, "node "+n.name+" ended: "+why)
 	}
-	w.fallNode(no)
+	w.nodeEnded(no)
 }
--- a/rehearsal/scenario/check.go
+++ b/rehearsal/scenario/check.go
@@ -11,21 +11,21 @@
 func defaults() *Script {
 	return &Script{
 		Length:  60 * second,
-		Network: Network{Same: 200, Cross: 2 * ms, Client: 500, Jitter: 0.2},
-		Fleet: Fleet{PerCore: 16, Cap: 2.5, SetupWork: 8 * ms, ProbeWork: 250, Slots: 4, Queue: 16, Cold: 0.12,
-			ColdTime: 22 * second, Multiple: 3, FallAfter: 3 * second, Drain: "none", Buffer: second, Sheds: "none",
-			Echo: "at_once", TellsLoad: true, LoadSpread: 0.6, Swing: 0.3, Change: 8 * second, LifeSpread: 0.8},
-		Node:      Node{Sockets: 1024, MemoryMB: 192, MaxConnects: 6, Probing: true, DrainGrace: 300 * ms, Dial: 250 * ms, Backlog: 1024},
-		Discovery: Discovery{Notice: 1500 * ms, Period: 400 * ms},
-		Front:     Front{Notice: 2 * second},
-		Clients: Clients{Retries: 2, Wait: "fixed", Pause: 100 * ms, Honour: 1, Back: [2]Span{120 * ms, 1200 * ms},
-			Moved: [2]Span{120 * ms, 1200 * ms}, Every: 2 * second},
+		Network: Network{SameZone: 200, CrossZone: 2 * millisecond, Client: 500, Jitter: 0.2},
+		Fleet: Fleet{PerCore: 16, ConnectionCap: 2.5, SetupWork: 8 * millisecond, ProbeWork: 250, SlotsPerCore: 4, QueuePerCore: 16, ColdFrom: 0.12,
+			ColdTime: 22 * second, FallMultiple: 3, FallAfter: 3 * second, DrainMode: "none", Buffer: second, ShedMode: "none",
+			EchoMode: "at_once", SendsLoad: true, LoadSpread: 0.6, LoadSwing: 0.3, LoadChange: 8 * second, LifeSpread: 0.8},
+		Node:      Node{Sockets: 1024, MemoryMB: 192, MaxConnects: 6, Probing: true, DrainGrace: 300 * millisecond, DialTimeout: 250 * millisecond, Backlog: 1024},
+		Discovery: Discovery{NoticeDelay: 1500 * millisecond, UpdatePeriod: 400 * millisecond},
+		FrontEnd:  FrontEnd{NoticeDelay: 2 * second},
+		Clients: Clients{Retries: 2, RetryWait: "fixed", RetryPause: 100 * millisecond, HonourShare: 1, ReturnAfterBreak: [2]Span{120 * millisecond, 1200 * millisecond},
+			ReturnAfterMove: [2]Span{120 * millisecond, 1200 * millisecond}, LineInterval: 2 * second},
 		Demand: Demand{Life: 40 * second},
 	}
 }
 
-// fill sets what follows from other values.
-func (s *Script) fill() {
+// fillDefaults sets what follows from other values.
+func (s *Script) fillDefaults() {
 	if len(s.Zones) == 0 {
 		s.Zones = []string{"a"}
 	}
@@ -69,315 +69,315 @@
 	}
 }
 
-// span asks that a length of time lie between two others.
-func (f *faults) span(key string, v, low, top Span) {
-	if v < low || v > top {
-		f.add(key, "%v is impossible: %v to %v", v, low, top)
+// checkSpan asks that a length of time lie between two others.
+func (p *problems) checkSpan(key string, value, low, high Span) {
+	if value < low || value > high {
+		p.add(key, "%v is impossible: %v to %v", value, low, high)
 	}
 }
 
-func (f *faults) number(key string, v, low, top float64) {
-	if !(v >= low && v <= top) {
-		f.add(key, "%v is impossible: %v to %v", v, low, top)
+func (p *problems) checkNumber(key string, value, low, high float64) {
+	if !(value >= low && value <= high) {
+		p.add(key, "%v is impossible: %v to %v", value, low, high)
 	}
 }
 
-func (f *faults) word(key, v string, words ...string) {
-	if !slices.Contains(words, v) {
-		f.add(key, "%q is unknown: one of %s", v, strings.Join(words, ", "))
+func (p *problems) checkWord(key, value string, words ...string) {
+	if !slices.Contains(words, value) {
+		p.add(key, "%q is unknown: one of %s", value, strings.Join(words, ", "))
 	}
 }
 
 const (
-	mostHosts = 4096
-	mostNodes = 4096
-	mostRate  = 100_000
-	hour      = 3600 * second
+	maxHosts = 4096
+	maxNodes = 4096
+	maxRate  = 100_000
+	hour     = 3600 * second
 )
 
-func (s *Script) check(f *faults) {
+func (s *Script) check(p *problems) {
 	if s.Name == "" {
-		f.add("name", "is missing")
-	}
-	f.span("length", s.Length, second, hour)
-	if slices.Contains(s.Zones, "") || len(slices.Compact(sorted(slices.Clone(s.Zones)))) != len(s.Zones) {
-		f.add("zones", "each wants a name of its own")
-	}
-	s.checkNetwork(f)
-	s.checkFleet(f)
-	s.checkNodes(f)
-	s.checkClients(f)
-	s.checkLimits(f)
-	s.checkDemand(f)
+		p.add("name", "is missing")
+	}
+	p.checkSpan("length", s.Length, second, hour)
+	if slices.Contains(s.Zones, "") || len(slices.Compact(sortNames(slices.Clone(s.Zones)))) != len(s.Zones) {
+		p.add("zones", "each wants a name of its own")
+	}
+	s.checkNetwork(p)
+	s.checkFleet(p)
+	s.checkNodes(p)
+	s.checkClients(p)
+	s.checkLimits(p)
+	s.checkDemand(p)
 	for i := range s.Faults {
-		s.checkFault(f, i)
+		s.checkFault(p, i)
 	}
 }
 
-func (s *Script) checkNetwork(f *faults) {
-	for _, p := range []struct {
+func (s *Script) checkNetwork(p *problems) {
+	for _, delay := range []struct {
 		key string
 		v   Span
-	}{{"same", s.Network.Same}, {"cross", s.Network.Cross}, {"client", s.Network.Client}} {
-		f.span("network."+p.key, p.v, 1, 10*second)
-	}
-	f.number("network.jitter", s.Network.Jitter, 0, 0.9)
-	f.span("discovery.notice", s.Discovery.Notice, 0, hour)
-	f.span("discovery.period", s.Discovery.Period, ms, 10*second)
-	f.number("discovery.calls", s.Discovery.Calls, 0, 1e6)
-	f.number("discovery.refuses", s.Discovery.Refuses, 0, 1)
-	f.span("front.notice", s.Front.Notice, 0, hour)
-	f.number("store.rate", s.Store.Rate, 0, 1e6)
-	f.span("store.time", s.Store.Time, 0, 10*second)
+	}{{"same", s.Network.SameZone}, {"cross", s.Network.CrossZone}, {"client", s.Network.Client}} {
+		p.checkSpan("network."+delay.key, delay.v, 1, 10*second)
+	}
+	p.checkNumber("network.jitter", s.Network.Jitter, 0, 0.9)
+	p.checkSpan("discovery.notice", s.Discovery.NoticeDelay, 0, hour)
+	p.checkSpan("discovery.period", s.Discovery.UpdatePeriod, millisecond, 10*second)
+	p.checkNumber("discovery.calls", s.Discovery.CallRate, 0, 1e6)
+	p.checkNumber("discovery.refuses", s.Discovery.RefusalShare, 0, 1)
+	p.checkSpan("front.notice", s.FrontEnd.NoticeDelay, 0, hour)
+	p.checkNumber("store.rate", s.Store.CallRate, 0, 1e6)
+	p.checkSpan("store.time", s.Store.CallTime, 0, 10*second)
 }
 
-func (s *Script) checkFleet(f *faults) {
-	t := s.Fleet
-	f.number("fleet.flows_per_core", t.PerCore, 0.1, 1e5)
-	f.number("fleet.cap", t.Cap, 0.1, 1000)
-	f.span("fleet.setup_work", t.SetupWork, 1, 10*second)
-	f.span("fleet.probe_work", t.ProbeWork, 0, second)
-	f.number("fleet.slots_per_core", t.Slots, 0.1, 1e4)
-	f.number("fleet.queue_per_core", t.Queue, 0, 1e6)
-	f.number("fleet.cold_from", t.Cold, 0.01, 1)
-	f.span("fleet.cold_time", t.ColdTime, 0, hour)
-	f.number("fleet.fall_multiple", t.Multiple, 1, 1000)
-	f.number("fleet.fall_roots", t.FallRoots, 0, 10)
-	f.span("fleet.fall_after", t.FallAfter, 100*ms, 60*second)
-	f.number("fleet.group_cost", t.GroupCost, 0, 1000)
-	f.number("fleet.groups", float64(t.Groups), 0, 1e6)
-	f.number("fleet.error_rate", t.ErrorRate, 0, 1)
-	f.word("fleet.drain", t.Drain, "none", "paced", "at_once")
-	f.span("fleet.buffer", t.Buffer, 0, 60*second)
-	f.number("fleet.thrash", t.Thrash, 0, 0.95)
-	f.word("fleet.sheds", t.Sheds, "none", "newest", "heaviest")
-	f.word("fleet.echo", t.Echo, "at_once", "in_turn")
-	f.number("fleet.load_spread", t.LoadSpread, 0, 3)
-	f.number("fleet.swing", t.Swing, 0, 3)
-	f.span("fleet.change", t.Change, 100*ms, hour)
-	f.number("fleet.life_spread", t.LifeSpread, 0, 3)
+func (s *Script) checkFleet(p *problems) {
+	fleet := s.Fleet
+	p.checkNumber("fleet.flows_per_core", fleet.PerCore, 0.1, 1e5)
+	p.checkNumber("fleet.cap", fleet.ConnectionCap, 0.1, 1000)
+	p.checkSpan("fleet.setup_work", fleet.SetupWork, 1, 10*second)
+	p.checkSpan("fleet.probe_work", fleet.ProbeWork, 0, second)
+	p.checkNumber("fleet.slots_per_core", fleet.SlotsPerCore, 0.1, 1e4)
+	p.checkNumber("fleet.queue_per_core", fleet.QueuePerCore, 0, 1e6)
+	p.checkNumber("fleet.cold_from", fleet.ColdFrom, 0.01, 1)
+	p.checkSpan("fleet.cold_time", fleet.ColdTime, 0, hour)
+	p.checkNumber("fleet.fall_multiple", fleet.FallMultiple, 1, 1000)
+	p.checkNumber("fleet.fall_roots", fleet.FallRoots, 0, 10)
+	p.checkSpan("fleet.fall_after", fleet.FallAfter, 100*millisecond, 60*second)
+	p.checkNumber("fleet.group_cost", fleet.GroupCost, 0, 1000)
+	p.checkNumber("fleet.groups", float64(fleet.Groups), 0, 1e6)
+	p.checkNumber("fleet.error_rate", fleet.ErrorRate, 0, 1)
+	p.checkWord("fleet.drain", fleet.DrainMode, "none", "paced", "at_once")
+	p.checkSpan("fleet.buffer", fleet.Buffer, 0, 60*second)
+	p.checkNumber("fleet.thrash", fleet.Thrash, 0, 0.95)
+	p.checkWord("fleet.sheds", fleet.ShedMode, "none", "newest", "heaviest")
+	p.checkWord("fleet.echo", fleet.EchoMode, "at_once", "in_turn")
+	p.checkNumber("fleet.load_spread", fleet.LoadSpread, 0, 3)
+	p.checkNumber("fleet.swing", fleet.LoadSwing, 0, 3)
+	p.checkSpan("fleet.change", fleet.LoadChange, 100*millisecond, hour)
+	p.checkNumber("fleet.life_spread", fleet.LifeSpread, 0, 3)
 	total := 0
 	for i, h := range s.Hosts {
-		at := "hosts." + strconv.Itoa(i)
-		f.number(at+".count", float64(h.Count), 1, mostHosts)
-		f.number(at+".cores", h.Cores, 0.1, 1000)
-		f.number(at+".speed", h.Speed, 0.01, 100)
-		f.span(at+".boot", h.Boot, 0, s.Length)
-		s.zone(f, at+".zone", h.Zone, true)
+		key := "hosts." + strconv.Itoa(i)
+		p.checkNumber(key+".count", float64(h.Count), 1, maxHosts)
+		p.checkNumber(key+".cores", h.Cores, 0.1, 1000)
+		p.checkNumber(key+".speed", h.Speed, 0.01, 100)
+		p.checkSpan(key+".boot", h.BootAt, 0, s.Length)
+		s.checkZone(p, key+".zone", h.Zone, true)
 		total += max(h.Count, 0)
 	}
-	if total < 1 || total > mostHosts {
-		f.add("hosts", "%d hosts: 1 to %d", total, mostHosts)
+	if total < 1 || total > maxHosts {
+		p.add("hosts", "%d hosts: 1 to %d", total, maxHosts)
 	}
 }
 
-func (s *Script) zone(f *faults, key, name string, empty bool) {
-	if !(empty && name == "") && !slices.Contains(s.Zones, name) {
-		f.add(key, "%q is no zone: one of %s", name, strings.Join(s.Zones, ", "))
+func (s *Script) checkZone(p *problems, key, name string, mayBeEmpty bool) {
+	if !(mayBeEmpty && name == "") && !slices.Contains(s.Zones, name) {
+		p.add(key, "%q is no zone: one of %s", name, strings.Join(s.Zones, ", "))
 	}
 }
 
-func (s *Script) checkNodes(f *faults) {
+func (s *Script) checkNodes(p *problems) {
 	total := 0
-	for i, n := range s.Nodes {
-		at := "nodes." + strconv.Itoa(i)
-		f.number(at+".count", float64(n.Count), 1, mostNodes)
-		s.zone(f, at+".zone", n.Zone, len(s.Zones) == 1)
-		total += max(n.Count, 0)
-	}
-	if total < 1 || total > mostNodes {
-		f.add("nodes", "%d nodes: 1 to %d", total, mostNodes)
-	}
-	n := s.Node
-	f.number("node.sockets", float64(n.Sockets), 32, 1e6)
-	f.number("node.memory_mb", float64(n.MemoryMB), 16, 1e6)
-	f.number("node.max_connects", float64(n.MaxConnects), 1, 100)
-	f.span("node.drain_grace", n.DrainGrace, 0, 60*second)
-	f.span("node.max_wait", n.MaxWait, 0, 60*second)
-	f.number("node.backlog", float64(n.Backlog), 1, 1e6)
-	f.span("node.dial_timeout", n.Dial, ms, 60*second)
-	f.number("node.holding.buffers", float64(n.Holding.Buffers), 0, 1e6)
-	f.span("node.holding.idle", n.Holding.Idle, 0, hour)
-	f.span("node.holding.stalled", n.Holding.Stalled, 0, hour)
-	f.number("node.admission.per_address", float64(n.Admission.PerAddress), 0, 1e6)
-	f.number("node.admission.rate", n.Admission.Rate, 0, 1e6)
-	f.number("node.admission.burst", n.Admission.Burst, 0, 1e6)
-	f.number("node.admission.reserve", float64(n.Admission.Reserve), 0, 1e6)
-	for _, c := range []struct {
+	for i, node := range s.Nodes {
+		key := "nodes." + strconv.Itoa(i)
+		p.checkNumber(key+".count", float64(node.Count), 1, maxNodes)
+		s.checkZone(p, key+".zone", node.Zone, len(s.Zones) == 1)
+		total += max(node.Count, 0)
+	}
+	if total < 1 || total > maxNodes {
+		p.add("nodes", "%d nodes: 1 to %d", total, maxNodes)
+	}
+	node := s.Node
+	p.checkNumber("node.sockets", float64(node.Sockets), 32, 1e6)
+	p.checkNumber("node.memory_mb", float64(node.MemoryMB), 16, 1e6)
+	p.checkNumber("node.max_connects", float64(node.MaxConnects), 1, 100)
+	p.checkSpan("node.drain_grace", node.DrainGrace, 0, 60*second)
+	p.checkSpan("node.max_wait", node.MaxRetryAfter, 0, 60*second)
+	p.checkNumber("node.backlog", float64(node.Backlog), 1, 1e6)
+	p.checkSpan("node.dial_timeout", node.DialTimeout, millisecond, 60*second)
+	p.checkNumber("node.holding.buffers", float64(node.Holding.Buffers), 0, 1e6)
+	p.checkSpan("node.holding.idle", node.Holding.Idle, 0, hour)
+	p.checkSpan("node.holding.stalled", node.Holding.Stalled, 0, hour)
+	p.checkNumber("node.admission.per_address", float64(node.Admission.PerAddress), 0, 1e6)
+	p.checkNumber("node.admission.rate", node.Admission.Rate, 0, 1e6)
+	p.checkNumber("node.admission.burst", node.Admission.Burst, 0, 1e6)
+	p.checkNumber("node.admission.reserve", float64(node.Admission.Reserve), 0, 1e6)
+	for _, cost := range []struct {
 		key string
 		v   Span
-	}{{"turn_cost", n.Turn}, {"event_cost", n.Event}, {"socket_cost", n.Socket}, {"kb_cost", n.KB}} {
-		f.span("node."+c.key, c.v, 0, second)
+	}{{"turn_cost", node.Turn}, {"event_cost", node.Event}, {"socket_cost", node.Socket}, {"kb_cost", node.KB}} {
+		p.checkSpan("node."+cost.key, cost.v, 0, second)
 	}
 }
 
-func (s *Script) checkClients(f *faults) {
-	c := s.Clients
-	f.number("clients.retries", float64(c.Retries), 0, 1000)
-	f.word("clients.wait", c.Wait, "none", "at_once", "fixed", "exponential")
-	f.span("clients.pause", c.Pause, ms, 60*second)
-	f.number("clients.honour", c.Honour, 0, 1)
-	for _, p := range []struct {
+func (s *Script) checkClients(p *problems) {
+	clients := s.Clients
+	p.checkNumber("clients.retries", float64(clients.Retries), 0, 1000)
+	p.checkWord("clients.wait", clients.RetryWait, "none", "at_once", "fixed", "exponential")
+	p.checkSpan("clients.pause", clients.RetryPause, millisecond, 60*second)
+	p.checkNumber("clients.honour", clients.HonourShare, 0, 1)
+	for _, pair := range []struct {
 		key string
 		v   [2]Span
-	}{{"back", c.Back}, {"moved", c.Moved}} {
-		if p.v[0] < 0 || p.v[1] < p.v[0] || p.v[1] > hour {
-			f.add("clients."+p.key, "%v to %v is impossible: two times, the shorter first", p.v[0], p.v[1])
+	}{{"back", clients.ReturnAfterBreak}, {"moved", clients.ReturnAfterMove}} {
+		if pair.v[0] < 0 || pair.v[1] < pair.v[0] || pair.v[1] > hour {
+			p.add("clients."+pair.key, "%v to %v is impossible: two times, the shorter first", pair.v[0], pair.v[1])
 		}
 	}
-	f.span("clients.line_every", c.Every, ms, 60*second)
+	p.checkSpan("clients.line_every", clients.LineInterval, millisecond, 60*second)
 	if len(s.Types) == 0 {
-		f.add("types", "there is no service type")
+		p.add("types", "there is no service type")
 	}
 	names := map[string]bool{}
 	for i, t := range s.Types {
-		at := "types." + strconv.Itoa(i)
+		key := "types." + strconv.Itoa(i)
 		if t.Name == "" || strings.ContainsAny(t.Name, " ,=\t\r\n") || names[t.Name] {
-			f.add(at+".name", "%q: each wants a name of its own, without spaces or commas", t.Name)
+			p.add(key+".name", "%q: each wants a name of its own, without spaces or commas", t.Name)
 		}
 		names[t.Name] = true
-		f.number(at+".share", t.Share, 0.0001, 1e6)
-		f.number(at+".load", t.Load, 0.001, 1000)
-		f.number(at+".life", t.Life, 0.001, 1000)
-		f.number(at+".benefit", t.Benefit, 0.001, 1000)
-		f.span(at+".setup_target", t.Target, ms, 60*second)
-		f.span(at+".message_target", t.Message, ms, 60*second)
-		f.span(at+".connect_timeout", t.Timeout, t.Target, 600*second)
-		f.word(at+".effect", t.Effect, "repeatable", "referenced", "once-only")
-		f.word(at+".scope", t.Scope, "all", "zone")
+		p.checkNumber(key+".share", t.Share, 0.0001, 1e6)
+		p.checkNumber(key+".load", t.Load, 0.001, 1000)
+		p.checkNumber(key+".life", t.Life, 0.001, 1000)
+		p.checkNumber(key+".benefit", t.Benefit, 0.001, 1000)
+		p.checkSpan(key+".setup_target", t.SetupTarget, millisecond, 60*second)
+		p.checkSpan(key+".message_target", t.MessageTarget, millisecond, 60*second)
+		p.checkSpan(key+".connect_timeout", t.ConnectTimeout, t.SetupTarget, 600*second)
+		p.checkWord(key+".effect", t.Effect, "repeatable", "referenced", "once-only")
+		p.checkWord(key+".scope", t.Scope, "all", "zone")
 		if t.Effect == "referenced" {
-			f.span(at+".window", t.Window, ms, hour)
+			p.checkSpan(key+".window", t.Window, millisecond, hour)
 		}
 	}
 }
 
-func (s *Script) checkLimits(f *faults) {
+func (s *Script) checkLimits(p *problems) {
 	for i, l := range s.Cluster.Limits {
-		at := fmt.Sprintf("cluster.limits.%d", i)
-		f.word(at+".over", l.Over, "address", "type", "group", "host", "cold")
-		f.word(at+".promise", l.Promise, "strict", "available")
+		key := fmt.Sprintf("cluster.limits.%d", i)
+		p.checkWord(key+".over", l.Over, "address", "type", "group", "host", "cold")
+		p.checkWord(key+".promise", l.Promise, "strict", "available")
 		if !s.Cluster.On {
-			f.add(at+".over", "cluster.on is false")
+			p.add(key+".over", "cluster.on is false")
 		}
 		if l.AtOnce != 0 {
-			f.number(at+".at_once", float64(l.AtOnce), 1, 65535)
-			f.number(at+".rate", l.Rate, 0, 0)
+			p.checkNumber(key+".at_once", float64(l.AtOnce), 1, 65535)
+			p.checkNumber(key+".rate", l.Rate, 0, 0)
 			continue
 		}
 		if l.Over == "cold" {
 			continue
 		}
-		f.number(at+".rate", l.Rate, 0.001, 1e6)
-		f.number(at+".burst", l.Burst, 1, 1e6)
+		p.checkNumber(key+".rate", l.Rate, 0.001, 1e6)
+		p.checkNumber(key+".burst", l.Burst, 1, 1e6)
 	}
 }
 
-func (s *Script) checkDemand(f *faults) {
-	d := s.Demand
-	f.number("demand.rate", d.Rate, 0, mostRate)
-	f.number("demand.standing", d.Stand, 0, 10)
-	f.number("demand.standing_tilt", d.Tilt, 0, 3)
-	f.span("demand.life", d.Life, 100*ms, hour)
-	if d.Rate == 0 && d.Flows == "" && len(d.Loops)+len(d.Bulk) == 0 {
-		f.add("demand.rate", "nobody comes: give a rate, flows, loops or bulk")
-	}
-	for name, v := range d.Skew {
-		s.zone(f, "demand.skew."+name, name, false)
-		f.number("demand.skew."+name, v, 0, 1000)
-	}
-	for i, w := range d.Waves {
-		at := "demand.waves." + strconv.Itoa(i)
-		f.number(at+".times", w.Times, 0, 1000)
-		f.span(at+".at", w.At, 0, s.Length)
-		if i > 0 && w.At < d.Waves[i-1].At {
-			f.add(at+".at", "%v comes before the wave above it", w.At)
+func (s *Script) checkDemand(p *problems) {
+	demand := s.Demand
+	p.checkNumber("demand.rate", demand.Rate, 0, maxRate)
+	p.checkNumber("demand.standing", demand.Standing, 0, 10)
+	p.checkNumber("demand.standing_tilt", demand.StandingTilt, 0, 3)
+	p.checkSpan("demand.life", demand.Life, 100*millisecond, hour)
+	if demand.Rate == 0 && demand.Flows == "" && len(demand.Loops)+len(demand.Bulk) == 0 {
+		p.add("demand.rate", "nobody comes: give a rate, flows, loops or bulk")
+	}
+	for name, v := range demand.ZoneWeights {
+		s.checkZone(p, "demand.skew."+name, name, false)
+		p.checkNumber("demand.skew."+name, v, 0, 1000)
+	}
+	for i, w := range demand.Waves {
+		key := "demand.waves." + strconv.Itoa(i)
+		p.checkNumber(key+".times", w.RateMultiplier, 0, 1000)
+		p.checkSpan(key+".at", w.At, 0, s.Length)
+		if i > 0 && w.At < demand.Waves[i-1].At {
+			p.add(key+".at", "%v comes before the wave above it", w.At)
 		}
 	}
-	for i, l := range d.Loops {
-		s.crowd(f, fmt.Sprintf("demand.loops.%d", i), l.At, l.For, l.Count, l.Type, l.Zone)
+	for i, l := range demand.Loops {
+		s.checkClientGroup(p, fmt.Sprintf("demand.loops.%d", i), l.At, l.For, l.Count, l.Type, l.Zone)
 	}
-	for i, b := range d.Bulk {
-		at := fmt.Sprintf("demand.bulk.%d", i)
-		s.crowd(f, at, b.At, b.For, b.Count, b.Type, b.Zone)
-		f.number(at+".window", float64(b.Window), 128, 1<<20)
+	for i, b := range demand.Bulk {
+		key := fmt.Sprintf("demand.bulk.%d", i)
+		s.checkClientGroup(p, key, b.At, b.For, b.Count, b.Type, b.Zone)
+		p.checkNumber(key+".window", float64(b.Window), 128, 1<<20)
 	}
-	for i, b := range d.Bad {
-		at := fmt.Sprintf("demand.bad.%d", i)
-		f.span(at+".at", b.At, 0, s.Length)
-		f.number(at+".rate", b.Rate, 0.01, 10_000)
-		f.word(at+".kind", b.Kind, BadKinds...)
-		s.zone(f, at+".zone", b.Zone, true)
+	for i, b := range demand.BadClients {
+		key := fmt.Sprintf("demand.bad.%d", i)
+		p.checkSpan(key+".at", b.At, 0, s.Length)
+		p.checkNumber(key+".rate", b.Rate, 0.01, 10_000)
+		p.checkWord(key+".kind", b.Kind, BadClientKinds...)
+		s.checkZone(p, key+".zone", b.Zone, true)
 	}
 }
 
-func (s *Script) crowd(f *faults, at string, from, length Span, count int, kind, zone string) {
-	f.span(at+".at", from, 0, s.Length)
-	f.span(at+".for", length, 0, s.Length)
-	f.number(at+".count", float64(count), 1, 10_000)
-	s.zone(f, at+".zone", zone, true)
+func (s *Script) checkClientGroup(p *problems, key string, from, length Span, count int, kind, zone string) {
+	p.checkSpan(key+".at", from, 0, s.Length)
+	p.checkSpan(key+".for", length, 0, s.Length)
+	p.checkNumber(key+".count", float64(count), 1, 10_000)
+	s.checkZone(p, key+".zone", zone, true)
 	if s.TypeNo(kind) < 0 && kind != "" {
-		f.add(at+".type", "%q is no service type", kind)
+		p.add(key+".type", "%q is no service type", kind)
 	}
 }
 
-func (s *Script) checkFault(f *faults, i int) {
-	v := s.Faults[i]
-	at := "faults." + strconv.Itoa(i)
-	k, ok := faultKinds[v.Kind]
+func (s *Script) checkFault(p *problems, index int) {
+	fault := s.Faults[index]
+	key := "faults." + strconv.Itoa(index)
+	kind, ok := faultKinds[fault.Kind]
 	if !ok {
-		f.add(at+".kind", "%q is unknown: one of %s", v.Kind, FaultKinds())
+		p.add(key+".kind", "%q is unknown: one of %s", fault.Kind, FaultKinds())
 		return
 	}
-	f.span(at+".at", v.At, 0, s.Length)
-	f.span(at+".for", v.For, 0, hour)
-	f.span(at+".step", v.Step, 0, s.Length)
-	if k.needsFor && v.For == 0 {
-		f.add(at+".for", "is missing: how long")
-	}
-	if k.size != "" && !(v.Size >= k.low && v.Size <= k.top) {
-		f.add(at+".size", "%v is impossible: %s, %v to %v", v.Size, k.size, k.low, k.top)
-	} else if k.size == "" && v.Size != 0 {
-		f.add(at+".size", "means nothing for %s", v.Kind)
-	}
-	if v.Kind == "link_split" {
-		f.number(at+".parts", float64(v.Parts), 2, float64(max(s.NodeCount(), 2)))
-	} else if v.Parts != 0 {
-		f.add(at+".parts", "means nothing for %s", v.Kind)
-	}
-	if strings.HasPrefix(v.Kind, "link_") && (!s.Cluster.On || s.Cluster.Alone) {
-		f.add(at+".kind", "there are no links: cluster.on is false, or cluster.alone true")
-	}
-	if v.Kind == "delay" || v.Kind == "link_delay" {
-		f.span(at+".delay", v.Delay, 1, 60*second)
-	}
-	switch k.strikes {
-	case hosts:
-		s.members(f, at+".hosts", v.Hosts, "h", s.HostCount(), v)
-	case nodes, links:
-		if len(v.To) > 0 {
-			s.members(f, at+".to", v.To, "n", s.NodeCount(), Fault{Share: 1})
+	p.checkSpan(key+".at", fault.At, 0, s.Length)
+	p.checkSpan(key+".for", fault.For, 0, hour)
+	p.checkSpan(key+".step", fault.Step, 0, s.Length)
+	if kind.needsDuration && fault.For == 0 {
+		p.add(key+".for", "is missing: how long")
+	}
+	if kind.sizeMeaning != "" && !(fault.Size >= kind.minSize && fault.Size <= kind.maxSize) {
+		p.add(key+".size", "%v is impossible: %s, %v to %v", fault.Size, kind.sizeMeaning, kind.minSize, kind.maxSize)
+	} else if kind.sizeMeaning == "" && fault.Size != 0 {
+		p.add(key+".size", "means nothing for %s", fault.Kind)
+	}
+	if fault.Kind == "link_split" {
+		p.checkNumber(key+".parts", float64(fault.Parts), 2, float64(max(s.NodeCount(), 2)))
+	} else if fault.Parts != 0 {
+		p.add(key+".parts", "means nothing for %s", fault.Kind)
+	}
+	if strings.HasPrefix(fault.Kind, "link_") && (!s.Cluster.On || s.Cluster.Alone) {
+		p.add(key+".kind", "there are no links: cluster.on is false, or cluster.alone true")
+	}
+	if fault.Kind == "delay" || fault.Kind == "link_delay" {
+		p.checkSpan(key+".delay", fault.Delay, 1, 60*second)
+	}
+	switch kind.target {
+	case targetsHosts:
+		s.checkMembers(p, key+".hosts", fault.Hosts, "h", s.HostCount(), fault)
+	case targetsNodes, targetsLinks:
+		if len(fault.To) > 0 {
+			s.checkMembers(p, key+".to", fault.To, "n", s.NodeCount(), Fault{Share: 1})
 		}
-		s.members(f, at+".nodes", v.Nodes, "n", s.NodeCount(), v)
-	case zone:
-		s.zone(f, at+".zone", v.Zone, false)
+		s.checkMembers(p, key+".nodes", fault.Nodes, "n", s.NodeCount(), fault)
+	case targetsZone:
+		s.checkZone(p, key+".zone", fault.Zone, false)
 		if len(s.Zones) < 2 {
-			f.add(at+".zone", "there is one zone only")
+			p.add(key+".zone", "there is one zone only")
 		}
 	}
 }
 
-func (s *Script) members(f *faults, key string, names []string, letter string, total int, v Fault) {
-	for _, n := range names {
-		no, err := strconv.Atoi(strings.TrimPrefix(n, letter+"-"))
-		if err != nil || n != fmt.Sprintf("%s-%d", letter, no) || no < 0 || no >= total {
-			f.add(key, "%q is none of %s-0 to %s-%d", n, letter, letter, total-1)
+func (s *Script) checkMembers(p *problems, key string, names []string, letter string, total int, fault Fault) {
+	for _, name := range names {
+		index, err := strconv.Atoi(strings.TrimPrefix(name, letter+"-"))
+		if err != nil || name != fmt.Sprintf("%s-%d", letter, index) || index < 0 || index >= total {
+			p.add(key, "%q is none of %s-0 to %s-%d", name, letter, letter, total-1)
 		}
 	}
-	if len(names) == 0 && v.Count == 0 && v.Share == 0 {
-		f.add(key, "name some, or give a count or a share")
+	if len(names) == 0 && fault.Count == 0 && fault.Share == 0 {
+		p.add(key, "name some, or give a count or a share")
 	}
-	f.number(strings.TrimSuffix(key, "s")+"s", float64(v.Count), 0, float64(total))
-	f.number(key[:strings.LastIndexByte(key, '.')]+".share", v.Share, 0, 1)
+	p.checkNumber(strings.TrimSuffix(key, "s")+"s", float64(fault.Count), 0, float64(total))
+	p.checkNumber(key[:strings.LastIndexByte(key, '.')]+".share", fault.Share, 0, 1)
 }
 
 // HostCount and NodeCount are how many there are in all.
@@ -397,5 +397,5 @@
 
 // TypeNo is the number of a service type, or -1.
 func (s *Script) TypeNo(name string) int {
-	return slices.IndexFunc(s.Types, func(t Type) bool { return t.Name == name })
+	return slices.IndexFunc(s.Types, func(t ServiceType) bool { return t.Name == name })
 }
--- a/rehearsal/scenario/override.go
+++ b/rehearsal/scenario/override.go
@@ -33,7 +33,7 @@
 		if err := toml.Unmarshal([]byte("v = "+value), &v); !ok || err != nil {
 			return nil, fmt.Errorf("%q is no KEY=VALUE with a value as in TOML", c)
 		}
-		if err := put(tree, strings.Split(strings.TrimSpace(key), "."), v["v"]); err != nil {
+		if err := setValue(tree, strings.Split(strings.TrimSpace(key), "."), v["v"]); err != nil {
 			return nil, fmt.Errorf("%q: %w", c, err)
 		}
 	}
@@ -47,27 +47,27 @@
 	return s, err
 }
 
-func put(tree any, path []string, v any) error {
+func setValue(tree any, path []string, value any) error {
 	switch t := tree.(type) {
 	case map[string]any:
 		if len(path) == 1 {
-			t[path[0]] = v
+			t[path[0]] = value
 			return nil
 		}
 		if t[path[0]] == nil {
 			t[path[0]] = map[string]any{}
 		}
-		return put(t[path[0]], path[1:], v)
+		return setValue(t[path[0]], path[1:], value)
 	case []any:
-		no, err := strconv.Atoi(path[0])
-		if err != nil || no < 0 || no >= len(t) {
+		index, err := strconv.Atoi(path[0])
+		if err != nil || index < 0 || index >= len(t) {
 			return fmt.Errorf("%q is no number of its %d members", path[0], len(t))
 		}
 		if len(path) == 1 {
-			t[no] = v
+			t[index] = value
 			return nil
 		}
-		return put(t[no], path[1:], v)
+		return setValue(t[index], path[1:], value)
 	}
 	return fmt.Errorf("%q is no table", path[0])
 }
--- a/rehearsal/scenario/read.go
+++ b/rehearsal/scenario/read.go
@@ -24,10 +24,10 @@
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(path.Base(f), ".toml"))
 	}
-	return sorted(names)
+	return sortNames(names)
 }
 
-func sorted(names []string) []string {
+func sortNames(names []string) []string {
 	slices.Sort(names)
 	return names
 }
@@ -45,108 +45,108 @@
 }
 
 // Fault of a script, with where it stands.
-type place struct {
-	line int
-	key  string
-	what string
+type problem struct {
+	line    int
+	key     string
+	message string
 }
 
-// faults are all that is wrong with a script.
-type faults struct {
+// problems are all that is wrong with a script.
+type problems struct {
 	file  string
 	lines map[string]int
-	all   []place
+	all   []problem
 }
 
-func (f *faults) Error() string {
+func (p *problems) Error() string {
 	var b strings.Builder
-	for i, p := range f.all {
+	for i, problem := range p.all {
 		if i > 0 {
 			b.WriteByte('\n')
 		}
-		fmt.Fprintf(&b, "%s:%d: %s: %s", f.file, p.line, p.key, p.what)
+		fmt.Fprintf(&b, "%s:%d: %s: %s", p.file, problem.line, problem.key, problem.message)
 	}
 	return b.String()
 }
 
 // add notes a fault. The line is that of the key, or of the nearest table round it that stands in the file.
-func (f *faults) add(key, what string, args ...any) {
-	at, line := key, 1
-	for at != "" {
-		if n, ok := f.lines[at]; ok {
+func (p *problems) add(key, format string, args ...any) {
+	table, line := key, 1
+	for table != "" {
+		if n, ok := p.lines[table]; ok {
 			line = n
 			break
 		}
-		at = at[:max(strings.LastIndexByte(at, '.'), 0)]
+		table = table[:max(strings.LastIndexByte(table, '.'), 0)]
 	}
-	f.all = append(f.all, place{line, key, fmt.Sprintf(what, args...)})
+	p.all = append(p.all, problem{line, key, fmt.Sprintf(format, args...)})
 }
 
 // Parse reads a script and checks it whole. The error names every fault, one a line: file, line, key, what is right.
 func Parse(file string, text []byte) (*Script, error) {
 	s := defaults()
 	s.File = file
-	f := &faults{file: file, lines: positions(text)}
-	d := toml.NewDecoder(strings.NewReader(string(text)))
-	d.DisallowUnknownFields()
-	err := d.Decode(s)
-	var strict *toml.StrictMissingError
-	var bad *toml.DecodeError
+	p := &problems{file: file, lines: keyLines(text)}
+	decoder := toml.NewDecoder(strings.NewReader(string(text)))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(s)
+	var missing *toml.StrictMissingError
+	var decodeError *toml.DecodeError
 	switch {
-	case errors.As(err, &strict):
-		for _, e := range strict.Errors {
+	case errors.As(err, &missing):
+		for _, e := range missing.Errors {
 			row, _ := e.Position()
-			f.all = append(f.all, place{row, strings.Join(e.Key(), "."), "no such key"})
+			p.all = append(p.all, problem{row, strings.Join(e.Key(), "."), "no such key"})
 		}
-		return nil, f
-	case errors.As(err, &bad):
-		row, _ := bad.Position()
-		f.all = append(f.all, place{row, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: ")})
-		return nil, f
+		return nil, p
+	case errors.As(err, &decodeError):
+		row, _ := decodeError.Position()
+		p.all = append(p.all, problem{row, strings.Join(decodeError.Key(), "."), strings.TrimPrefix(decodeError.Error(), "toml: ")})
+		return nil, p
 	case err != nil:
-		f.all = append(f.all, place{1, "", strings.TrimPrefix(err.Error(), "toml: ")})
-		return nil, f
+		p.all = append(p.all, problem{1, "", strings.TrimPrefix(err.Error(), "toml: ")})
+		return nil, p
 	}
-	s.fill()
-	s.check(f)
-	s.readFlows(f)
-	if len(f.all) > 0 {
-		slices.SortStableFunc(f.all, func(x, y place) int { return x.line - y.line })
-		return nil, f
+	s.fillDefaults()
+	s.check(p)
+	s.readFlows(p)
+	if len(p.all) > 0 {
+		slices.SortStableFunc(p.all, func(x, y problem) int { return x.line - y.line })
+		return nil, p
 	}
 	return s, nil
 }
 
-// positions gives each key its line; members of lists of tables are counted from 0.
-func positions(text []byte) map[string]int {
+// keyLines gives each key its line; members of lists of tables are counted from 0.
+func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
-	p := unstable.Parser{}
-	p.Reset(text)
-	under := ""
-	for p.NextExpression() {
-		e := p.Expression()
+	parser := unstable.Parser{}
+	parser.Reset(text)
+	table := ""
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var parts []string
 		line := 1
-		for it := e.Key(); it.Next(); {
+		for it := expression.Key(); it.Next(); {
 			n := it.Node()
 			parts = append(parts, string(n.Data))
 			line = 1 + strings.Count(string(text[:n.Raw.Offset]), "\n")
 		}
 		name := strings.Join(parts, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
-			under = resolve(name, counts)
-			lines[under] = line
+			table = memberPath(name, counts)
+			lines[table] = line
 		case unstable.ArrayTable:
-			under = resolve(name, counts)
-			no := counts[under]
-			counts[under]++
-			under = fmt.Sprintf("%s.%d", under, no)
-			lines[under] = line
+			table = memberPath(name, counts)
+			no := counts[table]
+			counts[table]++
+			table = fmt.Sprintf("%s.%d", table, no)
+			lines[table] = line
 		case unstable.KeyValue:
-			if under != "" {
-				name = under + "." + name
+			if table != "" {
+				name = table + "." + name
 			}
 			lines[name] = line
 		}
@@ -154,15 +154,15 @@
 	return lines
 }
 
-// resolve puts the number of the last member behind each list of tables that a name goes through.
-func resolve(name string, counts map[string]int) string {
+// memberPath puts the number of the last member behind each list of tables that a name goes through.
+func memberPath(name string, counts map[string]int) string {
 	parts := strings.Split(name, ".")
-	at := parts[0]
+	full := parts[0]
 	for _, p := range parts[1:] {
-		if n := counts[at]; n > 0 {
-			at = fmt.Sprintf("%s.%d", at, n-1)
+		if n := counts[full]; n > 0 {
+			full = fmt.Sprintf("%s.%d", full, n-1)
 		}
-		at += "." + p
+		full += "." + p
 	}
-	return at
+	return full
 }
