--- a/rehearsal/scenario/scenario.go
+++ b/rehearsal/scenario/scenario.go
@@ -30,8 +30,8 @@
 func (s Span) Us() int64 { return int64(s) }
 
 const (
-	ms     = Span(1000)
-	second = 1000 * ms
+	millisecond = Span(1000)
+	second      = 1000 * millisecond
 )
 
 // Script is one rehearsal.
@@ -42,19 +42,19 @@
 	Seed   uint64   `toml:"seed"`
 	Zones  []string `toml:"zones"`
 
-	Network   Network   `toml:"network"`
-	Fleet     Fleet     `toml:"fleet"`
-	Hosts     []Hosts   `toml:"hosts"`
-	Nodes     []Nodes   `toml:"nodes"`
-	Node      Node      `toml:"node"`
-	Cluster   Cluster   `toml:"cluster"`
-	Discovery Discovery `toml:"discovery"`
-	Front     Front     `toml:"front"`
-	Store     Store     `toml:"store"`
-	Clients   Clients   `toml:"clients"`
-	Types     []Type    `toml:"types"`
-	Demand    Demand    `toml:"demand"`
-	Faults    []Fault   `toml:"faults"`
+	Network   Network       `toml:"network"`
+	Fleet     Fleet         `toml:"fleet"`
+	Hosts     []HostGroup   `toml:"hosts"`
+	Nodes     []NodeGroup   `toml:"nodes"`
+	Node      Node          `toml:"node"`
+	Cluster   Cluster       `toml:"cluster"`
+	Discovery Discovery     `toml:"discovery"`
+	FrontEnd  FrontEnd      `toml:"front"`
+	Store     Store         `toml:"store"`
+	Clients   Clients       `toml:"clients"`
+	Types     []ServiceType `toml:"types"`
+	Demand    Demand        `toml:"demand"`
+	Faults    []Fault       `toml:"faults"`
 
 	File     string     `toml:"-"` // where it was read
 	Recorded []Recorded `toml:"-"` // the flows of the file that Demand.Flows names
@@ -79,67 +79,67 @@
 
 // Network is the ways between machines; one way each.
 type Network struct {
-	Same   Span    `toml:"same"`   // within a zone
-	Cross  Span    `toml:"cross"`  // between zones
-	Client Span    `toml:"client"` // from a client to its node
-	Jitter float64 `toml:"jitter"` // share by which each delay varies
+	SameZone  Span    `toml:"same"`   // within a zone
+	CrossZone Span    `toml:"cross"`  // between zones
+	Client    Span    `toml:"client"` // from a client to its node
+	Jitter    float64 `toml:"jitter"` // share by which each delay varies
 }
 
 // Fleet is what all hosts have in common.
 type Fleet struct {
-	PerCore    float64 `toml:"flows_per_core"` // flows of load 1 that fill a core of speed 1
-	Cap        float64 `toml:"cap"`            // connections held at most, as a multiple of what fills the host
-	SetupWork  Span    `toml:"setup_work"`     // of a core of speed 1, for each set-up
-	ProbeWork  Span    `toml:"probe_work"`     // for each probe
-	Slots      float64 `toml:"slots_per_core"` // set-ups in work at once
-	Queue      float64 `toml:"queue_per_core"` // set-ups that wait
-	Cold       float64 `toml:"cold_from"`      // share of its capacity at which a host starts
-	ColdTime   Span    `toml:"cold_time"`      // until it has all of it
-	Multiple   float64 `toml:"fall_multiple"`  // sent more than this times what it can do ...
-	FallAfter  Span    `toml:"fall_after"`     // ... for so long, a cold host falls over and stays down;
-	FallRoots  float64 `toml:"fall_roots"`     // besides that much, so many times its root are put down to chance
-	GroupCost  float64 `toml:"group_cost"`     // flows' loads that a group costs each host that holds any of it
-	Groups     int     `toml:"groups"`         // how many groups there are; 0 for none
-	ErrorRate  float64 `toml:"error_rate"`     // share of set-ups answered ERR
-	Drain      string  `toml:"drain"`          // none, paced or at_once: how a draining host sends its clients away
-	Buffer     Span    `toml:"buffer"`         // work of messages piled up at most
-	Thrash     float64 `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
-	Sheds      string  `toml:"sheds"`          // none, newest or heaviest: whom a host drops when its buffer is full
-	Echo       string  `toml:"echo"`           // at_once or in_turn: whether lines come back before their work is done
-	TellsLoad  bool    `toml:"tells_load"`     // hosts send LOAD
-	LoadSpread float64 `toml:"load_spread"`    // sigma of flows' loads (log-normal)
-	Swing      float64 `toml:"swing"`          // sigma of its changes over a flow's life
-	Change     Span    `toml:"change"`         // a flow's load changes about so often
-	LifeSpread float64 `toml:"life_spread"`    // sigma of lives (log-normal)
+	PerCore       float64 `toml:"flows_per_core"` // flows of load 1 that fill a core of speed 1
+	ConnectionCap float64 `toml:"cap"`            // connections held at most, as a multiple of what fills the host
+	SetupWork     Span    `toml:"setup_work"`     // of a core of speed 1, for each set-up
+	ProbeWork     Span    `toml:"probe_work"`     // for each probe
+	SlotsPerCore  float64 `toml:"slots_per_core"` // set-ups in work at once
+	QueuePerCore  float64 `toml:"queue_per_core"` // set-ups that wait
+	ColdFrom      float64 `toml:"cold_from"`      // share of its capacity at which a host starts
+	ColdTime      Span    `toml:"cold_time"`      // until it has all of it
+	FallMultiple  float64 `toml:"fall_multiple"`  // sent more than this times what it can do ...
+	FallAfter     Span    `toml:"fall_after"`     // ... for so long, a cold host falls over and stays down;
+	FallRoots     float64 `toml:"fall_roots"`     // besides that much, so many times its root are put down to chance
+	GroupCost     float64 `toml:"group_cost"`     // flows' loads that a group costs each host that holds any of it
+	Groups        int     `toml:"groups"`         // how many groups there are; 0 for none
+	ErrorRate     float64 `toml:"error_rate"`     // share of set-ups answered ERR
+	DrainMode     string  `toml:"drain"`          // none, paced or at_once: how a draining host sends its clients away
+	Buffer        Span    `toml:"buffer"`         // work of messages piled up at most
+	Thrash        float64 `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
+	ShedMode      string  `toml:"sheds"`          // none, newest or heaviest: whom a host drops when its buffer is full
+	EchoMode      string  `toml:"echo"`           // at_once or in_turn: whether lines come back before their work is done
+	SendsLoad     bool    `toml:"tells_load"`     // hosts send LOAD
+	LoadSpread    float64 `toml:"load_spread"`    // sigma of flows' loads (log-normal)
+	LoadSwing     float64 `toml:"swing"`          // sigma of its changes over a flow's life
+	LoadChange    Span    `toml:"change"`         // a flow's load changes about so often
+	LifeSpread    float64 `toml:"life_spread"`    // sigma of lives (log-normal)
 }
 
-// Hosts are some hosts alike.
-type Hosts struct {
-	Kind  string  `toml:"kind"`
-	Count int     `toml:"count"`
-	Cores float64 `toml:"cores"`
-	Speed float64 `toml:"speed"`
-	Zone  string  `toml:"zone"` // empty: spread over all zones
-	Boot  Span    `toml:"boot"` // when it starts; 0 for long ago
+// HostGroup are some hosts alike.
+type HostGroup struct {
+	Kind   string  `toml:"kind"`
+	Count  int     `toml:"count"`
+	Cores  float64 `toml:"cores"`
+	Speed  float64 `toml:"speed"`
+	Zone   string  `toml:"zone"` // empty: spread over all zones
+	BootAt Span    `toml:"boot"` // when it starts; 0 for long ago
 }
 
-// Nodes are the nodes of a zone.
-type Nodes struct {
+// NodeGroup are the nodes of a zone.
+type NodeGroup struct {
 	Zone  string `toml:"zone"`
 	Count int    `toml:"count"`
 }
 
 // Node is what each node has.
 type Node struct {
-	Sockets     int  `toml:"sockets"`
-	MemoryMB    int  `toml:"memory_mb"`
-	MaxConnects int  `toml:"max_connects"`
-	Probing     bool `toml:"probing"`
-	Reports     bool `toml:"reports"` // hosts tell their load to probes
-	DrainGrace  Span `toml:"drain_grace"`
-	MaxWait     Span `toml:"max_wait"` // that clients obey when told to come again later; 0: they are not told
-	Dial        Span `toml:"dial_timeout"`
-	Backlog     int  `toml:"backlog"` // connections that wait at the listener at the most
+	Sockets         int  `toml:"sockets"`
+	MemoryMB        int  `toml:"memory_mb"`
+	MaxConnects     int  `toml:"max_connects"`
+	Probing         bool `toml:"probing"`
+	HostsReportLoad bool `toml:"reports"` // hosts tell their load to probes
+	DrainGrace      Span `toml:"drain_grace"`
+	MaxRetryAfter   Span `toml:"max_wait"` // that clients obey when told to come again later; 0: they are not told
+	DialTimeout     Span `toml:"dial_timeout"`
+	Backlog         int  `toml:"backlog"` // connections that wait at the listener at the most
 
 	Admission Admission `toml:"admission"`
 	Holding   Holding   `toml:"holding"`
@@ -187,72 +187,72 @@
 
 // Discovery is the service that names the hosts.
 type Discovery struct {
-	Notice  Span    `toml:"notice"`  // until it knows of what changed
-	Period  Span    `toml:"period"`  // it tells changes so often
-	Calls   float64 `toml:"calls"`   // calls a second that it can take; 0: any number
-	Refuses float64 `toml:"refuses"` // share of calls that it turns down
+	NoticeDelay  Span    `toml:"notice"`  // until it knows of what changed
+	UpdatePeriod Span    `toml:"period"`  // it tells changes so often
+	CallRate     float64 `toml:"calls"`   // calls a second that it can take; 0: any number
+	RefusalShare float64 `toml:"refuses"` // share of calls that it turns down
 }
 
-// Front deals clients out among the nodes of their zone.
-type Front struct {
-	Notice Span `toml:"notice"` // it goes on sending to a dead node for so long
+// FrontEnd deals clients out among the nodes of their zone.
+type FrontEnd struct {
+	NoticeDelay Span `toml:"notice"` // it goes on sending to a dead node for so long
 }
 
 // Store is a service that each set-up needs.
 type Store struct {
-	Rate float64 `toml:"rate"` // calls a second that it can take; 0: there is none
-	Time Span    `toml:"time"` // of a call
+	CallRate float64 `toml:"rate"` // calls a second that it can take; 0: there is none
+	CallTime Span    `toml:"time"` // of a call
 }
 
 // Clients is what all clients have in common.
 type Clients struct {
-	Retries int     `toml:"retries"`    // tries after the first
-	Wait    string  `toml:"wait"`       // none, at_once, fixed or exponential
-	Pause   Span    `toml:"pause"`      // the fixed wait, and the first of the exponential ones
-	GivesUp bool    `toml:"gives_up"`   // after these it is gone; else it comes again later, and waits ever longer
-	Honour  float64 `toml:"honour"`     // share of clients that wait as told
-	Back    [2]Span `toml:"back"`       // after a break a client comes again within
-	Moved   [2]Span `toml:"moved"`      // after MOVE
-	Every   Span    `toml:"line_every"` // a line of each established flow
+	Retries          int     `toml:"retries"`    // tries after the first
+	RetryWait        string  `toml:"wait"`       // none, at_once, fixed or exponential
+	RetryPause       Span    `toml:"pause"`      // the fixed wait, and the first of the exponential ones
+	GivesUp          bool    `toml:"gives_up"`   // after these it is gone; else it comes again later, and waits ever longer
+	HonourShare      float64 `toml:"honour"`     // share of clients that wait as told
+	ReturnAfterBreak [2]Span `toml:"back"`       // after a break a client comes again within
+	ReturnAfterMove  [2]Span `toml:"moved"`      // after MOVE
+	LineInterval     Span    `toml:"line_every"` // a line of each established flow
 }
 
-// Type is a service type.
-type Type struct {
-	Name    string  `toml:"name"`
-	Share   float64 `toml:"share"`
-	Load    float64 `toml:"load"`
-	Life    float64 `toml:"life"`
-	Target  Span    `toml:"setup_target"`
-	Timeout Span    `toml:"connect_timeout"`
-	Message Span    `toml:"message_target"`
-	Benefit float64 `toml:"benefit"`
-	Effect  string  `toml:"effect"` // repeatable, referenced or once-only
-	Scope   string  `toml:"scope"`  // all or zone: hosts that know a referenced flow again
-	Window  Span    `toml:"window"` // for so long
+// ServiceType is a service type.
+type ServiceType struct {
+	Name           string  `toml:"name"`
+	Share          float64 `toml:"share"`
+	Load           float64 `toml:"load"`
+	Life           float64 `toml:"life"`
+	SetupTarget    Span    `toml:"setup_target"`
+	ConnectTimeout Span    `toml:"connect_timeout"`
+	MessageTarget  Span    `toml:"message_target"`
+	Benefit        float64 `toml:"benefit"`
+	Effect         string  `toml:"effect"` // repeatable, referenced or once-only
+	Scope          string  `toml:"scope"`  // all or zone: hosts that know a referenced flow again
+	Window         Span    `toml:"window"` // for so long
 }
 
 // Demand is who comes.
 type Demand struct {
-	Rate  float64            `toml:"rate"`          // new flows a second, over all zones
-	Life  Span               `toml:"life"`          // of a flow of life 1, on average
-	Skew  map[string]float64 `toml:"skew"`          // weight of a zone; 1 where none is given
-	Stand float64            `toml:"standing"`      // flows that stand at the start, as a share of the rate's mean number
-	Tilt  float64            `toml:"standing_tilt"` // sigma of their uneven spread over hosts (log-normal)
-	Waves []Wave             `toml:"waves"`
-	Flows string             `toml:"flows"` // a file of flows, in place of a rate
-	Loops []Loop             `toml:"loops"`
-	Bulk  []Bulk             `toml:"bulk"`
-	Bad   []Bad              `toml:"bad"`
+	Rate         float64            `toml:"rate"`          // new flows a second, over all zones
+	Life         Span               `toml:"life"`          // of a flow of life 1, on average
+	ZoneWeights  map[string]float64 `toml:"skew"`          // weight of a zone; 1 where none is given
+	Standing     float64            `toml:"standing"`      // flows that stand at the start, as a share of the rate's mean number
+	StandingTilt float64            `toml:"standing_tilt"` // sigma of their uneven spread over hosts (log-normal)
+	Waves        []Wave             `toml:"waves"`
+	Flows        string             `toml:"flows"` // a file of flows, in place of a rate
+	Loops        []LoopingClients   `toml:"loops"`
+	Bulk         []BulkClients      `toml:"bulk"`
+	BadClients   []BadClients       `toml:"bad"`
 }
 
 // Wave says by how much the rate is multiplied from a moment on; in between it changes evenly.
 type Wave struct {
-	At    Span    `toml:"at"`
-	Times float64 `toml:"times"`
+	At             Span    `toml:"at"`
+	RateMultiplier float64 `toml:"times"`
 }
 
-// Loop is clients that open, and close as soon as they are established, again and again.
-type Loop struct {
+// LoopingClients is clients that open, and close as soon as they are established, again and again.
+type LoopingClients struct {
 	At    Span   `toml:"at"`
 	For   Span   `toml:"for"`
 	Count int    `toml:"count"`
@@ -262,8 +262,8 @@
 	OneAddress bool `toml:"one_address"` // all come from one address
 }
 
-// Bulk is clients that send lines as fast as they come back.
-type Bulk struct {
+// BulkClients is clients that send lines as fast as they come back.
+type BulkClients struct {
 	At     Span   `toml:"at"`
 	For    Span   `toml:"for"`
 	Count  int    `toml:"count"`
@@ -272,8 +272,8 @@
 	Window int    `toml:"window"` // bytes on their way at once
 }
 
-// Bad is clients that keep no protocol, new ones so many a second.
-type Bad struct {
+// BadClients is clients that keep no protocol, new ones so many a second.
+type BadClients struct {
 	At   Span    `toml:"at"`
 	For  Span    `toml:"for"`
 	Rate float64 `toml:"rate"`
@@ -281,83 +281,83 @@
 	Zone string  `toml:"zone"`
 }
 
-// BadKinds are the ways to keep no protocol.
-var BadKinds = []string{"garbage", "endless", "mute", "half", "no_type", "no_time", "many", "early", "huge"}
+// BadClientKinds are the ways to keep no protocol.
+var BadClientKinds = []string{"garbage", "endless", "mute", "half", "no_type", "no_time", "many", "early", "huge"}
 
 // Fault is one thing that happens.
 type Fault struct {
-	At    Span     `toml:"at"`
-	Kind  string   `toml:"kind"`
-	Hosts []string `toml:"hosts"` // names, such as "h-3"; else Count or Share of them by chance
-	Nodes []string `toml:"nodes"`
-	Zone  string   `toml:"zone"`
-	Count int      `toml:"count"`
-	Share float64  `toml:"share"`
-	For   Span     `toml:"for"`
-	Size  float64  `toml:"size"`  // see the kinds
-	Delay Span     `toml:"delay"` // added to a link
-	On    Span     `toml:"on"`    // a neighbour is on and off for so long; hosts are listed again so often
-	Step  Span     `toml:"step"`  // between the members of a roll
-	To    []string `toml:"to"`    // nodes at the other end; empty: all others
-	Parts int      `toml:"parts"` // into which a fleet is cut
+	At       Span     `toml:"at"`
+	Kind     string   `toml:"kind"`
+	Hosts    []string `toml:"hosts"` // names, such as "h-3"; else Count or Share of them by chance
+	Nodes    []string `toml:"nodes"`
+	Zone     string   `toml:"zone"`
+	Count    int      `toml:"count"`
+	Share    float64  `toml:"share"`
+	For      Span     `toml:"for"`
+	Size     float64  `toml:"size"`  // see the kinds
+	Delay    Span     `toml:"delay"` // added to a link
+	Interval Span     `toml:"on"`    // a neighbour is on and off for so long; hosts are listed again so often
+	Step     Span     `toml:"step"`  // between the members of a roll
+	To       []string `toml:"to"`    // nodes at the other end; empty: all others
+	Parts    int      `toml:"parts"` // into which a fleet is cut
 }
 
-// target is what a kind of fault strikes.
-type target uint8
+// faultTarget is what a kind of fault strikes.
+type faultTarget uint8
 
 const (
-	nothing target = iota
-	hosts
-	nodes
-	zone
-	links // between nodes
+	targetsNothing faultTarget = iota
+	targetsHosts
+	targetsNodes
+	targetsZone
+	targetsLinks // between nodes
 )
 
 type faultKind struct {
-	strikes  target
-	size     string // what Size is; empty where it means nothing
-	low, top float64
-	needsFor bool
+	target           faultTarget
+	sizeMeaning      string // what Size is; empty where it means nothing
+	minSize, maxSize float64
+	needsDuration    bool
 }
 
 // faultKinds are the faults there are.
 var faultKinds = map[string]faultKind{
-	"crash":        {hosts, "", 0, 0, false}, // the process dies and, after for, comes back cold
-	"silent":       {hosts, "", 0, 0, true},  // the machine says nothing for so long, then comes back cold
-	"pause":        {hosts, "", 0, 0, true},  // stands still for so long
-	"slow":         {hosts, "times slower", 1, 1000, true},
-	"neighbour":    {hosts, "share of the machine taken", 0.01, 0.99, true},
-	"errors":       {hosts, "share of set-ups answered ERR", 0.001, 1, true},
-	"drain":        {hosts, "", 0, 0, true}, // drains for so long, then leaves
-	"restart":      {hosts, "", 0, 0, true}, // drains for so long, then comes back cold, one each step
-	"join":         {hosts, "", 0, 0, false},
-	"node_kill":    {nodes, "", 0, 0, true}, // down for so long
-	"node_stop":    {nodes, "", 0, 0, true}, // SIGTERM, down for so long after its end
-	"node_reload":  {nodes, "", 0, 0, false},
-	"node_starve":  {nodes, "share of its core taken", 0.01, 0.999, true},
-	"cut":          {zone, "", 0, 0, true}, // nothing passes between this zone and the others
-	"delay":        {zone, "", 0, 0, true}, // of what passes between this zone and the others
-	"breaks":       {zone, "share of its connections broken", 0.001, 1, false},
-	"store_slow":   {nothing, "times slower", 1, 1000, true},
-	"discovery":    {nothing, "", 0, 0, true}, // down for so long
-	"reconnect":    {nothing, "share of clients that drop and come again", 0.001, 1, true},
-	"vanish":       {nothing, "share of clients that vanish without a close and come again", 0.001, 1, true},
-	"relist":       {hosts, "", 0, 0, true}, // each on, discovery tells of them again, for so long
-	"discovery_no": {nothing, "share of calls refused", 0.001, 1, true},
-	"node_pause":   {nodes, "", 0, 0, true},                                          // stopped for so long; then it goes on with what it believed
-	"node_twin":    {nodes, "", 0, 0, true},                                          // a second process under the same name, for so long; it serves nobody
-	"node_clock":   {nodes, "seconds that its clock jumps by", -86400, 86400, false}, // in virtual time only
-	"node_rate":    {nodes, "times as fast that its clock runs", 0.5, 2, true},       // in virtual time only
-	"link_loss":    {links, "share of datagrams lost", 0.001, 1, true},               // between these nodes and the others, both ways
-	"link_delay":   {links, "share by which the delay varies", 0, 1, true},
-	"link_twice":   {links, "share of datagrams that come twice", 0.001, 1, true},
-	"link_mixed":   {links, "share of datagrams that are overtaken", 0.001, 1, true},
-	"link_bent":    {links, "share of datagrams with a byte changed", 0.001, 1, true},
-	"link_again":   {links, "share of datagrams sent again later, from what was seen before", 0.001, 1, true},
-	"link_mute":    {links, "", 0, 0, true},   // what these nodes send reaches nobody; they hear
-	"link_cut":     {links, "", 0, 0, true},   // nothing passes between these nodes and the others
-	"link_split":   {nothing, "", 0, 0, true}, // the fleet's links are cut into parts, by node number
-	"link_liar":    {links, "", 0, 0, true},   // what these nodes tell is whole, and nonsense: a million flows everywhere
+	"crash":        {targetsHosts, "", 0, 0, false}, // the process dies and, after for, comes back cold
+	"silent":       {targetsHosts, "", 0, 0, true},  // the machine says nothing for so long, then comes back cold
+	"pause":        {targetsHosts, "", 0, 0, true},  // stands still for so long
+	"slow":         {targetsHosts, "times slower", 1, 1000, true},
+	"neighbour":    {targetsHosts, "share of the machine taken", 0.01, 0.99, true},
+	"errors":       {targetsHosts, "share of set-ups answered ERR", 0.001, 1, true},
+	"drain":        {targetsHosts, "", 0, 0, true}, // drains for so long, then leaves
+	"restart":      {targetsHosts, "", 0, 0, true}, // drains for so long, then comes back cold, one each step
+	"join":         {targetsHosts, "", 0, 0, false},
+	"node_kill":    {targetsNodes, "", 0, 0, true}, // down for so long
+	"node_stop":    {targetsNodes, "", 0, 0, true}, // SIGTERM, down for so long after its end
+	"node_reload":  {targetsNodes, "", 0, 0, false},
+	"node_starve":  {targetsNodes, "share of its core taken", 0.01, 0.999, true},
+	"cut":          {targetsZone, "", 0, 0, true}, // nothing passes between this zone and the others
+	"delay":        {targetsZone, "", 0, 0, true}, // of what passes between this zone and the others
+	"breaks":       {targetsZone, "share of its connections broken", 0.001, 1, false},
+	"store_slow":   {targetsNothing, "times slower", 1, 1000, true},
+	"discovery":    {targetsNothing, "", 0, 0, true}, // down for so long
+	"reconnect":    {targetsNothing, "share of clients that drop and come again", 0.001, 1, true},
+	"vanish":       {targetsNothing, "share of clients that vanish without a close and come again", 0.001, 1, true},
+	"relist":       {targetsHosts, "", 0, 0, true}, // each on, discovery tells of them again, for so long
+	"discovery_no": {targetsNothing, "share of calls refused", 0.001, 1, true},
+	"node_pause":   {targetsNodes, "", 0, 0, true},                                          // stopped for so long; then it goes on with what it believed
+	"node_twin":    {targetsNodes, "", 0, 0, true},                                          // a second process under the same name, for so long; it serves nobody
+	"node_clock":   {targetsNodes, "seconds that its clock jumps by", -86400, 86400, false}, // in virtual time only
+	"node_rate":    {targetsNodes, "times as fast that its clock runs", 0.5, 2, true},       // in virtual time only
+	"link_loss":    {targetsLinks, "share of datagrams lost", 0.001, 1, true},               // between these nodes and the others, both ways
+	"link_delay":   {targetsLinks, "share by which the delay varies", 0, 1, true},
+	"link_twice":   {targetsLinks, "share of datagrams that come twice", 0.001, 1, true},
+	"link_mixed":   {targetsLinks, "share of datagrams that are overtaken", 0.001, 1, true},
+	"link_bent":    {targetsLinks, "share of datagrams with a byte changed", 0.001, 1, true},
+	"link_again":   {targetsLinks, "share of datagrams sent again later, from what was seen before", 0.001, 1, true},
+	"link_mute":    {targetsLinks, "", 0, 0, true},   // what these nodes send reaches nobody; they hear
+	"link_cut":     {targetsLinks, "", 0, 0, true},   // nothing passes between these nodes and the others
+	"link_split":   {targetsNothing, "", 0, 0, true}, // the fleet's links are cut into parts, by node number
+	"link_liar":    {targetsLinks, "", 0, 0, true},   // what these nodes tell is whole, and nonsense: a million flows everywhere
 }
 
 // FaultKinds names them, in order.
@@ -366,5 +366,5 @@
 	for k := range faultKinds {
 		names = append(names, k)
 	}
-	return strings.Join(sorted(names), ", ")
+	return strings.Join(sortNames(names), ", ")
 }
--- a/rehearsal/scenario/scenario_test.go
+++ b/rehearsal/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const sound = `name = "sound"
+const validScript = `name = "sound"
 length = "10s"
 zones = ["a", "b"]
 [[hosts]]
@@ -60,12 +60,12 @@
 		{"rate = 2.0", "flows = \"nowhere.flows\"", "demand.flows: open"},
 		{"name = \"sound\"", "name = \"sound", "s.toml:1:"},
 	} {
-		_, err := Parse("s.toml", []byte(strings.Replace(sound, c.change, c.to, 1)))
+		_, err := Parse("s.toml", []byte(strings.Replace(validScript, c.change, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: got %v, want %q", c.to, err, c.want)
 		}
 	}
-	bad := strings.NewReplacer("rate = 2.0", "rate = -1.0", "count = 2", "count = 0").Replace(sound)
+	bad := strings.NewReplacer("rate = 2.0", "rate = -1.0", "count = 2", "count = 0").Replace(validScript)
 	if _, err := Parse("s.toml", []byte(bad)); err == nil || strings.Count(err.Error(), "\n") < 1 {
 		t.Errorf("not every fault is told: %v", err)
 	}
@@ -73,7 +73,7 @@
 
 func TestChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
-	if err := os.WriteFile(path, []byte(sound), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validScript), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, err := LoadWith(path, []string{`types.0.benefit=3.5`, `fleet.buffer="2s"`})
@@ -89,7 +89,7 @@
 
 func TestFlowsThereAndBack(t *testing.T) {
 	dir := t.TempDir()
-	s, err := Parse(filepath.Join(dir, "s.toml"), []byte(sound))
+	s, err := Parse(filepath.Join(dir, "s.toml"), []byte(validScript))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	if err := WriteFlows(&b, s, all); err != nil {
 		t.Fatal(err)
 	}
-	text := strings.Replace(sound, "rate = 2.0", "flows = \"x.flows\"", 1)
+	text := strings.Replace(validScript, "rate = 2.0", "flows = \"x.flows\"", 1)
 	write := func(flows string) (*Script, error) {
 		if err := os.WriteFile(filepath.Join(dir, "x.flows"), []byte(flows), 0o600); err != nil {
 			t.Fatal(err)
@@ -119,7 +119,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(sound))
+	f.Add([]byte(validScript))
 	f.Add([]byte("[[faults]]\nat=\"1s\"\n[[a.b]]\n[a.b.c]\nd=1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s, err := Parse("f.toml", text); err == nil && s == nil {
