--- /dev/null
+++ b/rehearsal/fleet/node_config.go
@@ -0,0 +1,104 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+)
+
+// Conf is what a node is told at its start, as the JSON text of its file.
+type Conf struct {
+	Name      string
+	Listen    string
+	Discovery string
+	Known     string // the list it had last, in discovery's form
+	Seed      uint64
+	Settings  string
+	JSON      string // all of it
+}
+
+// nodeConfig is what a node is told.
+func (w *World) nodeConfig(n *nodeState) Conf {
+	c := Conf{Name: n.name, Listen: n.name, Discovery: w.environment.Discovery(n.index, n.reloads%2),
+		Seed: w.seed*0x9e3779b97f4a7c15 + uint64(n.index)*1000003 + uint64(n.starts)}
+	if w.environment.Listen != nil {
+		c.Listen = w.environment.Listen(n.index)
+	}
+	var known []hostEntry
+	for _, e := range n.hostView {
+		if e.state == "ready" || e.state == "draining" {
+			known = append(known, e)
+		}
+	}
+	c.Known = w.listJSON(n.index, n.revision, known, true)
+	c.Settings = w.settingsJSON(n)
+	admission := w.script.Node.Admission
+	if w.limitsJSON() != "" {
+		admission.Rate, admission.Burst = 0, 0
+	}
+	c.JSON = fmt.Sprintf(`{"name":%q,%s"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"admission":{"per_address":%d,"rate":%g,"burst":%g,"reserve":%d},"holding":{"buffers":%d,"idle_ms":%d,"stalled_ms":%d},"known":%s,"settings":%s}`,
+		c.Name, w.adminJSON(n.index)+w.clusterJSON(n.index), c.Listen, c.Discovery, c.Seed>>1, w.script.Node.MemoryMB, w.script.Node.Sockets, admission.PerAddress, admission.Rate, admission.Burst, admission.Reserve,
+		w.script.Node.Holding.Buffers, w.script.Node.Holding.Idle/1000, w.script.Node.Holding.Stalled/1000,
+		c.Known, c.Settings)
+	return c
+}
+
+func (w *World) adminJSON(no int) string {
+	if w.environment.Admin == nil {
+		return ""
+	}
+	return fmt.Sprintf(`"admin":%q,`, w.environment.Admin(no))
+}
+
+// clusterJSON is the part of a node's file about its fleet, with the comma behind it; empty where it is off.
+func (w *World) clusterJSON(no int) string {
+	if !w.script.Cluster.On {
+		return ""
+	}
+	if w.script.Cluster.Alone || w.environment.Links == nil || len(w.nodes) < 2 {
+		return fmt.Sprintf(`"cluster":{"on":true%s},`, w.limitsJSON())
+	}
+	listen, others := w.environment.Links(no)
+	text, _ := json.Marshal(others)
+	return fmt.Sprintf(`"cluster":{"on":true,"listen":%q,"nodes":%s%s},`, listen, text, w.limitsJSON())
+}
+
+// limitsJSON is the limits of the fleet, with the comma before them; empty where there are none.
+func (w *World) limitsJSON() string {
+	var all []string
+	for _, l := range w.script.FleetLimits() {
+		all = append(all, fmt.Sprintf(`{"over":%q,"of":%q,"rate":%g,"burst":%g,"at_once":%d,"promise":%q}`, l.Over, l.Of, l.Rate, l.Burst, l.AtOnce, l.Promise))
+	}
+	if all == nil {
+		return ""
+	}
+	return `,"limits":[` + strings.Join(all, ",") + "]"
+}
+
+var effectNames = map[string]string{"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
+
+// settingsJSON are a node's, with the platform's names.
+func (w *World) settingsJSON(n *nodeState) string {
+	s := w.script
+	var types, messageAims []string
+	for _, t := range s.Types {
+		text := fmt.Sprintf(`{"Name":%q,"Benefit":%g,"Effect":%q,"SetupTargetMs":%g,"HardLimitMs":%g`, t.Name, t.Benefit,
+			effectNames[t.Effect], float64(t.SetupTarget)/1000, float64(t.ConnectTimeout)/1000)
+		if t.Effect == "referenced" {
+			text += fmt.Sprintf(`,"Group":%q,"WindowMs":%g`, t.Scope, float64(t.Window)/1000)
+		}
+		types = append(types, text+"}")
+		messageAims = append(messageAims, fmt.Sprintf("%g", float64(t.MessageTarget)/1000))
+	}
+	zones := make([]string, len(s.Zones))
+	for i, z := range s.Zones {
+		zones[i] = fmt.Sprintf("%q", z)
+	}
+	return fmt.Sprintf(`{"Balancers":%d,"Index":%d,"MyZone":%d,"Localities":[%s],"Discovery":"on_request",`+
+		`"Limits":{"MaxConnects":%d,"MaxRetryAfterMs":%g,"Probing":%t,"RetryAfter":%t,"DialTimeoutMs":%g},`+
+		`"Obligations":{"AskWithinMs":%d,"ColdFrom":%g,"ColdMs":%g,"FallMs":%g,"FallMultiple":%g},"ServiceTypes":[%s],"LoadReport":{"How":%q,"Names":["waiting","x0"]},`+
+		`"Specifics":{"Groups":%t,"Mode":"proxy","MessageAimMs":[%s],"TellsDelay":false}}`,
+		len(w.nodes), n.index, n.zone, strings.Join(zones, ","), s.Node.MaxConnects, float64(s.Node.MaxRetryAfter)/1000, s.Node.Probing,
+		s.Node.MaxRetryAfter > 0, float64(s.Node.DialTimeout)/1000, askDiscoveryWithin/1000, s.Fleet.ColdFrom, float64(s.Fleet.ColdTime)/1000, float64(s.Fleet.FallAfter)/1000, s.Fleet.FallMultiple,
+		strings.Join(types, ","), map[bool]string{false: "silent", true: "pull"}[s.Node.HostsReportLoad], s.Fleet.Groups > 0, strings.Join(messageAims, ","))
+}
--- a/rehearsal/fleet/world.go
+++ b/rehearsal/fleet/world.go
@@ -1,10 +1,8 @@
 package fleet
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 
 	"coursewinch/rehearsal/record"
 	"coursewinch/rehearsal/scenario"
@@ -21,37 +19,6 @@
 	Lead      int64                                           // for the nodes to start before the run; a whole number of tenths of a second
 }
 
-// Conf is what a node is told at its start, as the JSON text of its file.
-type Conf struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Known     string // the list it had last, in discovery's form
-	Seed      uint64
-	Settings  string
-	JSON      string // all of it
-}
-
-// nodeState is what the world knows of a node.
-type nodeState struct {
-	index         int
-	name          string
-	zone          int
-	starts        int // how often it has started
-	running       bool
-	listening     bool
-	stopping      bool
-	inRotation    bool // the front deals clients to it
-	conns         []*Conn
-	hostView      []hostEntry // of hosts, as it was told last
-	revision      int64
-	lastAskedAt   int64 // when it last asked discovery, or had a watch
-	reloads       int   // which address of discovery it has
-	starvedShares []float64
-	pauses        int
-	clients       []*client // whose client waits for an answer or has one here
-}
-
 // World is one rehearsal.
 type World struct {
 	script      *scenario.Script
@@ -170,17 +137,6 @@
 	return 0
 }
 
-func (w *World) makeNodes() {
-	for _, g := range w.script.Nodes {
-		for range g.Count {
-			index := len(w.nodes)
-			n := &nodeState{index: index, name: fmt.Sprintf("n-%d", index), zone: w.zoneIndex(g.Zone), hostView: make([]hostEntry, len(w.hosts))}
-			w.nodes = append(w.nodes, n)
-			w.nodesByZone[n.zone] = append(w.nodesByZone[n.zone], n)
-		}
-	}
-}
-
 // Begin starts the nodes and all that is planned.
 func (w *World) Begin() {
 	for _, n := range w.nodes {
@@ -258,236 +214,9 @@
 	return w.run
 }
 
-// Ready is that a node takes connections.
-func (w *World) Ready(no int) {
-	n := w.nodes[no]
-	if !n.running || n.listening {
-		return
-	}
-	n.listening = true
-	w.startHealthCheck(n)
-}
-
-// AllReady tells whether the front has taken in every node.
-func (w *World) AllReady() bool {
-	for _, n := range w.nodes {
-		if !n.inRotation {
-			return false
-		}
-	}
-	return true
-}
-
-// nodeConfig is what a node is told.
-func (w *World) nodeConfig(n *nodeState) Conf {
-	c := Conf{Name: n.name, Listen: n.name, Discovery: w.environment.Discovery(n.index, n.reloads%2),
-		Seed: w.seed*0x9e3779b97f4a7c15 + uint64(n.index)*1000003 + uint64(n.starts)}
-	if w.environment.Listen != nil {
-		c.Listen = w.environment.Listen(n.index)
-	}
-	var known []hostEntry
-	for _, e := range n.hostView {
-		if e.state == "ready" || e.state == "draining" {
-			known = append(known, e)
-		}
-	}
-	c.Known = w.listJSON(n.index, n.revision, known, true)
-	c.Settings = w.settingsJSON(n)
-	admission := w.script.Node.Admission
-	if w.limitsJSON() != "" {
-		admission.Rate, admission.Burst = 0, 0
-	}
-	c.JSON = fmt.Sprintf(`{"name":%q,%s"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"admission":{"per_address":%d,"rate":%g,"burst":%g,"reserve":%d},"holding":{"buffers":%d,"idle_ms":%d,"stalled_ms":%d},"known":%s,"settings":%s}`,
-		c.Name, w.adminJSON(n.index)+w.clusterJSON(n.index), c.Listen, c.Discovery, c.Seed>>1, w.script.Node.MemoryMB, w.script.Node.Sockets, admission.PerAddress, admission.Rate, admission.Burst, admission.Reserve,
-		w.script.Node.Holding.Buffers, w.script.Node.Holding.Idle/1000, w.script.Node.Holding.Stalled/1000,
-		c.Known, c.Settings)
-	return c
-}
-
-func (w *World) adminJSON(no int) string {
-	if w.environment.Admin == nil {
-		return ""
-	}
-	return fmt.Sprintf(`"admin":%q,`, w.environment.Admin(no))
-}
-
-// clusterJSON is the part of a node's file about its fleet, with the comma behind it; empty where it is off.
-func (w *World) clusterJSON(no int) string {
-	if !w.script.Cluster.On {
-		return ""
-	}
-	if w.script.Cluster.Alone || w.environment.Links == nil || len(w.nodes) < 2 {
-		return fmt.Sprintf(`"cluster":{"on":true%s},`, w.limitsJSON())
-	}
-	listen, others := w.environment.Links(no)
-	text, _ := json.Marshal(others)
-	return fmt.Sprintf(`"cluster":{"on":true,"listen":%q,"nodes":%s%s},`, listen, text, w.limitsJSON())
-}
-
-// limitsJSON is the limits of the fleet, with the comma before them; empty where there are none.
-func (w *World) limitsJSON() string {
-	var all []string
-	for _, l := range w.script.FleetLimits() {
-		all = append(all, fmt.Sprintf(`{"over":%q,"of":%q,"rate":%g,"burst":%g,"at_once":%d,"promise":%q}`, l.Over, l.Of, l.Rate, l.Burst, l.AtOnce, l.Promise))
-	}
-	if all == nil {
-		return ""
-	}
-	return `,"limits":[` + strings.Join(all, ",") + "]"
-}
-
-var effectNames = map[string]string{"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
-
-// settingsJSON are a node's, with the platform's names.
-func (w *World) settingsJSON(n *nodeState) string {
-	s := w.script
-	var types, messageAims []string
-	for _, t := range s.Types {
-		text := fmt.Sprintf(`{"Name":%q,"Benefit":%g,"Effect":%q,"SetupTargetMs":%g,"HardLimitMs":%g`, t.Name, t.Benefit,
-			effectNames[t.Effect], float64(t.SetupTarget)/1000, float64(t.ConnectTimeout)/1000)
-		if t.Effect == "referenced" {
-			text += fmt.Sprintf(`,"Group":%q,"WindowMs":%g`, t.Scope, float64(t.Window)/1000)
-		}
-		types = append(types, text+"}")
-		messageAims = append(messageAims, fmt.Sprintf("%g", float64(t.MessageTarget)/1000))
-	}
-	zones := make([]string, len(s.Zones))
-	for i, z := range s.Zones {
-		zones[i] = fmt.Sprintf("%q", z)
-	}
-	return fmt.Sprintf(`{"Balancers":%d,"Index":%d,"MyZone":%d,"Localities":[%s],"Discovery":"on_request",`+
-		`"Limits":{"MaxConnects":%d,"MaxRetryAfterMs":%g,"Probing":%t,"RetryAfter":%t,"DialTimeoutMs":%g},`+
-		`"Obligations":{"AskWithinMs":%d,"ColdFrom":%g,"ColdMs":%g,"FallMs":%g,"FallMultiple":%g},"ServiceTypes":[%s],"LoadReport":{"How":%q,"Names":["waiting","x0"]},`+
-		`"Specifics":{"Groups":%t,"Mode":"proxy","MessageAimMs":[%s],"TellsDelay":false}}`,
-		len(w.nodes), n.index, n.zone, strings.Join(zones, ","), s.Node.MaxConnects, float64(s.Node.MaxRetryAfter)/1000, s.Node.Probing,
-		s.Node.MaxRetryAfter > 0, float64(s.Node.DialTimeout)/1000, askDiscoveryWithin/1000, s.Fleet.ColdFrom, float64(s.Fleet.ColdTime)/1000, float64(s.Fleet.FallAfter)/1000, s.Fleet.FallMultiple,
-		strings.Join(types, ","), map[bool]string{false: "silent", true: "pull"}[s.Node.HostsReportLoad], s.Fleet.Groups > 0, strings.Join(messageAims, ","))
-}
-
-// startNode begins a new process of a node, with nothing but its last list.
-func (w *World) startNode(no int) {
-	n := w.nodes[no]
-	n.starts++
-	n.running, n.listening, n.stopping, n.lastAskedAt = true, false, false, w.now
-	if n.starts > 1 {
-		for _, e := range n.hostView {
-			if e.state != "" {
-				w.applyEntry(n, e, true)
-			}
-		}
-	}
-	w.player.Start(no, w.nodeConfig(n))
-}
-
-// nodeEnded is the end of a node's process: its connections break.
-func (w *World) nodeEnded(no int) {
-	n := w.nodes[no]
-	n.running, n.listening = false, false
-	conns := n.conns
-	n.conns = nil
-	for _, cl := range n.clients {
-		cl.nodeKilled()
-	}
-	for _, c := range conns {
-		w.closeNodeSide(c, true)
-		c.removed = true
-	}
-	w.after(w.script.FrontEnd.NoticeDelay.Us(), func() {
-		if !n.running {
-			n.inRotation = false
-		}
-	})
-}
-
-func (w *World) killNode(no int, down int64) {
-	n := w.nodes[no]
-	if n.running {
-		w.player.Kill(no)
-		w.nodeEnded(no)
-	}
-	starts := n.starts
-	w.after(down, func() {
-		if n.starts == starts && !n.running {
-			w.startNode(no)
-		}
-	})
-}
-
-// stopNode tells a node to end in order, kills it when its time is over, and starts it again.
-func (w *World) stopNode(no int, down int64) {
-	n := w.nodes[no]
-	if !n.running || n.stopping {
-		return
-	}
-	starts := n.starts
-	n.stopping = true
-	w.player.Stop(no)
-	w.after(300_000, func() { n.inRotation = n.inRotation && (n.starts != starts) }) // new clients go on coming for a while
-	longest := int64(0)
-	for _, t := range w.run.Types {
-		longest = max(longest, t.Timeout)
-	}
-	w.after(min(longest, 3*second)+700_000, func() {
-		if n.starts == starts {
-			w.killNode(no, down)
-		}
-	})
-}
-
 // callStore is a call to the service that set-ups need: one after another.
 func (w *World) callStore(then func()) {
 	wait := w.script.Store.CallTime.Us()
 	w.storeBusyUntil = max(w.storeBusyUntil, w.now) + int64(1e6/w.script.Store.CallRate*w.storeSlowdown)
 	w.At(w.storeBusyUntil+int64(float64(wait)*w.storeSlowdown), then)
 }
-
-// The front.
-
-// healthCheck is the front's connection to a node that may be taken in.
-type healthCheck struct {
-	world *World
-	node  *nodeState
-}
-
-func (w *World) startHealthCheck(n *nodeState) {
-	starts := n.starts
-	check := &healthCheck{w, n}
-	c := w.openToNode(check, n.index, clientAddress(0))
-	w.after(2*second, func() {
-		if n.starts == starts && n.listening && !n.inRotation {
-			w.closePeerSide(c, true)
-			w.startHealthCheck(n)
-		}
-	})
-}
-
-func (g *healthCheck) accepted(*Conn)     {}
-func (g *healthCheck) connected(c *Conn)  { g.world.sendToNode(c, "PING\r\n", nil) }
-func (g *healthCheck) closed(*Conn, bool) {}
-func (g *healthCheck) receiveLine(c *Conn, line []byte) {
-	if string(line) == "PONG" && !g.node.stopping {
-		g.node.inRotation = true
-		g.world.closePeerSide(c, false)
-	}
-}
-
-// pickNode picks a node for a client of a zone; nil where the front knows none.
-func (w *World) pickNode(zone int, random *rand.Rand) *nodeState {
-	var candidates []*nodeState
-	for _, n := range w.nodesByZone[zone] {
-		if n.inRotation {
-			candidates = append(candidates, n)
-		}
-	}
-	if len(candidates) == 0 {
-		for _, n := range w.nodes {
-			if n.inRotation {
-				candidates = append(candidates, n)
-			}
-		}
-	}
-	if len(candidates) == 0 {
-		return nil
-	}
-	return candidates[random.IntN(len(candidates))]
-}
