--- a/rehearsal/fleet/bad_clients.go
+++ b/rehearsal/fleet/bad_clients.go
@@ -8,16 +8,23 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// badClient is one that keeps no protocol.
+// badClient is a client that violates the protocol.
 type badClient struct {
 	world *World
 	kind  string
-	index int // in the record
+	index int // in the record's list of bad clients
 }
 
-func (w *World) scheduleBadClients(b scenario.BadClients) {
-	until := b.At.Us() + b.For.Us()
-	if b.For == 0 {
+// firstBadClient is the number from which on the addresses of bad clients are taken.
+const firstBadClient = 1 << 22
+
+// badClientAnswerTime is the time within which a node has to answer a bad client or close its connection.
+const badClientAnswerTime = 3 * second
+
+// scheduleBadClients opens connections of bad clients at random intervals, at the rate of the script.
+func (w *World) scheduleBadClients(group scenario.BadClients) {
+	until := group.At.Us() + group.For.Us()
+	if group.For == 0 {
 		until = w.run.Length
 	}
 	var next func()
@@ -26,20 +33,22 @@
 			return
 		}
 		zone := w.badClientRand.IntN(len(w.nodesByZone))
-		if b.Zone != "" {
-			zone = w.zoneIndex(b.Zone)
+		if group.Zone != "" {
+			zone = w.zoneIndex(group.Zone)
 		}
 		if n := w.pickNode(zone, w.badClientRand); n != nil {
-			w.run.Bad = append(w.run.Bad, record.BadClient{Kind: b.Kind, Node: n.index, At: w.now, Within: 3 * second})
-			w.openToNode(&badClient{w, b.Kind, len(w.run.Bad) - 1}, n.index, clientAddress(1<<22+uint64(len(w.run.Bad))))
+			w.run.Bad = append(w.run.Bad, record.BadClient{Kind: group.Kind, Node: n.index, At: w.now, Within: badClientAnswerTime})
+			w.openToNode(&badClient{w, group.Kind, len(w.run.Bad) - 1}, n.index, clientAddress(firstBadClient+uint64(len(w.run.Bad))))
 		}
-		w.after(int64(w.badClientRand.ExpFloat64()/b.Rate*1e6), next)
+		w.after(int64(w.badClientRand.ExpFloat64()/group.Rate*1e6), next)
 	}
 	next()
 }
 
+// accepted implements peer.
 func (b *badClient) accepted(*Conn) {}
 
+// connected implements peer: the client sends what its kind is about.
 func (b *badClient) connected(c *Conn) {
 	serviceType := b.world.script.Types[0].Name
 	text := map[string]string{
@@ -58,6 +67,7 @@
 	}
 }
 
+// receiveLine implements peer.
 func (b *badClient) receiveLine(c *Conn, line []byte) {
 	result := &b.world.run.Bad[b.index]
 	if strings.HasPrefix(string(line), "UP ") {
@@ -66,11 +76,13 @@
 	b.recordOutcome()
 }
 
+// closed implements peer.
 func (b *badClient) closed(c *Conn, _ bool) {
 	b.recordOutcome()
 	b.world.closePeerSide(c, false)
 }
 
+// recordOutcome records the first answer or the close. It is excused if the node does not run.
 func (b *badClient) recordOutcome() {
 	if result := &b.world.run.Bad[b.index]; result.AnsweredAt == 0 {
 		result.AnsweredAt = b.world.now
--- a/rehearsal/fleet/best.go
+++ b/rehearsal/fleet/best.go
@@ -6,59 +6,62 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// Best is the benefit a second that a fleet of warm, sound hosts serves at most when so many flows of each service type
-// want a connection and someone who knows everything deals them out: loads are those of the types, flows are whole and
-// stand for ever. It counts neither set-ups nor probes nor shared work of groups, so nothing that is played reaches it.
+// Best returns an upper bound of the benefit per second that the hosts of a script can serve when wanted[t] flows of each
+// service type t want a connection. It assumes that all hosts are warm and healthy and that flows are placed with complete
+// knowledge; a flow has the load of its type, is not divided and never ends. It ignores set-ups, probes and the shared work
+// of groups, so no run reaches it.
 func Best(s *scenario.Script, wanted []float64) float64 {
-	type place struct {
-		rate, cores float64 // work a second of a core; cores
+	type loadedHost struct {
+		rate, cores float64 // work per second of a core; number of cores
 		load        float64
-		held        []float64
+		flows       []float64 // by service type
 	}
-	var places []*place
+	var hosts []*loadedHost
 	for _, g := range s.Hosts {
 		for range g.Count {
-			places = append(places, &place{rate: coreWorkPerSecond * g.Speed, cores: g.Cores, held: make([]float64, len(s.Types))})
+			hosts = append(hosts, &loadedHost{rate: coreWorkPerSecond * g.Speed, cores: g.Cores, flows: make([]float64, len(s.Types))})
 		}
 	}
-	usual := coreWorkPerSecond / s.Fleet.PerCore
-	message := usual * float64(s.Clients.LineInterval) / 1e6 / messagesPerLine
-	worth := func(p *place, more int) (total float64) {
-		load, held := p.load, 0.0
-		if more >= 0 {
-			load += s.Types[more].Load * usual
+	// Work per second of a flow of load 1, and work of one of its messages.
+	unitRate := coreWorkPerSecond / s.Fleet.PerCore
+	messageWork := unitRate * float64(s.Clients.LineInterval) / 1e6 / messagesPerLine
+	// benefitRate returns the benefit per second of a host with one flow of type added, or as it is if added is -1.
+	benefitRate := func(h *loadedHost, added int) (total float64) {
+		load, held := h.load, 0.0
+		if added >= 0 {
+			load += s.Types[added].Load * unitRate
 		}
-		for t, k := range s.Types {
-			if held = p.held[t]; t == more {
+		for t, serviceType := range s.Types {
+			if held = h.flows[t]; t == added {
 				held++
 			}
 			if held > 0 {
-				free := 1 - min(load/(p.rate*p.cores), 0.999)
-				total += held * k.Benefit * (1 - math.Exp(-float64(k.MessageTarget.Us())/1e6*free*p.rate/message))
+				free := 1 - min(load/(h.rate*h.cores), maxMessageLoad)
+				total += held * serviceType.Benefit * (1 - math.Exp(-float64(serviceType.MessageTarget.Us())/1e6*free*h.rate/messageWork))
 			}
 		}
 		return total
 	}
-	left, total := append([]float64(nil), wanted...), 0.0
-	for {
-		var at *place
-		kind, most := -1, 0.0
-		for t, k := range s.Types {
-			if left[t] < 1 {
+	remaining, total := append([]float64(nil), wanted...), 0.0
+	for { // place the flow with the highest gain per load
+		var bestHost *loadedHost
+		bestType, bestGain := -1, 0.0
+		for t, serviceType := range s.Types {
+			if remaining[t] < 1 {
 				continue
 			}
-			for _, p := range places {
-				if gain := (worth(p, t) - worth(p, -1)) / k.Load; gain > most {
-					at, kind, most = p, t, gain
+			for _, h := range hosts {
+				if gain := (benefitRate(h, t) - benefitRate(h, -1)) / serviceType.Load; gain > bestGain {
+					bestHost, bestType, bestGain = h, t, gain
 				}
 			}
 		}
-		if at == nil {
+		if bestHost == nil {
 			return total
 		}
-		total += most * s.Types[kind].Load
-		at.load += s.Types[kind].Load * usual
-		at.held[kind]++
-		left[kind]--
+		total += bestGain * s.Types[bestType].Load
+		bestHost.load += s.Types[bestType].Load * unitRate
+		bestHost.flows[bestType]++
+		remaining[bestType]--
 	}
 }
--- a/rehearsal/fleet/client.go
+++ b/rehearsal/fleet/client.go
@@ -12,55 +12,63 @@
 type clientState uint8
 
 const (
-	clientIdle clientState = iota
-	clientAsking
-	clientEstablished
-	clientDone
+	clientIdle        clientState = iota // without a connection
+	clientAsking                         // waits for the answer to an attempt
+	clientEstablished                    // has an established flow
+	clientDone                           // wants no connection any more
 )
 
-// client is one client that wants a connection from start to end, whatever breaks meanwhile.
+// client is one client that wants a connection from startedAt to endsAt. If its connection breaks it connects again: each
+// attempt is a flow of its own.
 type client struct {
 	world       *World
 	number      uint64
 	address     netip.Addr
-	eventRand   *rand.Rand // for what befalls it
-	profileRand *rand.Rand // for what it is
-	serviceType int
+	eventRand   *rand.Rand // for its attempts: nodes, delays, set-ups
+	profileRand *rand.Rand // for its properties, which do not depend on what happens to it
+	serviceType int        // index in the script
 	zone        int
 	group       string
 	key         string
-	baseLoad    float64 // its load, about which it changes
+	baseLoad    float64 // load around which its load varies; -1 once it wants no connection any more
 	load        float64
 	startedAt   int64
 	endsAt      int64
-	endedByHost bool // its host ends it
-	looping     bool
-	initialHost *host // that held its flow before the run; until its first answer
-	fromCapture bool  // its load changes as a capture has it
-	bulkWindow  int   // of a bulk client
+	endedByHost bool  // its host closes its flow at endsAt
+	looping     bool  // disconnects as soon as it is established, and connects again
+	initialHost *host // host that held its flow before the run; nil after its first answer
+	fromCapture bool  // its load changes as recorded in a capture
+	bulkWindow  int   // bytes in flight of a bulk client; 0 for others
 
 	state           clientState
-	failures        int // in a row without success
-	retryRounds     int // of tries used up in a row
-	returning       bool
-	retrying        bool
-	flow            *record.Flow
+	failures        int          // failed attempts in a row
+	retryRounds     int          // rounds in a row in which all retries failed
+	returning       bool         // its earlier flow broke or was moved
+	retrying        bool         // its last attempt failed
+	flow            *record.Flow // of the last attempt
 	conn            *Conn
-	hostConn        *hostConn
-	host            *host // where hostCn is
-	countedAt       *host // where it is counted as held
+	hostConn        *hostConn // the host's side of its flow
+	host            *host     // host of hostConn
+	countedAt       *host     // host that counts it in clientsByType
 	node            *nodeState
-	closingLine     string // the last word that came
-	generation      int    // of what waits for this try
-	unansweredSince int64  // the first line that nothing came back for
-	silenceRecorded bool   // said so already
-	upSent          bool   // its node has sent it UP
-	pendingToHost   pendingBytes
-	pendingToClient pendingBytes
-	hostEndAt       int64 // when the node heard of the host's end
+	closingLine     string       // MOVE or BYE, once received
+	generation      int          // invalidates scheduled actions of an attempt when it changes
+	unansweredSince int64        // when it sent the first line that has not been answered; 0: none
+	silenceRecorded bool         // that its lines are not answered has been recorded
+	upSent          bool         // its node has sent it UP
+	pendingToHost   pendingBytes // what its node has to forward to the host
+	pendingToClient pendingBytes // what its node has to forward to the client
+	hostEndAt       int64        // when its node was notified that the host had closed; 0: not yet
 }
 
-// setLoad sets the client's load, wherever it stands.
+const (
+	maxRoundWait   = 8 * second        // longest wait between two rounds of attempts
+	bulkLineBytes  = 128               // length of a line of a bulk client
+	maxEchoDelay   = 7*second + 50_000 // in which a line has to be answered, besides four intervals between lines
+	loopRetryPause = 1000              // microseconds until a looping client repeats a failed attempt
+)
+
+// setLoad changes the client's load, also at the host that holds its flow.
 func (cl *client) setLoad(load float64) {
 	if cl.state == clientDone {
 		return
@@ -71,6 +79,7 @@
 	}
 }
 
+// start adds the client to the world and makes its first attempt.
 func (cl *client) start() {
 	w := cl.world
 	cl.load = cl.baseLoad
@@ -86,7 +95,7 @@
 	cl.attempt()
 }
 
-// varyLoad changes the load now and then, whether or not the client has its connection.
+// varyLoad changes the load at random intervals, whether or not the client is connected.
 func (cl *client) varyLoad() {
 	if cl.world.script.Fleet.LoadSwing == 0 {
 		return
@@ -105,13 +114,13 @@
 	})
 }
 
-// finish is the end of what the client wanted.
+// finish is called at endsAt, from when on the client wants no connection.
 func (cl *client) finish() {
 	if cl.state == clientDone {
 		return
 	}
 	if cl.state == clientEstablished && cl.endedByHost && cl.hostConn != nil && cl.hostConn.hosted != nil {
-		cl.world.after(second, cl.finish) // its host says BYE
+		cl.world.after(second, cl.finish) // its host sends BYE
 		return
 	}
 	cl.withdrawDemand()
@@ -119,6 +128,7 @@
 	cl.state = clientDone
 }
 
+// withdrawDemand removes the client from the clients that want a connection.
 func (cl *client) withdrawDemand() {
 	if !cl.looping && cl.baseLoad >= 0 {
 		cl.world.demandByType[cl.serviceType]--
@@ -126,7 +136,7 @@
 	}
 }
 
-// disconnect ends the client's connection.
+// disconnect closes the client's connection.
 func (cl *client) disconnect() {
 	cl.generation++
 	if cl.conn != nil {
@@ -138,7 +148,7 @@
 	cl.clearConnection()
 }
 
-// clearConnection forgets the connection.
+// clearConnection resets all state of the connection.
 func (cl *client) clearConnection() {
 	if cl.countedAt != nil {
 		cl.countedAt.clientsByType[cl.serviceType]--
@@ -160,14 +170,15 @@
 	}
 }
 
-// closeRecord writes down how a run found a client at its end.
+// closeRecord records, at the end of a run, that the client is still connected though its host closed the flow too long
+// ago.
 func (cl *client) closeRecord() {
 	if cl.state == clientEstablished && cl.hostEndAt > 0 && cl.world.now-cl.hostEndAt > maxHoldTime {
 		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Unended, Host: -1, Value: cl.world.now - cl.hostEndAt})
 	}
 }
 
-// attempt makes one try.
+// attempt makes one attempt to get a connection: it picks a node and opens a connection to it.
 func (cl *client) attempt() {
 	w := cl.world
 	if cl.state == clientDone || w.now > w.run.Length || w.now >= cl.endsAt {
@@ -194,14 +205,14 @@
 	cl.conn.clientFlow = f
 	cl.generation++
 	generation := cl.generation
-	w.after(f.Timeout, func() { // also when not even the connection came up
+	w.after(f.Timeout, func() { // for the case that the connection is not established
 		if cl.generation == generation && cl.state == clientAsking && cl.flow.Find(record.Asked) == nil {
 			cl.timeOut()
 		}
 	})
 }
 
-// mixID makes ids that tell nothing of their order.
+// mixID returns an id that does not reveal the order of ids.
 func mixID(seed, n uint64) uint64 {
 	x := seed*0x9e3779b97f4a7c15 + n
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -209,9 +220,10 @@
 	return x ^ x>>31
 }
 
+// accepted implements peer.
 func (cl *client) accepted(*Conn) {}
 
-// connected is that the connection stands: the client says what it wants.
+// connected implements peer: the client sends its OPEN line.
 func (cl *client) connected(c *Conn) {
 	w, f := cl.world, cl.flow
 	var b strings.Builder
@@ -239,44 +251,44 @@
 	})
 }
 
-// timeOut is that no answer came in the client's time.
+// timeOut is called when no answer has arrived within the connect timeout.
 func (cl *client) timeOut() {
 	cl.disconnect()
 	cl.attemptFailed(0)
 }
 
-// attemptFailed lets the client try again, or not. It was told to wait so many microseconds; under 0 it was told nothing.
+// attemptFailed schedules the next attempt, if there is one. retryAfter is the wait that the answer asked for, in
+// microseconds; it is below 0 if there was no such answer.
 func (cl *client) attemptFailed(retryAfter int64) {
-	c := cl.world.script.Clients
+	settings := cl.world.script.Clients
 	cl.failures++
 	cl.retrying = true
 	if cl.looping {
-		cl.world.after(1000, cl.attempt)
+		cl.world.after(loopRetryPause, cl.attempt)
 		return
 	}
-	if c.RetryWait == "none" || cl.failures > c.Retries {
-		if !c.GivesUp {
+	if settings.RetryWait == "none" || cl.failures > settings.Retries {
+		if !settings.GivesUp {
 			cl.scheduleNextRound()
 		}
 		return
 	}
 	wait := int64(0)
-	switch c.RetryWait {
+	switch settings.RetryWait {
 	case "fixed":
-		wait = c.RetryPause.Us()
+		wait = settings.RetryPause.Us()
 	case "exponential":
-		wait = c.RetryPause.Us() << min(cl.failures-1, 10)
+		wait = settings.RetryPause.Us() << min(cl.failures-1, 10)
 		wait = wait/2 + cl.eventRand.Int64N(wait/2+1)
 	}
-	if retryAfter > 0 && cl.eventRand.Float64() < c.HonourShare {
+	if retryAfter > 0 && cl.eventRand.Float64() < settings.HonourShare {
 		wait = max(wait, retryAfter)
 	}
 	cl.world.after(max(wait, 1), cl.attempt)
 }
 
-const maxRoundWait = 8 * second
-
-// scheduleNextRound lets a client come again whose tries are used up, after ever longer waits.
+// scheduleNextRound schedules another round of attempts for a client whose retries are used up. The wait doubles with each
+// round, up to maxRoundWait.
 func (cl *client) scheduleNextRound() {
 	wait := min(cl.world.script.Clients.ReturnAfterBreak[1].Us()<<min(cl.retryRounds, 10), maxRoundWait)
 	cl.retryRounds++
@@ -284,12 +296,14 @@
 	cl.world.after(wait/2+cl.eventRand.Int64N(wait/2+1), cl.attempt)
 }
 
-// scheduleReturn lets a client come again whose connection broke or was moved.
-func (cl *client) scheduleReturn(within [2]int64) {
+// scheduleReturn lets a client connect again after its connection broke or was moved. delay holds the shortest and the
+// longest delay, in microseconds.
+func (cl *client) scheduleReturn(delay [2]int64) {
 	cl.returning, cl.retrying, cl.failures, cl.retryRounds = true, false, 0, 0
-	cl.world.after(within[0]+cl.eventRand.Int64N(within[1]-within[0]+1), cl.attempt)
+	cl.world.after(delay[0]+cl.eventRand.Int64N(delay[1]-delay[0]+1), cl.attempt)
 }
 
+// receiveLine implements peer.
 func (cl *client) receiveLine(c *Conn, line []byte) {
 	if c != cl.conn {
 		return
@@ -302,7 +316,7 @@
 	}
 }
 
-// receiveAnswer takes the one final answer.
+// receiveAnswer handles the final answer to an attempt.
 func (cl *client) receiveAnswer(text string) {
 	w, f := cl.world, cl.flow
 	f.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: text})
@@ -348,22 +362,21 @@
 	}
 }
 
-const bulkLineBytes = 128
-
-// sendBulk sends so many bytes of a bulk client.
-func (cl *client) sendBulk(bytes int) {
+// sendBulk sends about count bytes of a bulk client in lines.
+func (cl *client) sendBulk(count int) {
 	line := strings.Repeat("x", bulkLineBytes-2) + "\r\n"
-	cl.send(strings.Repeat(line, max(bytes/bulkLineBytes, 1)))
+	cl.send(strings.Repeat(line, max(count/bulkLineBytes, 1)))
 }
 
-// scheduleNextLine sends a line now and then, and sees whether they come back.
+// scheduleNextLine schedules the next line of an established client, after about the script's clients.line_every. If no
+// line has been answered for too long, that is recorded.
 func (cl *client) scheduleNextLine(generation int) {
-	every := cl.world.script.Clients.LineInterval.Us()
-	cl.world.after(every*3/4+cl.eventRand.Int64N(every/2+1), func() {
+	interval := cl.world.script.Clients.LineInterval.Us()
+	cl.world.after(interval*3/4+cl.eventRand.Int64N(interval/2+1), func() {
 		if cl.generation != generation || cl.state != clientEstablished {
 			return
 		}
-		if cl.unansweredSince > 0 && cl.world.now-cl.unansweredSince > 7*second+50_000+4*every && !cl.silenceRecorded {
+		if cl.unansweredSince > 0 && cl.world.now-cl.unansweredSince > maxEchoDelay+4*interval && !cl.silenceRecorded {
 			cl.silenceRecorded = true
 			cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Unended, Host: -1, Text: "silent", Value: cl.world.now - cl.unansweredSince})
 		}
@@ -375,7 +388,7 @@
 	})
 }
 
-// send is bytes of an established client; the node owes them to the host.
+// send sends text of an established client, which the node has to forward to the host.
 func (cl *client) send(text string) {
 	flow := cl.flow
 	cl.world.sendToNode(cl.conn, text, func() {
@@ -385,6 +398,7 @@
 	})
 }
 
+// receiveHostLine handles a line of the host of an established flow.
 func (cl *client) receiveHostLine(text string) {
 	switch {
 	case text == "MOVE", text == "BYE":
@@ -399,17 +413,17 @@
 	}
 }
 
-// receiveBulk takes many lines of a bulk client at once, and sends as much again.
-func (cl *client) receiveBulk(c *Conn, b []byte) bool {
-	if c != cl.conn || cl.state != clientEstablished || cl.bulkWindow == 0 || b[0] != 'x' {
+// receiveBulk implements bulkPeer: a bulk client receives many lines at once and sends as many bytes again.
+func (cl *client) receiveBulk(c *Conn, data []byte) bool {
+	if c != cl.conn || cl.state != clientEstablished || cl.bulkWindow == 0 || data[0] != 'x' {
 		return false
 	}
 	cl.unansweredSince = 0
-	cl.sendBulk(len(b))
+	cl.sendBulk(len(data))
 	return true
 }
 
-// closed is that the node's side is gone.
+// closed implements peer.
 func (cl *client) closed(c *Conn, broken bool) {
 	if c != cl.conn {
 		return
@@ -442,6 +456,7 @@
 	}
 }
 
+// nodeKilled records that the node of the client's flow was killed.
 func (cl *client) nodeKilled() {
 	if cl.flow != nil {
 		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.NodeKilled, Host: -1})
--- a/rehearsal/fleet/conn.go
+++ b/rehearsal/fleet/conn.go
@@ -7,95 +7,113 @@
 	"coursewinch/rehearsal/record"
 )
 
-// NodePlayer is what plays the nodes. All that reaches a node goes through it; what a node does comes back as calls on
-// the World: Dialed, Wrote, Shut, Closed, Broke, Exited.
+// NodePlayer runs the nodes, in virtual time or on sockets. Everything that reaches a node goes through it, and it calls
+// the methods of World for what a node does. Nodes and hosts are given by index.
 type NodePlayer interface {
-	Start(no int, conf Conf)
-	Kill(no int)
-	Stop(no int)                            // told to end in order
-	Reload(no int, conf Conf)               // told to read its file again
-	Starve(no int, share float64)           // so much of its core is taken by others
-	Arrive(c *Conn) bool                    // a client's connection has come to its listener; false: its queue is full
-	Up(c *Conn)                             // a connection that it asked for is up
-	Refused(c *Conn)                        // or will not come
-	Bytes(c *Conn, p []byte)                // have come
-	End(c *Conn)                            // the other side sends no more
-	Broken(c *Conn)                         // or is gone
-	Datagram(no, from int, p []byte)        // of another node has come
-	Pause(no int, on bool)                  // its process is stopped, or goes on
-	Twin(no int, conf Conf, on bool)        // a second process under its name starts, or is killed
-	Clock(no int, jump int64, rate float64) // its clock jumps by so many microseconds and goes so many times as fast from now on
-	Listening(host int, listening bool)     // whether anything takes connections there
+	// Start starts a new process of a node.
+	Start(node int, conf Conf)
+	// Kill ends the process of a node at once.
+	Kill(node int)
+	// Stop asks the process of a node to terminate gracefully.
+	Stop(node int)
+	// Reload lets a node read its configuration file again.
+	Reload(node int, conf Conf)
+	// Starve lets other programs use a share of the node's core.
+	Starve(node int, share float64)
+	// Arrive brings a client's connection to the node's listener. It returns false if the accept queue is full.
+	Arrive(c *Conn) bool
+	// Up reports that a connection opened by the node is established.
+	Up(c *Conn)
+	// Refused reports that a connection opened by the node was refused.
+	Refused(c *Conn)
+	// Bytes brings data to the node.
+	Bytes(c *Conn, data []byte)
+	// End reports that the other side sends no more.
+	End(c *Conn)
+	// Broken reports that the connection was reset.
+	Broken(c *Conn)
+	// Datagram brings a datagram from another node.
+	Datagram(node, from int, payload []byte)
+	// Pause suspends the process of a node or lets it continue.
+	Pause(node int, on bool)
+	// Twin starts a second process under the node's name, or kills it.
+	Twin(node int, conf Conf, on bool)
+	// Clock lets the node's clock jump by some microseconds and run at a multiple of the normal rate from now on.
+	Clock(node int, jump int64, rate float64)
+	// Listening reports whether a host accepts connections.
+	Listening(host int, listening bool)
 }
 
-// peer is what stands at the other end of a node's connection.
+// peer is the other end of a node's connection: a host, discovery, a client or a health check.
 type peer interface {
-	accepted(c *Conn)  // a node's connection has come; false from listening() kept it away
-	connected(c *Conn) // a connection to a node is up
-	receiveLine(c *Conn, line []byte)
-	closed(c *Conn, broken bool)
+	accepted(c *Conn)                 // a connection opened by a node has arrived
+	connected(c *Conn)                // a connection opened by the peer is established
+	receiveLine(c *Conn, line []byte) // a line has arrived, given without its line end
+	closed(c *Conn, broken bool)      // the node has closed or reset the connection
 }
 
-// bulkPeer is a peer that may take many lines at once; it tells whether it did.
+// bulkPeer is a peer that may receive many lines at once.
 type bulkPeer interface {
-	receiveBulk(c *Conn, p []byte) bool
+	// receiveBulk returns false if the lines are to be received one by one instead.
+	receiveBulk(c *Conn, data []byte) bool
 }
 
-// Conn is one connection between a node and something else.
+// Conn is one connection between a node and a peer.
 type Conn struct {
-	Node       int
-	Host       int // it leads to, -1 for others
-	Addr       string
-	FromClient bool           // a client's, or the front's
-	From       netip.AddrPort // a client's address
-	Ref        any            // the Nodes' own
+	Node       int            // index of the node
+	Host       int            // index of the host that it leads to; -1 for other peers
+	Addr       string         // address that the node has dialed; empty if the peer has opened the connection
+	FromClient bool           // opened by a client or by the front-end load balancer
+	From       netip.AddrPort // address of the client
+	Ref        any            // for use by the NodePlayer
 
-	flow        *record.Flow // whose connect it is
-	client      *client
-	attempt     int
-	nodeSent    bool // the node has sent something
-	heldUntilUp []func()
-	clientFlow  *record.Flow // whose client's it is
-	upSent      bool         // the node has sent it UP
-	finalSent   bool         // the node has refused or failed it here
+	flow        *record.Flow // flow of the connect that it carries, once the node has sent the line
+	client      *client      // client of that flow
+	attempt     int          // number of the connect within the flow
+	nodeSent    bool         // the node has sent something
+	heldUntilUp []func()     // what the node has sent before the connection was established
+	clientFlow  *record.Flow // flow of the client that has opened it
+	upSent      bool         // the node has sent the client UP
+	finalSent   bool         // the node has sent the client a final answer other than UP
 
-	nodeStarts  int // of the node, counted from its first start
+	nodeStarts  int // number of starts of the node at the time it was opened: identifies the process
 	peer        peer
-	peerState   any // the peer's own
+	peerState   any // for use by the peer
 	path        path
 	toNode      direction
 	toPeer      direction
-	partialLine []byte // come to the peer, and no whole line yet
-	isUp        bool
-	peerDone    bool // the peer sends no more, or is gone
-	nodeDone    bool
-	removed     bool // neither side hears more of it
+	partialLine []byte // received by the peer without a line end so far
+	isUp        bool   // established
+	peerDone    bool   // the peer sends no more or is gone
+	nodeDone    bool   // the node sends no more or is gone
+	removed     bool   // neither side is notified of anything more
 }
 
 // direction is one direction of a connection.
 type direction struct {
-	lastArrival int64 // when what was sent last comes
-	used        bool
+	lastArrival int64 // when what was sent last arrives
+	used        bool  // something has been sent
 	waiting     []func()
-	blocked     bool // for the end of a cut
+	blocked     bool // waits for the end of a cut
 }
 
-// isAlive tells whether the node of a connection still is the process that it was.
+// isAlive reports whether the connection exists and its node is still the process that it belongs to.
 func (w *World) isAlive(c *Conn) bool {
 	n := w.nodes[c.Node]
 	return !c.removed && n.running && n.starts == c.nodeStarts
 }
 
-// openToNode is a peer's connection to a node. It hears up, or ended.
+// openToNode opens a connection from a peer to a node. The peer is notified through connected or closed.
 func (w *World) openToNode(p peer, node int, address netip.Addr) *Conn {
 	c := &Conn{Node: node, Host: -1, FromClient: true, peer: p, From: netip.AddrPortFrom(address, 0), path: path{node, noZone}, nodeStarts: w.nodes[node].starts}
 	w.requestConnection(c, p)
 	return c
 }
 
-const connectRetryInterval = second // after which a system asks again for a connection that was dropped
+// connectRetryInterval is the time after which the operating system repeats a connection request that was dropped.
+const connectRetryInterval = second
 
-// requestConnection asks for a connection.
+// requestConnection sends the connection request of a peer to its node, and repeats it while the accept queue is full.
 func (w *World) requestConnection(c *Conn, p peer) {
 	node := c.Node
 	w.transmit(c, &c.toNode, func() {
@@ -122,7 +140,7 @@
 	})
 }
 
-// sendToNode sends a peer's bytes to the node; told is called when they have come.
+// sendToNode sends data from a peer to the node. delivered, which may be nil, is called when the node has received it.
 func (w *World) sendToNode(c *Conn, text string, delivered func()) {
 	if c.removed || c.peerDone {
 		return
@@ -137,7 +155,7 @@
 	})
 }
 
-// closePeerSide ends a peer's side: it sends no more and hears no more.
+// closePeerSide closes a peer's side of a connection, or resets it: the peer neither sends nor receives any more.
 func (w *World) closePeerSide(c *Conn, broken bool) {
 	if c.peerDone {
 		return
@@ -157,7 +175,7 @@
 	})
 }
 
-// notifyClosed tells the peer that the node's side is gone.
+// notifyClosed notifies the peer that the node has closed or reset the connection.
 func (w *World) notifyClosed(c *Conn, broken bool) {
 	if c.peerDone {
 		return
@@ -166,7 +184,7 @@
 	c.peer.closed(c, broken)
 }
 
-// removeConn takes a connection out of its node.
+// removeConn removes a connection from its node.
 func (w *World) removeConn(c *Conn) {
 	if c.removed {
 		return
@@ -186,9 +204,8 @@
 	}
 }
 
-// What nodes do.
-
-// Dialed is a connection that a node opens; it hears Up or Refused, or nothing at all.
+// Dialed opens a connection from a node to an address. The player is notified when the connection is established or
+// refused; a silent host does not answer at all.
 func (w *World) Dialed(node int, addr string, ref any) *Conn {
 	n := w.nodes[node]
 	c := &Conn{Node: node, Host: -1, Addr: addr, Ref: ref, nodeStarts: n.starts}
@@ -198,7 +215,7 @@
 	case isHost:
 		c.Host, c.peer, c.path = h.index, h, path{node, h.zone}
 	default:
-		c.peer, c.path, n.lastAskedAt = w.discovery, path{node, n.zone}, w.now // it asks, whatever comes of it
+		c.peer, c.path, n.lastAskedAt = w.discovery, path{node, n.zone}, w.now // counts as a call to discovery even if it fails
 	}
 	w.transmit(c, &c.toPeer, func() {
 		if !w.isAlive(c) || c.nodeDone {
@@ -206,7 +223,7 @@
 		}
 		switch {
 		case isHost && h.isSilent(), !isHost && !w.discovery.isListening(addr) && addr == "":
-			return // nothing comes back
+			return // no answer
 		case isHost && !h.acceptsConnections(), !isHost && !w.discovery.isListening(addr):
 			w.transmit(c, &c.toNode, func() {
 				if w.isAlive(c) && !c.nodeDone {
@@ -234,17 +251,17 @@
 	return c
 }
 
-// Wrote is bytes that a node has sent. They are the World's from then on.
-func (w *World) Wrote(c *Conn, p []byte) {
-	if c.removed || c.nodeDone || len(p) == 0 {
+// Wrote sends data from a node. The World owns the data from then on.
+func (w *World) Wrote(c *Conn, data []byte) {
+	if c.removed || c.nodeDone || len(data) == 0 {
 		return
 	}
-	w.observeNodeData(c, p)
-	w.transmitFromNode(c, func() { w.receiveAtPeer(c, p) })
+	w.observeNodeData(c, data)
+	w.transmitFromNode(c, func() { w.receiveAtPeer(c, data) })
 }
 
-// transmitFromNode carries what a node sends. On sockets a connection is up before the emulated network has brought it there and
-// back; what is sent meanwhile waits for that.
+// transmitFromNode transmits what a node sends. On sockets the node sees a connection as established before its emulated
+// round trip has ended; what the node sends in the meantime waits for that.
 func (w *World) transmitFromNode(c *Conn, action func()) {
 	if !c.FromClient && !c.isUp {
 		c.heldUntilUp = append(c.heldUntilUp, action)
@@ -253,8 +270,8 @@
 	w.transmit(c, &c.toPeer, action)
 }
 
-// receiveAtPeer splits what has come to a peer into lines.
-func (w *World) receiveAtPeer(c *Conn, p []byte) {
+// receiveAtPeer splits the data that has arrived at a peer into lines. Large amounts are offered in one piece first.
+func (w *World) receiveAtPeer(c *Conn, data []byte) {
 	if c.peerDone {
 		return
 	}
@@ -262,41 +279,43 @@
 		return
 	}
 	if len(c.partialLine) > 0 {
-		p = append(c.partialLine, p...)
+		data = append(c.partialLine, data...)
 		c.partialLine = nil
 	}
-	if i := bytes.LastIndexByte(p, '\n') + 1; i > bulkLineBytes {
-		if b, ok := c.peer.(bulkPeer); ok && b.receiveBulk(c, p[:i]) {
-			p = p[i:]
+	if i := bytes.LastIndexByte(data, '\n') + 1; i > bulkLineBytes {
+		if b, ok := c.peer.(bulkPeer); ok && b.receiveBulk(c, data[:i]) {
+			data = data[i:]
 		}
 	}
 	for !c.peerDone {
-		i := bytes.IndexByte(p, '\n')
+		i := bytes.IndexByte(data, '\n')
 		if i < 0 {
 			break
 		}
-		c.peer.receiveLine(c, bytes.TrimSuffix(p[:i], []byte("\r")))
-		p = p[i+1:]
+		c.peer.receiveLine(c, bytes.TrimSuffix(data[:i], []byte("\r")))
+		data = data[i+1:]
 	}
-	if len(p) > 0 {
-		c.partialLine = append([]byte(nil), p...)
+	if len(data) > 0 {
+		c.partialLine = append([]byte(nil), data...)
 	}
 }
 
-// Shut is that a node sends no more on a connection; it still reads.
+// Shut closes the sending direction of a connection on behalf of a node, which may still read.
 func (w *World) Shut(c *Conn) { w.closeNodeSide(c, false) }
 
-// Closed is that a node has closed a connection; Broke that it broke it.
+// Closed closes a connection on behalf of a node.
 func (w *World) Closed(c *Conn) {
 	w.closeNodeSide(c, false)
 	w.removeConn(c)
 }
 
+// Broke resets a connection on behalf of a node.
 func (w *World) Broke(c *Conn) {
 	w.closeNodeSide(c, true)
 	w.removeConn(c)
 }
 
+// closeNodeSide closes or resets the node's side of a connection.
 func (w *World) closeNodeSide(c *Conn, broken bool) {
 	if c.removed || c.nodeDone {
 		return
@@ -304,14 +323,14 @@
 	w.observeNodeClose(c)
 	c.nodeDone = true
 	if !c.FromClient && !c.isUp && len(c.heldUntilUp) == 0 {
-		c.isUp = true // it gave up before it was up
+		c.isUp = true // the node has closed it before it was established
 	}
 	w.transmitFromNode(c, func() {
 		if c.peerDone {
 			return
 		}
 		w.notifyClosed(c, broken)
-		w.transmit(c, &c.toNode, func() { // what has no more to say ends its side as well
+		w.transmit(c, &c.toNode, func() { // the peer closes its side as well
 			if w.isAlive(c) {
 				w.player.End(c)
 			}
@@ -319,14 +338,15 @@
 	})
 }
 
-// Exited is that a node's process has ended by itself.
-func (w *World) Exited(no int, why string) {
-	n := w.nodes[no]
+// Exited reports that the process of a node has ended by itself. The reason is noted in the record unless the node was
+// asked to stop.
+func (w *World) Exited(node int, reason string) {
+	n := w.nodes[node]
 	if !n.running {
 		return
 	}
 	if !n.stopping {
-		w.run.Notes = append(w.run.Notes, "node "+n.name+" ended: "+why)
+		w.run.Notes = append(w.run.Notes, "node "+n.name+" ended: "+reason)
 	}
-	w.nodeEnded(no)
+	w.nodeEnded(node)
 }
--- a/rehearsal/fleet/demand.go
+++ b/rehearsal/fleet/demand.go
@@ -9,46 +9,47 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// scheduleDemand sets all clients up, one after another as they come.
+// scheduleDemand schedules the arrival of all clients.
 func (w *World) scheduleDemand() {
-	d := w.script.Demand
-	if d.Flows != "" {
-		for _, f := range w.script.Recorded {
-			w.At(f.At.Us(), func() { w.startRecordedClient(f) })
+	demand := w.script.Demand
+	if demand.Flows != "" {
+		for _, recorded := range w.script.Recorded {
+			w.At(recorded.At.Us(), func() { w.startRecordedClient(recorded) })
 		}
-	} else if d.Rate > 0 {
+	} else if demand.Rate > 0 {
 		w.At(w.nextArrivalTime(0), w.handleArrival)
 	}
-	if d.Standing > 0 {
+	if demand.Standing > 0 {
 		w.At(-standingLeadTime, w.createStandingFlows)
 	}
-	for i, l := range d.Loops {
-		from := netip.Addr{}
-		if l.OneAddress {
-			from = clientAddress(1<<23 - 1 - uint64(i))
+	for i, loop := range demand.Loops {
+		address := netip.Addr{}
+		if loop.OneAddress {
+			address = clientAddress(1<<23 - 1 - uint64(i))
 		}
-		for range l.Count {
-			w.scheduleSpecialClient(l.At.Us(), l.For.Us(), l.Type, l.Zone, true, 0, from)
+		for range loop.Count {
+			w.scheduleSpecialClient(loop.At.Us(), loop.For.Us(), loop.Type, loop.Zone, true, 0, address)
 		}
 	}
-	for _, b := range d.Bulk {
-		for range b.Count {
-			w.scheduleSpecialClient(b.At.Us(), b.For.Us(), b.Type, b.Zone, false, b.Window, netip.Addr{})
+	for _, group := range demand.Bulk {
+		for range group.Count {
+			w.scheduleSpecialClient(group.At.Us(), group.For.Us(), group.Type, group.Zone, false, group.Window, netip.Addr{})
 		}
 	}
-	for _, b := range d.BadClients {
-		w.At(b.At.Us(), func() { w.scheduleBadClients(b) })
+	for _, group := range demand.BadClients {
+		w.At(group.At.Us(), func() { w.scheduleBadClients(group) })
 	}
 }
 
 const (
-	standingLeadTime       = second      // the start: the flows that stood before come
-	standingConnectTimeout = 30 * second // they wait for so long
+	standingLeadTime       = second      // time before the run at which clients with standing flows connect
+	standingConnectTimeout = 30 * second // their connect timeout
 )
 
-// createStandingFlows brings the clients whose flows stood before the run: each at the host that holds it, and partly through.
+// createStandingFlows starts the clients whose flows were established before the run. Each is at the host that holds its
+// flow, and part of its life is over.
 func (w *World) createStandingFlows() {
-	d, f := w.script.Demand, w.script.Fleet
+	demand, fleet := w.script.Demand, w.script.Fleet
 	shares, lives := 0.0, 0.0
 	for _, t := range w.script.Types {
 		shares += t.Share
@@ -57,17 +58,17 @@
 	weights, total := make([]float64, len(w.hosts)), 0.0
 	for i, h := range w.hosts {
 		if h.state == hostRunning {
-			weights[i] = h.capacity() * logNormal(w.demandRand, d.StandingTilt)
+			weights[i] = h.capacity() * logNormal(w.demandRand, demand.StandingTilt)
 		}
 		total += weights[i]
 	}
-	for range int(d.Standing*d.Rate*w.rateMultiplier(0)*d.Life.Seconds()*lives/shares + 0.5) {
+	for range int(demand.Standing*demand.Rate*w.rateMultiplier(0)*demand.Life.Seconds()*lives/shares + 0.5) {
 		cl := w.drawClient(func(t scenario.ServiceType) float64 { return t.Share * t.Life })
-		longer := math.Exp(f.LifeSpread * f.LifeSpread) // one met at some moment is a long one
-		cl.endsAt = int64(float64(cl.endsAt-w.now) * longer * cl.profileRand.Float64())
-		x := w.demandRand.Float64() * total
+		lengthBias := math.Exp(fleet.LifeSpread * fleet.LifeSpread) // a flow found at a random time is longer than the average
+		cl.endsAt = int64(float64(cl.endsAt-w.now) * lengthBias * cl.profileRand.Float64())
+		draw := w.demandRand.Float64() * total
 		for i, h := range w.hosts {
-			if x -= weights[i]; x < 0 {
+			if draw -= weights[i]; draw < 0 {
 				cl.initialHost = h
 				break
 			}
@@ -78,7 +79,7 @@
 	}
 }
 
-// rateMultiplier is by how much the rate is multiplied at a moment.
+// rateMultiplier returns the factor of the arrival rate at a time, interpolated between the waves of the script.
 func (w *World) rateMultiplier(at int64) float64 {
 	waves := w.script.Demand.Waves
 	if len(waves) == 0 {
@@ -88,38 +89,39 @@
 	if at <= before.At.Us() {
 		return before.RateMultiplier
 	}
-	for _, v := range waves[1:] {
-		if at < v.At.Us() {
-			part := float64(at-before.At.Us()) / float64(v.At-before.At)
-			return before.RateMultiplier + part*(v.RateMultiplier-before.RateMultiplier)
+	for _, wave := range waves[1:] {
+		if at < wave.At.Us() {
+			fraction := float64(at-before.At.Us()) / float64(wave.At-before.At)
+			return before.RateMultiplier + fraction*(wave.RateMultiplier-before.RateMultiplier)
 		}
-		before = v
+		before = wave
 	}
 	return before.RateMultiplier
 }
 
-// nextArrivalTime is the next moment of a Poisson process whose rate changes.
+// nextArrivalTime draws the next arrival of a Poisson process with a varying rate, by thinning one with the peak rate.
 func (w *World) nextArrivalTime(from int64) int64 {
-	top := 0.0
-	for _, v := range w.script.Demand.Waves {
-		top = max(top, v.RateMultiplier)
+	peak := 0.0
+	for _, wave := range w.script.Demand.Waves {
+		peak = max(peak, wave.RateMultiplier)
 	}
 	if len(w.script.Demand.Waves) == 0 {
-		top = 1
+		peak = 1
 	}
-	if top == 0 {
+	if peak == 0 {
 		return never
 	}
 	at := float64(from)
 	for at < float64(w.run.Length) {
-		at += w.demandRand.ExpFloat64() / (w.script.Demand.Rate * top) * 1e6
-		if w.demandRand.Float64()*top < w.rateMultiplier(int64(at)) {
+		at += w.demandRand.ExpFloat64() / (w.script.Demand.Rate * peak) * 1e6
+		if w.demandRand.Float64()*peak < w.rateMultiplier(int64(at)) {
 			return int64(at)
 		}
 	}
 	return never
 }
 
+// handleArrival starts a client and schedules the next arrival.
 func (w *World) handleArrival() {
 	if w.now > w.run.Length {
 		return
@@ -130,6 +132,7 @@
 	}
 }
 
+// newClient creates a client with its own random sources, key and address.
 func (w *World) newClient(serviceType, zone int) *client {
 	w.clientCount++
 	number := w.clientCount
@@ -141,50 +144,51 @@
 	return cl
 }
 
-// clientAddress is that of a client: one each, of 127.128.0.0/9, so that live play can use them too.
+// clientAddress returns the address of a client. Each client has its own one in 127.128.0.0/9, so that runs on sockets can
+// use them, too.
 func clientAddress(number uint64) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, 128 | byte(number>>16&0x7f), byte(number >> 8), byte(number)})
 }
 
-// startDrawnClient is a new client.
+// startDrawnClient starts a client whose service type is drawn by share.
 func (w *World) startDrawnClient() {
 	w.drawClient(func(t scenario.ServiceType) float64 { return t.Share }).start()
 }
 
-// drawClient makes a client by the script's figures; its type goes by weight.
+// drawClient creates a client as the script describes them. Its service type is drawn by weight.
 func (w *World) drawClient(weight func(scenario.ServiceType) float64) *client {
-	total, pick := 0.0, 0
-	for _, t := range w.script.Types {
-		total += weight(t)
+	total, typeIndex := 0.0, 0
+	for _, serviceType := range w.script.Types {
+		total += weight(serviceType)
 	}
-	for x := w.demandRand.Float64() * total; pick < len(w.script.Types)-1 && x >= weight(w.script.Types[pick]); pick++ {
-		x -= weight(w.script.Types[pick])
+	for draw := w.demandRand.Float64() * total; typeIndex < len(w.script.Types)-1 && draw >= weight(w.script.Types[typeIndex]); typeIndex++ {
+		draw -= weight(w.script.Types[typeIndex])
 	}
-	cl := w.newClient(pick, w.drawZone())
-	t, f := w.script.Types[pick], w.script.Fleet
-	cl.baseLoad = t.Load * logNormal(cl.profileRand, f.LoadSpread)
-	cl.endsAt = w.now + int64(float64(w.script.Demand.Life)*t.Life*logNormal(cl.profileRand, f.LifeSpread))
+	cl := w.newClient(typeIndex, w.drawZone())
+	serviceType, fleet := w.script.Types[typeIndex], w.script.Fleet
+	cl.baseLoad = serviceType.Load * logNormal(cl.profileRand, fleet.LoadSpread)
+	cl.endsAt = w.now + int64(float64(w.script.Demand.Life)*serviceType.Life*logNormal(cl.profileRand, fleet.LifeSpread))
 	cl.endedByHost = cl.profileRand.IntN(2) == 0
-	if f.Groups > 0 {
-		cl.group = fmt.Sprintf("g%d", int(float64(f.Groups)*math.Pow(cl.profileRand.Float64(), 1.6))) // some are larger than others
+	if fleet.Groups > 0 {
+		cl.group = fmt.Sprintf("g%d", int(float64(fleet.Groups)*math.Pow(cl.profileRand.Float64(), 1.6))) // groups differ in size
 	}
 	return cl
 }
 
-// startRecordedClient is a client of a capture: its load changes as it did then.
-func (w *World) startRecordedClient(r scenario.Recorded) {
-	cl := w.newClient(r.Type, r.Zone)
-	cl.group, cl.baseLoad, cl.endsAt, cl.fromCapture = r.Group, r.Loads[0].Load, w.now+r.Life.Us(), true
-	if r.Key != "" {
-		cl.key = r.Key
+// startRecordedClient starts a client of a capture, whose load changes as recorded.
+func (w *World) startRecordedClient(recorded scenario.Recorded) {
+	cl := w.newClient(recorded.Type, recorded.Zone)
+	cl.group, cl.baseLoad, cl.endsAt, cl.fromCapture = recorded.Group, recorded.Loads[0].Load, w.now+recorded.Life.Us(), true
+	if recorded.Key != "" {
+		cl.key = recorded.Key
 	}
 	cl.start()
-	for _, l := range r.Loads[1:] {
-		w.after(l.After.Us(), func() { cl.setLoad(l.Load) })
+	for _, step := range recorded.Loads[1:] {
+		w.after(step.After.Us(), func() { cl.setLoad(step.Load) })
 	}
 }
 
-// drawZone is by nodes' number and the script's weights.
+// drawZone draws the zone of a client by the weights of the script. Zones without nodes have none.
 func (w *World) drawZone() int {
 	total := 0.0
 	weight := func(i int) float64 {
@@ -199,33 +203,37 @@
 	for i := range w.script.Zones {
 		total += weight(i)
 	}
-	x := w.demandRand.Float64() * total
+	draw := w.demandRand.Float64() * total
 	for i := range w.script.Zones {
-		if x -= weight(i); x < 0 {
+		if draw -= weight(i); draw < 0 {
 			return i
 		}
 	}
 	return w.nodes[0].zone
 }
 
-// logNormal draws a log-normal figure of mean 1.
+// logNormal draws a value of a log-normal distribution with mean 1.
 func logNormal(random *rand.Rand, sigma float64) float64 {
 	return math.Exp(sigma*random.NormFloat64() - sigma*sigma/2)
 }
 
-// scheduleSpecialClient is a client that loops, or sends in bulk.
-func (w *World) scheduleSpecialClient(at, length int64, serviceType, zone string, loops bool, window int, from netip.Addr) {
+// specialClientLoad is the load of looping and bulk clients: next to nothing.
+const specialClientLoad = 0.01
+
+// scheduleSpecialClient schedules a client that loops or sends in bulk. A duration of 0 means until the end of the run; an
+// invalid address means one of its own.
+func (w *World) scheduleSpecialClient(at, duration int64, serviceType, zone string, loops bool, bulkWindow int, address netip.Addr) {
 	w.At(at, func() {
 		zoneIndex := w.nodes[0].zone
 		if zone != "" {
 			zoneIndex = w.zoneIndex(zone)
 		}
 		cl := w.newClient(max(w.script.TypeNo(serviceType), 0), zoneIndex)
-		cl.baseLoad, cl.endsAt, cl.looping, cl.bulkWindow = 0.01, w.now+length, loops, window
-		if from.IsValid() {
-			cl.address = from
+		cl.baseLoad, cl.endsAt, cl.looping, cl.bulkWindow = specialClientLoad, w.now+duration, loops, bulkWindow
+		if address.IsValid() {
+			cl.address = address
 		}
-		if length == 0 {
+		if duration == 0 {
 			cl.endsAt = w.run.Length
 		}
 		cl.start()
--- a/rehearsal/fleet/events.go
+++ b/rehearsal/fleet/events.go
@@ -1,20 +1,17 @@
-// Package fleet is all that stands round the nodes in a rehearsal: hosts, the network, discovery, the front and the
-// clients. It has no I/O and no wall clock, and all its chance comes from one seed; what plays the nodes, in virtual
-// time or on sockets, is handed in as Nodes.
 package fleet
 
 import (
 	"math/rand/v2"
 )
 
-// event is something that happens at a moment. Those of one moment happen in the order in which they were asked for.
+// event is an action scheduled for a time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at       int64
 	sequence uint64
 	action   func()
 }
 
-// eventQueue is a heap, the next one first.
+// eventQueue is a binary heap with the next event first.
 type eventQueue struct {
 	heap     []event
 	sequence uint64
@@ -61,15 +58,16 @@
 	return top
 }
 
-// At asks for something to happen at a moment, now at the earliest.
+// At schedules action for the time at, in microseconds from the start of the run; a time in the past counts as now.
 func (w *World) At(at int64, action func()) { w.queue.push(max(at, w.now), action) }
 
+// after schedules action to run once wait microseconds have passed.
 func (w *World) after(wait int64, action func()) { w.At(w.now+wait, action) }
 
-// Now is the time, microseconds from the start of the run.
+// Now returns the current time, in microseconds from the start of the run.
 func (w *World) Now() int64 { return w.now }
 
-// Next is when something happens next; ok is false when nothing will.
+// Next returns the time of the next event; ok is false if none is scheduled.
 func (w *World) Next() (at int64, ok bool) {
 	if len(w.queue.heap) == 0 {
 		return 0, false
@@ -77,7 +75,7 @@
 	return w.queue.heap[0].at, true
 }
 
-// Advance plays all that happens up to a moment and sets the time to it.
+// Advance runs all events up to and including the time to, and then sets the clock to it.
 func (w *World) Advance(to int64) {
 	for len(w.queue.heap) > 0 && w.queue.heap[0].at <= to {
 		e := w.queue.pop()
@@ -88,11 +86,14 @@
 	w.now = max(w.now, to)
 }
 
-// newRand is a source of its own for each purpose, so that one more draw for the one changes nothing for the others.
+// newRand returns a random source for one purpose. Each purpose has its own source, so that an additional draw for one
+// purpose does not change the draws for the others.
 func (w *World) newRand(purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(w.seed, purpose*0x9e3779b97f4a7c15+1))
 }
 
+// Purposes of random sources. The sources of faults use values from randFaults on with the number of the fault in the
+// higher bits; see injectFault.
 const (
 	randNetwork uint64 = iota + 1
 	randHosts
@@ -101,5 +102,5 @@
 	randFaults
 	randBadClients
 	randLinks
-	randClients uint64 = 1 << 32 // and up, one a client
+	randClients uint64 = 1 << 32 // two values for each client, from here on
 )
--- a/rehearsal/fleet/false_report.go
+++ b/rehearsal/fleet/false_report.go
@@ -6,20 +6,20 @@
 	"coursewinch/cluster/frame"
 )
 
-// falseReport keeps who sent a datagram and makes nonsense of what it tells: the largest figures that can be, for every host that
-// it names, and each of them full.
+// falseReport returns a datagram with the same sender and a false load report: the largest figures, and saturation, for
+// every host that it names. Datagrams that cannot be read are returned unchanged.
 func (w *World) falseReport(datagram []byte) []byte {
 	header, payload, fault := frame.Read(datagram)
 	if fault != frame.None || len(payload) < 5 {
 		return datagram
 	}
-	out := append([]byte(nil), payload...)
+	forged := append([]byte(nil), payload...)
 	const entryBytes, largestFigure = 9, 62000
 	changed := 0
-	for offset := len(out) - entryBytes; offset >= 7 && changed < 1000; offset -= entryBytes {
-		binary.LittleEndian.PutUint16(out[offset+4:], largestFigure)
-		out[offset+8] = 1
+	for offset := len(forged) - entryBytes; offset >= 7 && changed < 1000; offset -= entryBytes {
+		binary.LittleEndian.PutUint16(forged[offset+4:], largestFigure)
+		forged[offset+8] = 1
 		changed++
 	}
-	return frame.Write(header, out)
+	return frame.Write(header, forged)
 }
--- a/rehearsal/fleet/faults.go
+++ b/rehearsal/fleet/faults.go
@@ -9,7 +9,7 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// injectFault begins a fault. Who is struck by chance is drawn from a source of the fault's own.
+// injectFault starts a fault of the script. Members that it hits at random are drawn from a source of its own.
 func (w *World) injectFault(f *scenario.Fault) {
 	index := uint64(slices.IndexFunc(w.script.Faults, func(o scenario.Fault) bool { return o.At == f.At && o.Kind == f.Kind }))
 	pick := func(names []string, total int) []int { return w.pickMembers(f, randFaults+index<<8, names, total) }
@@ -22,7 +22,7 @@
 		w.after(duration, func() { w.storeSlowdown /= f.Size })
 	case "discovery":
 		w.discovery.outages++
-		w.discovery.breakWatches()
+		w.discovery.breakSubscriptions()
 		w.after(duration, func() { w.discovery.outages-- })
 	case "discovery_no":
 		w.discovery.refusalShare += f.Size
@@ -50,6 +50,8 @@
 	}
 }
 
+// pickMembers returns the indexes of the named members. Without names it draws as many of total members as the fault's
+// count or share says.
 func (w *World) pickMembers(f *scenario.Fault, purpose uint64, names []string, total int) []int {
 	var indexes []int
 	for _, n := range names {
@@ -66,6 +68,7 @@
 	return w.newRand(purpose).Perm(total)[:min(count, total)]
 }
 
+// injectHostFault starts a fault of one host.
 func (w *World) injectHostFault(f *scenario.Fault, h *host) {
 	duration := f.For.Us()
 	applyTemporarily := func(begin, end func()) {
@@ -96,7 +99,7 @@
 	case "drain":
 		w.drainHost(h, duration, 0)
 	case "restart":
-		w.drainHost(h, duration, second/2)
+		w.drainHost(h, duration, restartPause)
 	case "join":
 		w.startAbsentHost(h)
 	case "relist":
@@ -104,15 +107,20 @@
 	}
 }
 
-// republish lets discovery tell of a host again and again, as it is.
-func (w *World) republish(h *host, every, until int64) {
+const (
+	restartPause         = second / 2 // between the end of a drained host's process and its restart
+	minRepublishInterval = 100_000    // microseconds
+)
+
+// republish makes discovery publish an unchanged host again at an interval.
+func (w *World) republish(h *host, interval, until int64) {
 	w.discovery.scheduleUpdate(h)
-	if every = max(every, 100_000); w.now+every < until {
-		w.after(every, func() { w.republish(h, every, until) })
+	if interval = max(interval, minRepublishInterval); w.now+interval < until {
+		w.after(interval, func() { w.republish(h, interval, until) })
 	}
 }
 
-// runNeighbour lets another program take a share of the machine, on and off.
+// runNeighbour lets another program use a share of the host's machine, alternating between on and off.
 func (w *World) runNeighbour(f *scenario.Fault, h *host, until int64) {
 	h.advance()
 	h.neighbourShare = f.Size
@@ -131,13 +139,13 @@
 	})
 }
 
-// setListed says what discovery will learn of a host.
+// setListed sets the state of a host that discovery will publish.
 func (w *World) setListed(h *host, state string) {
 	h.listed = state
 	w.discovery.scheduleUpdate(h)
 }
 
-// crashHost ends a host's process at once; after back it starts again, cold, if back is over 0.
+// crashHost ends a host's process at once. If restartAfter is over 0 the host starts again, cold, after that time.
 func (w *World) crashHost(h *host, restartAfter int64) {
 	if h.state != hostRunning {
 		return
@@ -149,6 +157,7 @@
 	}
 }
 
+// startHost starts a host, which is cold. A host that has fallen over stays down.
 func (w *World) startHost(h *host) {
 	if h.fellOver || h.state == hostRunning {
 		return
@@ -157,28 +166,30 @@
 	w.setListed(h, "ready")
 }
 
-// drainHost lets a host finish what it has; then it stops, and after back starts again, cold, if back is over 0.
-func (w *World) drainHost(h *host, length, restartAfter int64) {
+// drainHost drains a host for some time and then stops it. If restartAfter is over 0 the host starts again, cold, after
+// that time.
+func (w *World) drainHost(h *host, duration, restartAfter int64) {
 	if h.state != hostRunning || h.listed != "ready" {
 		return
 	}
 	bootedAt := h.bootedAt
-	h.stopsAt = w.now + length
+	h.stopsAt = w.now + duration
 	w.setListed(h, "draining")
-	w.after(length, func() {
+	w.after(duration, func() {
 		if h.state == hostRunning && h.bootedAt == bootedAt {
 			w.crashHost(h, restartAfter)
 		}
 	})
 }
 
-// startAbsentHost starts a host that was not there before.
+// startAbsentHost starts a host that is absent or dead.
 func (w *World) startAbsentHost(h *host) {
 	if h.state == hostAbsent || h.state == hostDead {
 		w.startHost(h)
 	}
 }
 
+// injectNodeFault starts a fault of one node.
 func (w *World) injectNodeFault(f *scenario.Fault, index int) {
 	switch f.Kind {
 	case "node_kill":
@@ -192,21 +203,7 @@
 			w.player.Reload(index, w.nodeConfig(n))
 		}
 	case "node_pause":
-		n := w.nodes[index]
-		if n.pauses++; n.pauses == 1 {
-			w.run.Stills = append(w.run.Stills, record.Still{Node: index, From: w.now})
-		}
-		w.player.Pause(index, true)
-		w.after(f.For.Us(), func() {
-			if n.pauses--; n.pauses == 0 {
-				for i := range w.run.Stills {
-					if s := &w.run.Stills[i]; s.Node == index && s.To == 0 {
-						s.To = w.now
-					}
-				}
-				w.player.Pause(index, false)
-			}
-		})
+		w.pauseNode(index, f.For.Us())
 	case "node_twin":
 		w.player.Twin(index, w.nodeConfig(w.nodes[index]), true)
 		w.after(f.For.Us(), func() { w.player.Twin(index, Conf{}, false) })
@@ -227,27 +224,47 @@
 	}
 }
 
-// starvedShare is the share of a node's core that others take.
+// pauseNode pauses the process of a node for some time and records the pause.
+func (w *World) pauseNode(index int, duration int64) {
+	n := w.nodes[index]
+	if n.pauses++; n.pauses == 1 {
+		w.run.Stills = append(w.run.Stills, record.Still{Node: index, From: w.now})
+	}
+	w.player.Pause(index, true)
+	w.after(duration, func() {
+		if n.pauses--; n.pauses == 0 {
+			for i := range w.run.Stills {
+				if pause := &w.run.Stills[i]; pause.Node == index && pause.To == 0 {
+					pause.To = w.now
+				}
+			}
+			w.player.Pause(index, false)
+		}
+	})
+}
+
+// starvedShare returns the share of a node's core that the faults in force take together.
 func (n *nodeState) starvedShare() float64 {
 	left := 1.0
-	for _, s := range n.starvedShares {
-		left *= 1 - s
+	for _, share := range n.starvedShares {
+		left *= 1 - share
 	}
 	return 1 - left
 }
 
+// injectZoneFault starts a fault of the network between a zone and the others.
 func (w *World) injectZoneFault(f *scenario.Fault, zone int) {
-	l := &w.zoneLinks[zone]
+	link := &w.zoneLinks[zone]
 	switch f.Kind {
 	case "cut":
-		l.cuts++
+		link.cuts++
 		w.after(f.For.Us(), func() {
-			l.cuts--
+			link.cuts--
 			w.resumeAfterCut()
 		})
 	case "delay":
-		l.addedDelay += f.Delay.Us()
-		w.after(f.For.Us(), func() { l.addedDelay -= f.Delay.Us() })
+		link.addedDelay += f.Delay.Us()
+		w.after(f.For.Us(), func() { link.addedDelay -= f.Delay.Us() })
 	case "breaks":
 		random := w.newRand(randFaults + 1<<30)
 		for _, n := range w.nodes {
@@ -260,7 +277,7 @@
 	}
 }
 
-// breakConnection breaks a connection on its way: both ends hear of it.
+// breakConnection resets a connection in the network, so that both ends are notified.
 func (w *World) breakConnection(c *Conn) {
 	w.notifyClosed(c, true)
 	w.transmit(c, &c.toNode, func() {
@@ -272,7 +289,8 @@
 	})
 }
 
-// dropClients lets a share of the clients drop and come again.
+// dropClients lets a random share of the established clients drop their connections and connect again. For the fault
+// reconnect they close their connections, for vanish they do not.
 func (w *World) dropClients(f *scenario.Fault, random interface{ Float64() float64 }) {
 	for _, cl := range slices.Clone(w.clients) {
 		if cl.state != clientEstablished || cl.looping || random.Float64() >= f.Size {
--- a/rehearsal/fleet/fleet_test.go
+++ b/rehearsal/fleet/fleet_test.go
@@ -83,7 +83,7 @@
 	return w.now
 }
 
-func TestSharing(t *testing.T) {
+func TestHostSharesCores(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		set   func(h *host)
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestPauseHoldsWork(t *testing.T) {
+func TestPauseSuspendsWork(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	addSetup(w, h, 10_000)
 	w.Advance(5_000)
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestWarmUp(t *testing.T) {
+func TestColdHostWarmsUp(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	h.bootedAt = 1
 	for _, c := range []struct {
@@ -137,19 +137,19 @@
 	_ = w
 }
 
-// TestFallOver sends connects to a cold host at rates round the stated multiple of what it can do.
-func TestFallOver(t *testing.T) {
+// TestColdHostFallsOver sends connects to a cold host at rates round the stated multiple of what it can do.
+func TestColdHostFallsOver(t *testing.T) {
 	for _, c := range []struct {
 		times float64
 		falls bool
 	}{{0.5, false}, {2, false}, {6, true}} {
 		w, h, _ := newWorld(t, "")
 		h.bootedAt = 1
-		can := h.capacity() / w.meanLoad / w.script.Fleet.ColdTime.Seconds()
-		for at, owed := int64(1), 0.0; at < 15_000_000; at += 10_000 {
+		expectedRate := h.capacity() / w.meanLoad / w.script.Fleet.ColdTime.Seconds()
+		for at, pending := int64(1), 0.0; at < 15_000_000; at += 10_000 {
 			w.Advance(at)
-			if owed += can * h.warmShare(at) * c.times * 0.01; owed >= 1 && !h.fellOver {
-				owed--
+			if pending += expectedRate * h.warmShare(at) * c.times * 0.01; pending >= 1 && !h.fellOver {
+				pending--
 				h.countColdConnect()
 			}
 		}
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestGroupCostsOnce(t *testing.T) {
+func TestGroupCostIsCountedOnce(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	w.script.Fleet.GroupCost = 3
 	h.addToGroup("g", 1)
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestQualityFalls(t *testing.T) {
+func TestMessageQualityFallsWithLoad(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	last := 1.1
 	for _, load := range []float64{0, 0.5, 0.8, 0.95, 1.2} {
@@ -202,8 +202,8 @@
 	_ = w
 }
 
-// TestSameMoment guards the order of what happens in the same microsecond: that in which it was asked for.
-func TestSameMoment(t *testing.T) {
+// TestSimultaneousEventsKeepOrder guards the order of what happens in the same microsecond: that in which it was asked for.
+func TestSimultaneousEventsKeepOrder(t *testing.T) {
 	w, _, _ := newWorld(t, "")
 	var got []int
 	for i := range 20 {
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestCut holds what crosses a cut and lets it go after, in order.
-func TestCut(t *testing.T) {
-	w, h, n := newWorld(t, "")
+// TestZoneCutHoldsTraffic holds what crosses a cut and lets it go after, in order.
+func TestZoneCutHoldsTraffic(t *testing.T) {
+	w, h, player := newWorld(t, "")
 	far := w.hosts[1]
 	near := &Conn{Node: 0, peer: h, path: path{0, h.zone}, nodeStarts: 1, isUp: true}
 	over := &Conn{Node: 0, peer: far, path: path{0, far.zone}, nodeStarts: 1, isUp: true}
@@ -235,17 +235,17 @@
 	w.sendToNode(near, "near", nil)
 	w.sendToNode(over, "one", nil)
 	w.sendToNode(over, "two", nil)
-	if w.Advance(2_900_000); len(n.received) != 1 || n.received[0] != "near" {
-		t.Fatalf("during the cut came %v", n.received)
+	if w.Advance(2_900_000); len(player.received) != 1 || player.received[0] != "near" {
+		t.Fatalf("during the cut came %v", player.received)
 	}
 	w.closePeerSide(over, true)
 	w.Advance(4_000_000)
-	if len(n.received) != 4 || n.received[1] != "one" || n.received[2] != "two" || n.received[3] != "broken" {
-		t.Errorf("after it came %v", n.received)
+	if len(player.received) != 4 || player.received[1] != "one" || player.received[2] != "two" || player.received[3] != "broken" {
+		t.Errorf("after it came %v", player.received)
 	}
 }
 
-func TestSameChancesForEveryPolicy(t *testing.T) {
+func TestClientsDoNotDependOnOtherDraws(t *testing.T) {
 	// Guards paired comparison: the clients of a seed are the same whatever else draws from chance meanwhile.
 	first, second := clientKeys(t, false), clientKeys(t, true)
 	if len(first) == 0 || len(first) != len(second) {
@@ -276,7 +276,7 @@
 }
 
 // Where hosts report, a probe learns the load asked over what the host can do.
-func TestReport(t *testing.T) {
+func TestProbeReport(t *testing.T) {
 	_, h, _ := newWorld(t, "")
 	if h.load = 0.62 * coreWorkPerSecond; h.probeAnswer(true)+h.probeAnswer(false) != "PONG 0,0.620\r\nPONG\r\n" {
 		t.Fatal(h.probeAnswer(true), h.probeAnswer(false))
--- a/rehearsal/fleet/frontend.go
+++ b/rehearsal/fleet/frontend.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 )
 
-// AllReady tells whether the front has taken in every node.
+// AllReady reports whether the front-end load balancer has every node in rotation.
 func (w *World) AllReady() bool {
 	for _, n := range w.nodes {
 		if !n.inRotation {
@@ -14,19 +14,21 @@
 	return true
 }
 
-// The front.
-
-// healthCheck is the front's connection to a node that may be taken in.
+// healthCheck is a connection of the front-end load balancer to a node that is not in rotation. It sends PING; a node that
+// answers PONG and is not stopping is put into rotation.
 type healthCheck struct {
 	world *World
 	node  *nodeState
 }
 
+const healthCheckInterval = 2 * second
+
+// startHealthCheck checks a node every healthCheckInterval until it is in rotation.
 func (w *World) startHealthCheck(n *nodeState) {
 	starts := n.starts
 	check := &healthCheck{w, n}
 	c := w.openToNode(check, n.index, clientAddress(0))
-	w.after(2*second, func() {
+	w.after(healthCheckInterval, func() {
 		if n.starts == starts && n.listening && !n.inRotation {
 			w.closePeerSide(c, true)
 			w.startHealthCheck(n)
@@ -34,18 +36,19 @@
 	})
 }
 
-func (g *healthCheck) accepted(*Conn)     {}
-func (g *healthCheck) connected(c *Conn)  { g.world.sendToNode(c, "PING\r\n", nil) }
-func (g *healthCheck) closed(*Conn, bool) {}
+func (check *healthCheck) accepted(*Conn)     {}
+func (check *healthCheck) connected(c *Conn)  { check.world.sendToNode(c, "PING\r\n", nil) }
+func (check *healthCheck) closed(*Conn, bool) {}
 
-func (g *healthCheck) receiveLine(c *Conn, line []byte) {
-	if string(line) == "PONG" && !g.node.stopping {
-		g.node.inRotation = true
-		g.world.closePeerSide(c, false)
+func (check *healthCheck) receiveLine(c *Conn, line []byte) {
+	if string(line) == "PONG" && !check.node.stopping {
+		check.node.inRotation = true
+		check.world.closePeerSide(c, false)
 	}
 }
 
-// pickNode picks a node for a client of a zone; nil where the front knows none.
+// pickNode picks a random node in rotation for a client of a zone: a node of the zone if there is one, else any. It returns
+// nil if no node is in rotation.
 func (w *World) pickNode(zone int, random *rand.Rand) *nodeState {
 	var candidates []*nodeState
 	for _, n := range w.nodesByZone[zone] {
--- a/rehearsal/fleet/host.go
+++ b/rehearsal/fleet/host.go
@@ -8,20 +8,20 @@
 
 const (
 	hostRunning hostState = iota
-	hostDead
-	hostSilent // the machine says nothing
-	hostAbsent
+	hostDead              // its process has ended
+	hostSilent            // its machine neither answers nor closes connections
+	hostAbsent            // it has not been started yet
 )
 
 const (
-	coreWorkPerSecond = 1e6     // microseconds of work that a core of speed 1 does in a second
-	tickInterval      = 100_000 // how often hosts and service are gone through
-	never             = int64(1) << 62
-	second            = int64(1_000_000)
+	coreWorkPerSecond = 1e6              // work of a core of speed 1 in a second, in microseconds
+	tickInterval      = 100_000          // microseconds between updates of hosts and service
+	never             = int64(1) << 62   // a time that is never reached
+	second            = int64(1_000_000) // in microseconds
 )
 
-// host is one server. Set-ups in work and the messages of its flows share its cores evenly; messages are a stream of
-// work that piles up when it is more than its part.
+// host is one server. Its active set-ups and the messages of its flows share its cores evenly. Messages are a stream of
+// work; what exceeds their share of the cores becomes a backlog.
 type host struct {
 	world    *World
 	index    int
@@ -32,39 +32,40 @@
 	cores    float64
 	speed    float64
 	state    hostState
-	listed   string // what the world knows: ready, draining or gone
-	bootedAt int64  // when it started; 0 for long ago
-	fellOver bool
+	listed   string // state that discovery is to publish: ready, draining or gone; empty before its first start
+	bootedAt int64  // when it started; 0: long ago
+	fellOver bool   // it was overloaded while cold and stays down
 
-	pauses         int     // pauses in force
-	slowdown       float64 // times slower
-	neighbourShare float64 // share of the machine that a neighbour has
-	extraErrorRate float64 // share of set-ups answered ERR
-	stopsAt        int64   // when it will stop, while it drains
+	pauses         int     // number of pauses in force
+	slowdown       float64 // factor by which faults slow it down
+	neighbourShare float64 // share of the machine that another program uses
+	extraErrorRate float64 // share of set-ups answered ERR because of faults
+	stopsAt        int64   // when it stops, while it drains
 
-	updatedAt    int64       // until when the following holds
-	workPerSetup float64     // work that each set-up has got since the start
-	activeSetups []*setupJob // a heap by goal
-	queuedSetups []*setupJob
-	load         float64 // work a second of the flows' messages, groups' share included
-	backlog      float64 // work of messages piled up
-	utilization  float64 // share of its cores used of late
-	generation   int     // of the event that waits for the next set-up
+	updatedAt    int64       // time up to which the following fields are computed
+	workPerSetup float64     // work that each active set-up has received in total, in microseconds
+	activeSetups []*setupJob // a heap ordered by workGoal
+	queuedSetups []*setupJob // in order of arrival
+	load         float64     // work per second of the flows' messages, including the cost of groups
+	backlog      float64     // work of messages that wait, in microseconds
+	utilization  float64     // share of its cores in use, smoothed
+	generation   int         // invalidates the scheduled completion when it changes
 
-	flows         []*hostedFlow // that stand here
-	conns         []*hostConn   // all that are open
+	flows         []*hostedFlow // established flows
+	conns         []*hostConn   // all open connections
 	flowsByGroup  map[string]int
-	clientsByType []float64 // clients that think they stand here, by type
-	coldConnects  []int64   // when connects came of late, while cold
-	peakColdRatio float64   // the most that it was sent, of what it could do
-	receipts      int       // receipts
-	silentConns   []*Conn   // that were open when the machine went silent; they break when it is back
+	clientsByType []float64 // number of clients that regard themselves as established here, by service type
+	coldConnects  []int64   // arrival times of connects within the last fall_after, while cold
+	peakColdRatio float64   // highest ratio of connects received to what it can handle, while cold
+	receipts      int       // number of receipts issued
+	silentConns   []*Conn   // connections that were open when it became silent; they break when it restarts
 }
 
 func (h *host) acceptsConnections() bool { return h.state == hostRunning && h.listed != "" }
-func (h *host) isSilent() bool           { return h.state == hostSilent }
 
-// stop ends the process: every connection breaks, or says nothing.
+func (h *host) isSilent() bool { return h.state == hostSilent }
+
+// stop ends the process. Its connections break or, if the host becomes silent, stay open without any traffic.
 func (h *host) stop(to hostState) {
 	h.advance()
 	h.state = to
@@ -87,7 +88,7 @@
 	h.scheduleCompletion()
 }
 
-// start begins a new process, cold.
+// start starts a new process, which is cold.
 func (h *host) start() {
 	if h.fellOver {
 		return
@@ -101,7 +102,7 @@
 	h.world.player.Listening(h.index, true)
 }
 
-// tick goes through what time brings.
+// tick does the periodic work: it bounds the backlog, shedding a flow if it is too large, and continues a drain.
 func (h *host) tick() {
 	h.advance()
 	limit := h.world.script.Fleet.Buffer.Seconds() * max(h.coreRate(), coreWorkPerSecond*h.speed*0.05) * h.cores
@@ -115,7 +116,7 @@
 	h.scheduleCompletion()
 }
 
-// shedFlow drops a flow when too much is piled up.
+// shedFlow drops one flow, or none, as the script's fleet.sheds says.
 func (h *host) shedFlow() {
 	var victim *hostedFlow
 	switch h.world.script.Fleet.ShedMode {
@@ -124,9 +125,9 @@
 			victim = h.flows[n-1]
 		}
 	case "heaviest":
-		for _, s := range h.flows {
-			if victim == nil || s.load > victim.load {
-				victim = s
+		for _, flow := range h.flows {
+			if victim == nil || flow.load > victim.load {
+				victim = flow
 			}
 		}
 	}
@@ -136,16 +137,16 @@
 	}
 }
 
-// drainFlows sends clients away while the host drains.
+// drainFlows asks clients to move while the host drains, at the pace that the script's fleet.drain says.
 func (h *host) drainFlows() {
-	n := 0
-	switch left := (h.stopsAt - h.world.now) / tickInterval; h.world.script.Fleet.DrainMode {
+	count := 0
+	switch ticksLeft := (h.stopsAt - h.world.now) / tickInterval; h.world.script.Fleet.DrainMode {
 	case "at_once":
-		n = len(h.flows)
+		count = len(h.flows)
 	case "paced":
-		n = (len(h.flows) + int(max(left, 1)) - 1) / int(max(left, 1))
+		count = (len(h.flows) + int(max(ticksLeft, 1)) - 1) / int(max(ticksLeft, 1))
 	}
-	for range n {
+	for range count {
 		h.sendAway(h.flows[len(h.flows)-1].conn, "MOVE")
 	}
 }
--- a/rehearsal/fleet/host_conn.go
+++ b/rehearsal/fleet/host_conn.go
@@ -9,23 +9,22 @@
 	"coursewinch/rehearsal/record"
 )
 
-// hostConn is one connection at a host.
+// hostConn is the host's side of a connection from a node.
 type hostConn struct {
 	*Conn
 	job    *setupJob
 	hosted *hostedFlow
-	index  int // in host.conns
+	index  int // in host.conns; -1 after its removal
 }
 
-// hostedFlow is a flow that stands at a host.
+// hostedFlow is a flow that is established at a host.
 type hostedFlow struct {
 	conn  *hostConn
-	load  float64
-	index int // in host.flows
+	load  float64 // work per second
+	index int     // in host.flows
 }
 
-// The host as the other end of a node's connection.
-
+// accepted implements peer.
 func (h *host) accepted(c *Conn) {
 	hc := &hostConn{Conn: c, index: len(h.conns)}
 	c.peerState = hc
@@ -34,7 +33,8 @@
 
 func (h *host) connected(*Conn) {}
 
-// probeAnswer answers a probe; its report is of flows waiting and of load asked over what the host can do.
+// probeAnswer returns the answer to a probe. The load report has two values: the number of active set-ups, and the load
+// of the flows divided by what the host can do now.
 func (h *host) probeAnswer(withReport bool) string {
 	if rate := h.coreRate() * h.cores; withReport && rate > 0 {
 		return fmt.Sprintf("PONG %d,%.3f\r\n", len(h.activeSetups), h.load/rate)
@@ -42,6 +42,7 @@
 	return "PONG\r\n"
 }
 
+// receiveLine implements peer.
 func (h *host) receiveLine(c *Conn, line []byte) {
 	hc, ok := c.peerState.(*hostConn)
 	if !ok || h.state != hostRunning {
@@ -62,14 +63,16 @@
 	}
 }
 
-func (h *host) rejectLine(hc *hostConn, why string) {
-	h.world.recordInvalidLine(hc, why)
+// rejectLine answers an invalid line and closes the connection.
+func (h *host) rejectLine(hc *hostConn, reason string) {
+	h.world.recordInvalidLine(hc, reason)
 	h.world.sendToNode(hc.Conn, "SYNTAX\r\n", nil)
 	h.world.closePeerSide(hc.Conn, false)
 	h.removeConn(hc)
 }
 
-// echo answers a line of an established flow.
+// echo sends a line of an established flow back: at once, or after the work that is before it, as the script's
+// fleet.echo says. A paused host echoes after its pause.
 func (h *host) echo(hc *hostConn, text string) {
 	if h.world.script.Fleet.EchoMode == "at_once" && h.pauses == 0 {
 		h.sendToClient(hc, text)
@@ -90,27 +93,27 @@
 	})
 }
 
-// receiveBulk sends many lines back at once.
-func (h *host) receiveBulk(c *Conn, p []byte) bool {
+// receiveBulk implements bulkPeer: it sends many lines back at once.
+func (h *host) receiveBulk(c *Conn, data []byte) bool {
 	hc, ok := c.peerState.(*hostConn)
 	if !ok || hc.hosted == nil || h.world.script.Fleet.EchoMode != "at_once" || h.pauses > 0 || h.state != hostRunning {
 		return false
 	}
-	h.sendToClient(hc, strings.TrimSuffix(string(p), "\r\n"))
+	h.sendToClient(hc, strings.TrimSuffix(string(data), "\r\n"))
 	return true
 }
 
-// sendToClient sends a line that the node owes the client.
+// sendToClient sends a line that the node has to forward to the client.
 func (h *host) sendToClient(hc *hostConn, text string) {
-	flow, p := hc.flow, hc.client
+	flow, client := hc.flow, hc.client
 	h.world.sendToNode(hc.Conn, text+"\r\n", func() {
-		if p.flow == flow && p.upSent {
-			p.pendingToClient.add(len(text)+2, h.world.now)
+		if client.flow == flow && client.upSent {
+			client.pendingToClient.add(len(text)+2, h.world.now)
 		}
 	})
 }
 
-// receiveOpen takes the line of a connect.
+// receiveOpen handles the line of a connect: the host queues a set-up or refuses it.
 func (h *host) receiveOpen(hc *hostConn, line []byte) {
 	open, err := lines.ParseOpen(line)
 	if err != nil || open.ID != hc.flow.ID || h.world.script.TypeNo(open.Class) != hc.flow.Type || open.Key != hc.flow.Key {
@@ -127,25 +130,25 @@
 		return
 	}
 	h.countColdConnect()
-	t := h.world.script.Fleet
+	fleet := h.world.script.Fleet
 	switch {
 	case h.listed == "draining":
 		h.refuse(hc, "BUSY")
 		return
-	case float64(len(h.flows)+len(h.activeSetups)+len(h.queuedSetups)) >= t.ConnectionCap*h.capacity():
+	case float64(len(h.flows)+len(h.activeSetups)+len(h.queuedSetups)) >= fleet.ConnectionCap*h.capacity():
 		h.refuse(hc, "BUSY")
 		return
-	case float64(len(h.queuedSetups)) >= t.QueuePerCore*h.cores && len(h.activeSetups) >= int(math.Ceil(t.SlotsPerCore*h.cores)):
+	case float64(len(h.queuedSetups)) >= fleet.QueuePerCore*h.cores && len(h.activeSetups) >= int(math.Ceil(fleet.SlotsPerCore*h.cores)):
 		h.refuse(hc, "BUSY")
 		return
 	}
-	work := float64(t.SetupWork) * (0.7 + 0.6*hc.client.eventRand.Float64())
+	work := float64(fleet.SetupWork) * (0.7 + 0.6*hc.client.eventRand.Float64())
 	hc.job = &setupJob{conn: hc, receivedAt: h.world.now, work: work, timeout: open.Wait}
 	h.queuedSetups = append(h.queuedSetups, hc.job)
 	h.startQueued()
 }
 
-// refuse refuses or fails a connect and ends its connection.
+// refuse answers a connect with BUSY or ERR and closes its connection.
 func (h *host) refuse(hc *hostConn, answer string) {
 	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Said, Host: h.index, Try: hc.attempt, Text: answer})
 	h.world.sendToNode(hc.Conn, answer+"\r\n", nil)
@@ -153,16 +156,16 @@
 	h.removeConn(hc)
 }
 
-// completeSetup is the end of a set-up's work.
-func (h *host) completeSetup(j *setupJob) {
-	hc := j.conn
+// completeSetup is called when the work of a set-up is done. The flow is established unless the set-up fails.
+func (h *host) completeSetup(job *setupJob) {
+	hc := job.conn
 	if h.state != hostRunning || hc.flow == nil {
 		return
 	}
 	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Ran, Host: h.index, Try: hc.attempt})
-	if j.abandoned {
+	if job.abandoned {
 		h.world.run.Counts.Wasted++
-		h.world.run.Counts.WorkWasted += j.work
+		h.world.run.Counts.WorkWasted += job.work
 		return
 	}
 	if errorRate := h.world.script.Fleet.ErrorRate + h.extraErrorRate; errorRate > 0 && hc.client.eventRand.Float64() < errorRate {
@@ -191,19 +194,21 @@
 	}
 }
 
-// reportLoad says what a flow's load is, where hosts do.
+// reportLoad sends the load of a flow, if the script lets hosts report it.
 func (h *host) reportLoad(hc *hostConn) {
 	if h.world.script.Fleet.SendsLoad {
 		h.sendToClient(hc, fmt.Sprintf("LOAD %.0f", hc.hosted.load))
 	}
 }
 
-func (h *host) setFlowLoad(s *hostedFlow, load float64) {
-	h.load += load - s.load
-	s.load = load
+// setFlowLoad changes the load of a flow.
+func (h *host) setFlowLoad(flow *hostedFlow, load float64) {
+	h.load += load - flow.load
+	flow.load = load
 }
 
-// addToGroup counts a group's flows here; each group that has any costs its share of work.
+// addToGroup adds by to the number of a group's flows at the host. Each group with at least one flow costs the host a
+// fixed amount of work.
 func (h *host) addToGroup(group string, by int) {
 	if group == "" {
 		return
@@ -218,7 +223,7 @@
 	}
 }
 
-// sendAway sends a client away with a last word.
+// sendAway closes a flow with a closing line, MOVE or BYE.
 func (h *host) sendAway(hc *hostConn, closingLine string) {
 	h.advance()
 	h.sendToClient(hc, closingLine)
@@ -227,6 +232,7 @@
 	h.scheduleCompletion()
 }
 
+// closed implements peer.
 func (h *host) closed(c *Conn, broken bool) {
 	if hc, ok := c.peerState.(*hostConn); ok {
 		h.advance()
@@ -235,36 +241,36 @@
 	}
 }
 
-// removeConn forgets a connection.
+// removeConn removes a connection and its flow, if any.
 func (h *host) removeConn(hc *hostConn) {
 	if hc.index < 0 {
 		return
 	}
-	last := len(h.conns) - 1
-	h.conns[hc.index] = h.conns[last]
+	lastIndex := len(h.conns) - 1
+	h.conns[hc.index] = h.conns[lastIndex]
 	h.conns[hc.index].index = hc.index
-	h.conns[last] = nil
-	h.conns = h.conns[:last]
+	h.conns[lastIndex] = nil
+	h.conns = h.conns[:lastIndex]
 	hc.index = -1
 	if hc.job != nil {
 		hc.job.abandoned = true
 	}
-	if s := hc.hosted; s != nil {
-		h.setFlowLoad(s, 0)
+	if hosted := hc.hosted; hosted != nil {
+		h.setFlowLoad(hosted, 0)
 		h.addToGroup(hc.client.group, -1)
-		last := len(h.flows) - 1
-		h.flows[s.index] = h.flows[last]
-		h.flows[s.index].index = s.index
-		h.flows[last] = nil
-		h.flows = h.flows[:last]
+		lastIndex := len(h.flows) - 1
+		h.flows[hosted.index] = h.flows[lastIndex]
+		h.flows[hosted.index].index = hosted.index
+		h.flows[lastIndex] = nil
+		h.flows = h.flows[:lastIndex]
 		hc.hosted = nil
 	}
 	if len(h.flows) == 0 {
-		h.load = 0 // rounding
+		h.load = 0 // removes rounding errors
 	}
 }
 
-// loadChanged is told when the load of a client's flow has changed.
+// loadChanged applies a new load of a client to its flow.
 func (h *host) loadChanged(hc *hostConn) {
 	if hc.hosted != nil && h.state == hostRunning {
 		h.advance()
--- a/rehearsal/fleet/host_work.go
+++ b/rehearsal/fleet/host_work.go
@@ -4,46 +4,48 @@
 	"math"
 )
 
-// setupJob is a set-up or a probe in work.
+// setupJob is a set-up or a probe that a host works on or has queued.
 type setupJob struct {
-	workGoal    float64 // of done
+	workGoal    float64 // value of the host's workPerSetup at which it is done
 	conn        *hostConn
-	receivedAt  int64 // when the line came
-	work        float64
-	timeout     int64 // how long the node waits
+	receivedAt  int64   // when its line arrived
+	work        float64 // in microseconds of a core of speed 1
+	timeout     int64   // how long the node waits, in microseconds
 	isProbe     bool
-	wantsReport bool // the probe asks for the report
-	abandoned   bool // its connection is gone
+	wantsReport bool // the probe asks for a load report
+	abandoned   bool // its connection has been closed
 }
 
-// warmShare is the share of its capacity that a host has by now.
+// warmShare returns the share of its capacity that a host has at a time: it grows linearly from cold_from to 1 during
+// cold_time after its start.
 func (h *host) warmShare(at int64) float64 {
-	t := h.world.script.Fleet
-	if h.bootedAt == 0 || at >= h.bootedAt+t.ColdTime.Us() {
+	fleet := h.world.script.Fleet
+	if h.bootedAt == 0 || at >= h.bootedAt+fleet.ColdTime.Us() {
 		return 1
 	}
-	return 1 - (1-t.ColdFrom)*float64(h.bootedAt+t.ColdTime.Us()-at)/float64(t.ColdTime.Us())
+	return 1 - (1-fleet.ColdFrom)*float64(h.bootedAt+fleet.ColdTime.Us()-at)/float64(fleet.ColdTime.Us())
 }
 
-// coreRate is the work a second that one of its cores does now.
+// coreRate returns the work per second that one core does now.
 func (h *host) coreRate() float64 {
 	if h.state != hostRunning || h.pauses > 0 {
 		return 0
 	}
 	rate := coreWorkPerSecond * h.speed * h.warmShare(h.updatedAt) * (1 - h.neighbourShare) / max(h.slowdown, 1)
-	if t := h.world.script.Fleet; t.Thrash > 0 && h.backlog > 0 {
-		rate *= 1 - t.Thrash*min(h.backlog/(t.Buffer.Seconds()*rate*h.cores), 1)
+	if fleet := h.world.script.Fleet; fleet.Thrash > 0 && h.backlog > 0 {
+		rate *= 1 - fleet.Thrash*min(h.backlog/(fleet.Buffer.Seconds()*rate*h.cores), 1)
 	}
 	return rate
 }
 
-// capacity is the load of flows, of load 1 each, that fill the host when it is warm and alone.
+// capacity returns the number of flows of load 1 that saturate the host when it is warm and nothing else uses it.
 func (h *host) capacity() float64 { return h.cores * h.speed * h.world.script.Fleet.PerCore }
 
-// unitLoadRate is the work a second of a flow of load 1.
+// unitLoadRate returns the work per second of a flow of load 1.
 func (w *World) unitLoadRate() float64 { return coreWorkPerSecond / w.script.Fleet.PerCore }
 
-// workRates are the work a second that each set-up and that all messages get now.
+// workRates returns the work per second that each active set-up and that all messages together receive now. If set-ups
+// and messages demand more cores than there are, they share them evenly.
 func (h *host) workRates() (perSetup, messages float64) {
 	rate := h.coreRate()
 	if rate == 0 {
@@ -66,7 +68,7 @@
 	return perConsumer, messages
 }
 
-// advance brings the host up to now.
+// advance updates the state of the host to the current time.
 func (h *host) advance() {
 	elapsed := float64(h.world.now-h.updatedAt) / 1e6
 	if elapsed > 0 {
@@ -85,7 +87,7 @@
 	h.updatedAt = h.world.now
 }
 
-// scheduleCompletion asks for the moment at which the next set-up is done.
+// scheduleCompletion schedules the completion of the next active set-up, replacing the one scheduled before.
 func (h *host) scheduleCompletion() {
 	h.generation++
 	perSetup, _ := h.workRates()
@@ -103,45 +105,48 @@
 	})
 }
 
+// completeDue completes the active set-ups and probes whose work is done.
 func (h *host) completeDue() {
 	for len(h.activeSetups) > 0 && h.activeSetups[0].workGoal <= h.workPerSetup+0.5 {
-		j := h.popJob()
+		job := h.popJob()
 		h.startQueued()
 		switch {
-		case j.isProbe:
-			h.world.sendToNode(j.conn.Conn, h.probeAnswer(j.wantsReport), nil)
+		case job.isProbe:
+			h.world.sendToNode(job.conn.Conn, h.probeAnswer(job.wantsReport), nil)
 		case h.world.script.Store.CallRate > 0:
-			h.world.callStore(func() { h.completeSetup(j) })
+			h.world.callStore(func() { h.completeSetup(job) })
 		default:
-			h.completeSetup(j)
+			h.completeSetup(job)
 		}
 	}
 }
 
-// startQueued takes the first of the queue into work.
+// startQueued starts queued set-ups while slots are free.
 func (h *host) startQueued() {
 	slots := int(math.Ceil(h.world.script.Fleet.SlotsPerCore * h.cores))
 	for len(h.queuedSetups) > 0 && len(h.activeSetups) < slots {
-		j := h.queuedSetups[0]
+		job := h.queuedSetups[0]
 		h.queuedSetups = h.queuedSetups[1:]
 		switch {
-		case j.abandoned:
-		case h.world.now-j.receivedAt > j.timeout: // its client's time is up
-			h.refuse(j.conn, "BUSY")
+		case job.abandoned:
+		case h.world.now-job.receivedAt > job.timeout: // its connect timeout has expired
+			h.refuse(job.conn, "BUSY")
 		default:
-			h.pushJob(j)
+			h.pushJob(job)
 		}
 	}
 }
 
-func (h *host) pushJob(j *setupJob) {
-	j.workGoal = h.workPerSetup + j.work
-	h.activeSetups = append(h.activeSetups, j)
+// pushJob starts a job.
+func (h *host) pushJob(job *setupJob) {
+	job.workGoal = h.workPerSetup + job.work
+	h.activeSetups = append(h.activeSetups, job)
 	for i := len(h.activeSetups) - 1; i > 0 && h.activeSetups[i].workGoal < h.activeSetups[(i-1)/2].workGoal; i = (i - 1) / 2 {
 		h.activeSetups[i], h.activeSetups[(i-1)/2] = h.activeSetups[(i-1)/2], h.activeSetups[i]
 	}
 }
 
+// popJob removes the active job that is done first.
 func (h *host) popJob() *setupJob {
 	top := h.activeSetups[0]
 	last := len(h.activeSetups) - 1
@@ -164,37 +169,38 @@
 	}
 }
 
-// coldAllowance is how much a host may have been sent while cold, from its start up to now: what burden lets pass, without the
-// two in hand.
+// coldAllowance returns the number of connects that a host may have received while cold, from its start up to now: what
+// countColdConnect allows, without the two additional connects.
 func (h *host) coldAllowance() float64 {
-	t := h.world.script.Fleet
-	if h.bootedAt == 0 || t.ColdTime == 0 {
+	fleet := h.world.script.Fleet
+	if h.bootedAt == 0 || fleet.ColdTime == 0 {
 		return 0
 	}
-	elapsed := min(max(float64(h.world.now-h.bootedAt)/float64(t.ColdTime.Us()), 0), 1)
-	mean := (h.warmShare(h.bootedAt) + h.warmShare(h.bootedAt+int64(elapsed*float64(t.ColdTime.Us()-1)))) / 2
-	return t.FallMultiple * h.capacity() / h.world.meanLoad * mean * elapsed
+	elapsed := min(max(float64(h.world.now-h.bootedAt)/float64(fleet.ColdTime.Us()), 0), 1)
+	mean := (h.warmShare(h.bootedAt) + h.warmShare(h.bootedAt+int64(elapsed*float64(fleet.ColdTime.Us()-1)))) / 2
+	return fleet.FallMultiple * h.capacity() / h.world.meanLoad * mean * elapsed
 }
 
-// countColdConnect counts what a cold host is sent. Over the stated multiple of what it can do, for the stated time, it falls
-// over. What it can do is to fill within its warm-up, evenly, for the share that it is warm; two connects in hand are
-// let pass, as they come whole.
+// countColdConnect counts the connects that a cold host receives. If they exceed fall_multiple times what it can handle
+// over fall_after, it falls over. What it can handle is an even rate that would saturate it within its warm-up, multiplied
+// by the share that it is warm. Two additional connects are allowed because connects arrive one by one, and so are
+// fall_roots times the square root of the limit, which are attributed to chance.
 func (h *host) countColdConnect() {
-	t := h.world.script.Fleet
-	if h.bootedAt == 0 || h.world.now >= h.bootedAt+t.ColdTime.Us() {
+	fleet := h.world.script.Fleet
+	if h.bootedAt == 0 || h.world.now >= h.bootedAt+fleet.ColdTime.Us() {
 		h.coldConnects = nil
 		return
 	}
 	h.world.run.Hosts[h.index].ColdSent++
 	h.coldConnects = append(h.coldConnects, h.world.now)
-	for len(h.coldConnects) > 0 && h.coldConnects[0] <= h.world.now-t.FallAfter.Us() {
+	for len(h.coldConnects) > 0 && h.coldConnects[0] <= h.world.now-fleet.FallAfter.Us() {
 		h.coldConnects = h.coldConnects[1:]
 	}
-	middle := max(h.bootedAt, h.world.now-t.FallAfter.Us()/2)
-	expected := h.capacity() / h.world.meanLoad / t.ColdTime.Seconds() * h.warmShare(middle) * t.FallAfter.Seconds()
+	middle := max(h.bootedAt, h.world.now-fleet.FallAfter.Us()/2)
+	expected := h.capacity() / h.world.meanLoad / fleet.ColdTime.Seconds() * h.warmShare(middle) * fleet.FallAfter.Seconds()
 	ratio := (float64(len(h.coldConnects)) - 2) / expected
 	h.peakColdRatio = max(h.peakColdRatio, ratio)
-	if allowed := t.FallMultiple * expected; float64(len(h.coldConnects)) > allowed+t.FallRoots*math.Sqrt(allowed)+2 {
+	if allowed := fleet.FallMultiple * expected; float64(len(h.coldConnects)) > allowed+fleet.FallRoots*math.Sqrt(allowed)+2 {
 		h.fellOver = true
 		h.world.run.Hosts[h.index].FellAt = h.world.now
 		h.world.run.Counts.Falls++
@@ -202,20 +208,23 @@
 	}
 }
 
-// messageQuality is the share of messages that are answered within a target now: none while more is piled up than the
-// target allows, and fewer as the host nears its capacity.
+// messageQuality returns the share of messages that are answered within a target, in microseconds, now. It is 0 while the
+// backlog alone takes longer than the target, and decreases as the host approaches its capacity.
 func (h *host) messageQuality(target int64) float64 {
 	rate := h.coreRate()
 	if rate == 0 {
 		return 0
 	}
-	left := float64(target)/1e6 - h.backlog/(rate*h.cores)
-	if left <= 0 {
+	remaining := float64(target)/1e6 - h.backlog/(rate*h.cores)
+	if remaining <= 0 {
 		return 0
 	}
 	message := h.world.unitLoadRate() * float64(h.world.script.Clients.LineInterval) / 1e6 / rate / messagesPerLine
-	free := 1 - min(h.load/(rate*h.cores), 0.999)
-	return 1 - math.Exp(-left*free/message)
+	free := 1 - min(h.load/(rate*h.cores), maxMessageLoad)
+	return 1 - math.Exp(-remaining*free/message)
 }
 
-const messagesPerLine = 16 // messages among which the work between two lines of a client is spread
+const (
+	messagesPerLine = 16    // number of messages over which the work between two lines of a client is spread
+	maxMessageLoad  = 0.999 // share of the capacity above which message times grow no further
+)
--- a/rehearsal/fleet/links.go
+++ b/rehearsal/fleet/links.go
@@ -7,56 +7,58 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// The links between nodes: datagrams, each on its own. What the network does to them is drawn from a source of its own.
+// The links between nodes carry datagrams, each independent of the others. What happens to them in the network is drawn
+// from a random source of its own.
 
-// linkFault is one fault of links in force.
+// linkFault is a fault of links in force.
 type linkFault struct {
 	*scenario.Fault
-	from, to []bool // by node; to is nil where both ways between those and the others are meant
-	part     []int  // by node, for a split
+	fromNodes, toNodes []bool // by node; toNodes is nil if the fault is about all other nodes
+	parts              []int  // for a split, the part of each node
 }
 
 const (
-	maxSeenDatagrams = 4096 // datagrams kept to be sent again
-	maxReplayDelay   = 4 * second
+	maxSeenDatagrams = 4096       // number of datagrams kept for replay
+	maxReplayDelay   = 4 * second // until a replayed datagram arrives
+	maxReorderDelay  = 2 * second // added to a datagram that others overtake
 )
 
-// seenDatagram is one that passed, for faults that send it again.
+// seenDatagram is a datagram that was delivered, kept for replay.
 type seenDatagram struct {
 	from, to int
 	payload  []byte
 }
 
-// affects tells whether a fault is about what goes from one node to another.
+// affects reports whether a fault is about datagrams from one node to another.
 func (f *linkFault) affects(from, to int) bool {
 	switch {
-	case f.part != nil:
-		return f.part[from] != f.part[to]
-	case f.to != nil:
-		return f.from[from] && f.to[to]
+	case f.parts != nil:
+		return f.parts[from] != f.parts[to]
+	case f.toNodes != nil:
+		return f.fromNodes[from] && f.toNodes[to]
 	case f.Kind == "link_mute", f.Kind == "link_liar":
-		return f.from[from]
+		return f.fromNodes[from]
 	case f.Kind == "link_cut":
-		return f.from[from] != f.from[to]
+		return f.fromNodes[from] != f.fromNodes[to]
 	}
-	return f.from[from] || f.from[to]
+	return f.fromNodes[from] || f.fromNodes[to]
 }
 
-// injectLinkFault begins a fault of links.
+// injectLinkFault starts a fault of the links of some nodes, or of those between them and the nodes in to.
 func (w *World) injectLinkFault(f *scenario.Fault, nodes, to []int) {
-	fault := &linkFault{Fault: f, from: make([]bool, len(w.nodes))}
+	fault := &linkFault{Fault: f, fromNodes: make([]bool, len(w.nodes))}
 	for _, n := range nodes {
-		fault.from[n] = true
+		fault.fromNodes[n] = true
 	}
 	if len(to) > 0 {
-		fault.to = make([]bool, len(w.nodes))
+		fault.toNodes = make([]bool, len(w.nodes))
 		for _, n := range to {
-			fault.to[n] = true
+			fault.toNodes[n] = true
 		}
 	}
 	if f.Kind == "link_split" {
 		for n := range w.nodes {
-			fault.part = append(fault.part, n%f.Parts)
+			fault.parts = append(fault.parts, n%f.Parts)
 		}
 	}
 	w.linkFaults = append(w.linkFaults, fault)
@@ -65,21 +67,21 @@
 	})
 }
 
-// Told is a datagram that a node sends another. It comes, or does not, or comes as something else.
+// Told sends a datagram from a node to another. Faults may lose, delay, duplicate or change it.
 func (w *World) Told(from, to int, payload []byte) {
 	w.run.Counts.Datagrams++
 	w.run.Counts.DatagramBytes += len(payload)
 	random := w.linkRand
-	a, b := w.nodes[from].zone, w.nodes[to].zone
-	if a != b && (w.zoneLinks[a].cuts > 0 || w.zoneLinks[b].cuts > 0) {
+	fromZone, toZone := w.nodes[from].zone, w.nodes[to].zone
+	if fromZone != toZone && (w.zoneLinks[fromZone].cuts > 0 || w.zoneLinks[toZone].cuts > 0) {
 		return
 	}
 	base := w.script.Network.SameZone.Us()
-	if a != b {
-		base = w.script.Network.CrossZone.Us() + w.zoneLinks[a].addedDelay + w.zoneLinks[b].addedDelay
+	if fromZone != toZone {
+		base = w.script.Network.CrossZone.Us() + w.zoneLinks[fromZone].addedDelay + w.zoneLinks[toZone].addedDelay
 	}
-	j := w.script.Network.Jitter
-	copies, delay := 1, int64(float64(base)*(1-j+2*j*random.Float64()))
+	jitter := w.script.Network.Jitter
+	copies, delay := 1, int64(float64(base)*(1-jitter+2*jitter*random.Float64()))
 	for _, f := range w.linkFaults {
 		if !f.affects(from, to) {
 			continue
@@ -99,7 +101,7 @@
 			}
 		case "link_mixed":
 			if random.Float64() < f.Size {
-				delay += 2 * second * int64(random.IntN(1000)) / 1000
+				delay += maxReorderDelay * int64(random.IntN(1000)) / 1000
 			}
 		case "link_bent":
 			if random.Float64() < f.Size {
@@ -122,6 +124,7 @@
 	}
 }
 
+// deliverDatagram delivers a datagram after a delay, if the receiving node runs then.
 func (w *World) deliverDatagram(from, to int, payload []byte, delay int64) {
 	w.after(max(delay, 1), func() {
 		if w.nodes[to].running {
@@ -130,7 +133,7 @@
 	})
 }
 
-// replayDatagram sends something that passed before once more, to the node that it was for.
+// replayDatagram may send a datagram that was delivered before once more, to the same node.
 func (w *World) replayDatagram(f *linkFault, random *rand.Rand) {
 	if len(w.seenDatagrams) > 0 && random.Float64() < f.Size {
 		d := w.seenDatagrams[random.IntN(len(w.seenDatagrams))]
--- a/rehearsal/fleet/net.go
+++ b/rehearsal/fleet/net.go
@@ -1,26 +1,30 @@
 package fleet
 
-// path is the path between a node and a zone; clients are in none.
+// path is the network path between a node and a zone, given by index. Clients are in no zone.
 type path struct{ node, zone int }
 
 const noZone = -1
 
-// zoneLink is what the network does to the ways between a zone and the others.
+// zoneLink holds the faults in force on the network between a zone and the other zones.
 type zoneLink struct {
-	cuts       int // cuts in force
-	addedDelay int64
+	cuts       int   // number of cuts in force
+	addedDelay int64 // in microseconds
 }
 
-// crossesZones tells whether a way leads from one zone to another.
+// maxRetransmitDelay bounds the time until data lost in a cut is retransmitted, in microseconds.
+const maxRetransmitDelay = 200_000
+
+// crossesZones reports whether a path leads from one zone to another.
 func (w *World) crossesZones(p path) bool {
 	return p.zone != noZone && p.zone != w.nodes[p.node].zone
 }
 
+// isCut reports whether a cut is in force on a path.
 func (w *World) isCut(p path) bool {
 	return w.crossesZones(p) && (w.zoneLinks[p.zone].cuts > 0 || w.zoneLinks[w.nodes[p.node].zone].cuts > 0)
 }
 
-// drawLatency is one way's time for one message.
+// drawLatency draws the one-way delay of one message on a path, in microseconds.
 func (w *World) drawLatency(p path) int64 {
 	base := w.script.Network.SameZone.Us()
 	switch {
@@ -33,7 +37,8 @@
 	return max(int64(float64(base)*(1-jitter+2*jitter*w.networkRand.Float64())), 1)
 }
 
-// transmit brings something over a way, after all that was sent on it before. What meets a cut waits for its end.
+// transmit runs action when what is sent now arrives, which is after everything sent in the same direction before. During
+// a cut it waits for the end of the cut.
 func (w *World) transmit(c *Conn, d *direction, action func()) {
 	if d.blocked || w.isCut(c.path) {
 		d.waiting = append(d.waiting, action)
@@ -52,7 +57,7 @@
 	w.At(at, action)
 }
 
-// resumeAfterCut lets go what waited for the end of a cut.
+// resumeAfterCut transmits what has waited for the end of a cut.
 func (w *World) resumeAfterCut() {
 	directions, conns := w.blockedDirections, w.blockedConns
 	w.blockedDirections, w.blockedConns = nil, nil
@@ -71,5 +76,3 @@
 		}
 	}
 }
-
-const maxRetransmitDelay = 200_000 // what was lost is sent again within this
--- a/rehearsal/fleet/node_config.go
+++ b/rehearsal/fleet/node_config.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// Conf is what a node is told at its start, as the JSON text of its file.
+// Conf is the configuration of a node's process. JSON is the text of its configuration file, which contains the others.
 type Conf struct {
 	Name      string
-	Listen    string
-	Discovery string
-	Known     string // the list it had last, in discovery's form
+	Listen    string // address for clients
+	Discovery string // address of discovery
+	Known     string // last list of hosts, in the format of discovery
 	Seed      uint64
-	Settings  string
-	JSON      string // all of it
+	Settings  string // JSON text
+	JSON      string
 }
 
-// nodeConfig is what a node is told.
+// nodeConfig returns the configuration for a new process of a node.
 func (w *World) nodeConfig(n *nodeState) Conf {
 	c := Conf{Name: n.name, Listen: n.name, Discovery: w.environment.Discovery(n.index, n.reloads%2),
 		Seed: w.seed*0x9e3779b97f4a7c15 + uint64(n.index)*1000003 + uint64(n.starts)}
@@ -43,27 +43,28 @@
 	return c
 }
 
-func (w *World) adminJSON(no int) string {
+// adminJSON returns the member for the admin address with a comma after it, or nothing if there is none.
+func (w *World) adminJSON(index int) string {
 	if w.environment.Admin == nil {
 		return ""
 	}
-	return fmt.Sprintf(`"admin":%q,`, w.environment.Admin(no))
+	return fmt.Sprintf(`"admin":%q,`, w.environment.Admin(index))
 }
 
-// clusterJSON is the part of a node's file about its fleet, with the comma behind it; empty where it is off.
-func (w *World) clusterJSON(no int) string {
+// clusterJSON returns the member for the cluster of nodes with a comma after it, or nothing if it is off.
+func (w *World) clusterJSON(index int) string {
 	if !w.script.Cluster.On {
 		return ""
 	}
 	if w.script.Cluster.Alone || w.environment.Links == nil || len(w.nodes) < 2 {
 		return fmt.Sprintf(`"cluster":{"on":true%s},`, w.limitsJSON())
 	}
-	listen, others := w.environment.Links(no)
+	listen, others := w.environment.Links(index)
 	text, _ := json.Marshal(others)
 	return fmt.Sprintf(`"cluster":{"on":true,"listen":%q,"nodes":%s%s},`, listen, text, w.limitsJSON())
 }
 
-// limitsJSON is the limits of the fleet, with the comma before them; empty where there are none.
+// limitsJSON returns the member for the limits of the fleet with a comma before it, or nothing if there are none.
 func (w *World) limitsJSON() string {
 	var all []string
 	for _, l := range w.script.FleetLimits() {
@@ -75,9 +76,10 @@
 	return `,"limits":[` + strings.Join(all, ",") + "]"
 }
 
+// effectNames maps the effects of service types in scripts to those in the nodes' settings.
 var effectNames = map[string]string{"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
 
-// settingsJSON are a node's, with the platform's names.
+// settingsJSON returns the settings of a node, under the platform's names.
 func (w *World) settingsJSON(n *nodeState) string {
 	s := w.script
 	var types, messageAims []string
--- a/rehearsal/fleet/nodes.go
+++ b/rehearsal/fleet/nodes.go
@@ -4,26 +4,27 @@
 	"fmt"
 )
 
-// nodeState is what the world knows of a node.
+// nodeState is the world's view of a node.
 type nodeState struct {
 	index         int
 	name          string
 	zone          int
-	starts        int // how often it has started
+	starts        int // number of processes started so far
 	running       bool
-	listening     bool
-	stopping      bool
-	inRotation    bool // the front deals clients to it
+	listening     bool // accepts connections
+	stopping      bool // asked to stop
+	inRotation    bool // the front-end load balancer sends clients to it
 	conns         []*Conn
-	hostView      []hostEntry // of hosts, as it was told last
-	revision      int64
-	lastAskedAt   int64 // when it last asked discovery, or had a watch
-	reloads       int   // which address of discovery it has
-	starvedShares []float64
-	pauses        int
-	clients       []*client // whose client waits for an answer or has one here
+	hostView      []hostEntry // what discovery reported to it last, by host
+	revision      int64       // of the last list
+	lastAskedAt   int64       // when it last called discovery or had a subscription
+	reloads       int         // number of reloads, which selects the address of discovery
+	starvedShares []float64   // shares of its core that the faults in force take
+	pauses        int         // number of pauses in force
+	clients       []*client   // clients that wait for an answer or are established through it
 }
 
+// makeNodes creates the nodes of the script.
 func (w *World) makeNodes() {
 	for _, g := range w.script.Nodes {
 		for range g.Count {
@@ -35,9 +36,9 @@
 	}
 }
 
-// Ready is that a node takes connections.
-func (w *World) Ready(no int) {
-	n := w.nodes[no]
+// Ready reports that a node accepts connections. Health checks start.
+func (w *World) Ready(node int) {
+	n := w.nodes[node]
 	if !n.running || n.listening {
 		return
 	}
@@ -45,9 +46,9 @@
 	w.startHealthCheck(n)
 }
 
-// startNode begins a new process of a node, with nothing but its last list.
-func (w *World) startNode(no int) {
-	n := w.nodes[no]
+// startNode starts a new process of a node, which knows nothing but the last list of hosts.
+func (w *World) startNode(index int) {
+	n := w.nodes[index]
 	n.starts++
 	n.running, n.listening, n.stopping, n.lastAskedAt = true, false, false, w.now
 	if n.starts > 1 {
@@ -57,12 +58,13 @@
 			}
 		}
 	}
-	w.player.Start(no, w.nodeConfig(n))
+	w.player.Start(index, w.nodeConfig(n))
 }
 
-// nodeEnded is the end of a node's process: its connections break.
-func (w *World) nodeEnded(no int) {
-	n := w.nodes[no]
+// nodeEnded handles the end of a node's process: its connections break, and the front-end load balancer notices after a
+// delay.
+func (w *World) nodeEnded(index int) {
+	n := w.nodes[index]
 	n.running, n.listening = false, false
 	conns := n.conns
 	n.conns = nil
@@ -80,37 +82,44 @@
 	})
 }
 
-func (w *World) killNode(no int, down int64) {
-	n := w.nodes[no]
+// killNode kills the process of a node, if it runs, and starts a new one after downtime microseconds.
+func (w *World) killNode(index int, downtime int64) {
+	n := w.nodes[index]
 	if n.running {
-		w.player.Kill(no)
-		w.nodeEnded(no)
+		w.player.Kill(index)
+		w.nodeEnded(index)
 	}
 	starts := n.starts
-	w.after(down, func() {
+	w.after(downtime, func() {
 		if n.starts == starts && !n.running {
-			w.startNode(no)
+			w.startNode(index)
 		}
 	})
 }
 
-// stopNode tells a node to end in order, kills it when its time is over, and starts it again.
-func (w *World) stopNode(no int, down int64) {
-	n := w.nodes[no]
+const (
+	rotationDelay = 300_000    // microseconds for which a stopping node still gets new clients
+	maxDrainWait  = 3 * second // longest time that a stopping node gets for its flows in set-up
+	stopMargin    = 700_000    // microseconds that it gets beyond that
+)
+
+// stopNode asks a node to stop, kills it if it has not ended in time, and starts it again after downtime microseconds.
+func (w *World) stopNode(index int, downtime int64) {
+	n := w.nodes[index]
 	if !n.running || n.stopping {
 		return
 	}
 	starts := n.starts
 	n.stopping = true
-	w.player.Stop(no)
-	w.after(300_000, func() { n.inRotation = n.inRotation && (n.starts != starts) }) // new clients go on coming for a while
+	w.player.Stop(index)
+	w.after(rotationDelay, func() { n.inRotation = n.inRotation && (n.starts != starts) })
 	longest := int64(0)
 	for _, t := range w.run.Types {
 		longest = max(longest, t.Timeout)
 	}
-	w.after(min(longest, 3*second)+700_000, func() {
+	w.after(min(longest, maxDrainWait)+stopMargin, func() {
 		if n.starts == starts {
-			w.killNode(no, down)
+			w.killNode(index, downtime)
 		}
 	})
 }
--- a/rehearsal/fleet/observe.go
+++ b/rehearsal/fleet/observe.go
@@ -8,59 +8,63 @@
 	"coursewinch/rehearsal/record"
 )
 
-// pendingBytes is what a node has been given to pass on and has not yet.
+// pendingBytes counts the bytes that a node has received and has to forward.
 type pendingBytes struct {
-	received, forwarded int64
+	received, forwarded int64 // totals
 	chunks              []pendingChunk
 }
 
+// pendingChunk is data that has been received at one time.
 type pendingChunk struct {
-	endOffset  int64
+	endOffset  int64 // total of received bytes at its end
 	receivedAt int64
 }
 
-func (b *pendingBytes) add(n int, now int64) {
-	b.received += int64(n)
-	b.chunks = append(b.chunks, pendingChunk{b.received, now})
+// add counts n bytes received at the time now.
+func (p *pendingBytes) add(n int, now int64) {
+	p.received += int64(n)
+	p.chunks = append(p.chunks, pendingChunk{p.received, now})
 }
 
-// forward gives the longest time that what went just now had been held.
-func (b *pendingBytes) forward(n int, now int64) (held int64) {
-	b.forwarded += int64(n)
-	for len(b.chunks) > 0 && b.chunks[0].endOffset <= b.forwarded {
-		held = max(held, now-b.chunks[0].receivedAt)
-		b.chunks = b.chunks[1:]
+// forward counts n bytes forwarded at the time now, and returns the longest time for which any of them had been held.
+func (p *pendingBytes) forward(n int, now int64) (held int64) {
+	p.forwarded += int64(n)
+	for len(p.chunks) > 0 && p.chunks[0].endOffset <= p.forwarded {
+		held = max(held, now-p.chunks[0].receivedAt)
+		p.chunks = p.chunks[1:]
 	}
 	return held
 }
 
+// maxHoldTime is the time for which a node may hold data or the end of a flow without a note in the record, in
+// microseconds.
 const maxHoldTime = second + 50_000
 
-// observeNodeData looks at what a node sends: a connect's line on its way to a host, or what it owed.
-func (w *World) observeNodeData(c *Conn, p []byte) {
+// observeNodeData examines what a node sends: the line of a connect, data forwarded to a host, or data for a client.
+func (w *World) observeNodeData(c *Conn, data []byte) {
 	switch {
 	case c.Host >= 0 && !c.nodeSent:
 		c.nodeSent = true
-		w.observeConnect(c, p)
+		w.observeConnect(c, data)
 	case c.Host >= 0 && c.client != nil && c.client.flow == c.flow:
-		if held := c.client.pendingToHost.forward(len(p), w.now); held > maxHoldTime {
+		if held := c.client.pendingToHost.forward(len(data), w.now); held > maxHoldTime {
 			c.flow.Add(record.Event{At: w.now, Kind: record.Held, Host: c.Host, Try: c.attempt, Text: "to the host", Value: held})
 		}
 	case c.Host < 0:
-		w.observeAnswer(c, p)
+		w.observeAnswer(c, data)
 		if cl, ok := c.peer.(*client); ok && cl.conn == c {
-			cl.observeForwarded(p)
+			cl.observeForwarded(data)
 		}
 	}
 }
 
-// observeAnswer notes what a node sends a client after a final answer that was not UP.
-func (w *World) observeAnswer(c *Conn, p []byte) {
-	if c.clientFlow == nil || bytes.HasPrefix(p, []byte("UP ")) && !c.finalSent || c.upSent {
+// observeAnswer records every line that a node sends a client after a final answer other than UP.
+func (w *World) observeAnswer(c *Conn, data []byte) {
+	if c.clientFlow == nil || bytes.HasPrefix(data, []byte("UP ")) && !c.finalSent || c.upSent {
 		c.upSent = true
 		return
 	}
-	for _, line := range bytes.Split(bytes.TrimSuffix(p, []byte("\n")), []byte("\n")) {
+	for _, line := range bytes.Split(bytes.TrimSuffix(data, []byte("\n")), []byte("\n")) {
 		if c.finalSent {
 			c.clientFlow.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: string(line)})
 		}
@@ -68,9 +72,9 @@
 	}
 }
 
-// observeConnect notes that a flow's line leaves for a host.
-func (w *World) observeConnect(c *Conn, p []byte) {
-	rest, ok := strings.CutPrefix(string(p), "OPEN ")
+// observeConnect records that a node sends the line of a flow to a host.
+func (w *World) observeConnect(c *Conn, data []byte) {
+	rest, ok := strings.CutPrefix(string(data), "OPEN ")
 	id, _, _ := strings.Cut(rest, " ")
 	f := w.flowByID[id]
 	if !ok || f == nil {
@@ -82,22 +86,23 @@
 	f.Add(record.Event{At: w.now, Kind: record.Sent, Host: c.Host, Try: c.attempt})
 }
 
-// observeForwarded looks at what the node sends a client.
-func (cl *client) observeForwarded(b []byte) {
-	n := len(b)
+// observeForwarded examines data that a node sends a client, and records if it has been held too long.
+func (cl *client) observeForwarded(data []byte) {
+	n := len(data)
 	if !cl.upSent {
-		if !strings.HasPrefix(string(b), "UP ") {
+		if !strings.HasPrefix(string(data), "UP ") {
 			return
 		}
 		cl.upSent = true
-		n -= strings.IndexByte(string(b), '\n') + 1
+		n -= strings.IndexByte(string(data), '\n') + 1
 	}
 	if held := cl.pendingToClient.forward(n, cl.world.now); held > maxHoldTime {
 		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Held, Host: -1, Text: "to the client", Value: held})
 	}
 }
 
-// observeNodeClose notes that a node ends its side of a connection.
+// observeNodeClose records that a node closes its side of a connection: that it ends a connect, or that it has told a
+// client of the end of its flow too late.
 func (w *World) observeNodeClose(c *Conn) {
 	if c.flow != nil {
 		c.flow.Add(record.Event{At: w.now, Kind: record.Stopped, Host: c.Host, Try: c.attempt})
@@ -109,7 +114,7 @@
 	}
 }
 
-// observeHostClose notes that a node has heard of the end of a host's side.
+// observeHostClose records that a node has been notified of the end of a host's side.
 func (w *World) observeHostClose(c *Conn) {
 	if c.flow == nil {
 		return
@@ -120,11 +125,12 @@
 	}
 }
 
-func (w *World) recordInvalidLine(hc *hostConn, why string) {
+// recordInvalidLine records a line that a host cannot use.
+func (w *World) recordInvalidLine(hc *hostConn, reason string) {
 	if hc.flow != nil {
-		hc.flow.Add(record.Event{At: w.now, Kind: record.Nonsense, Host: hc.Host, Try: hc.attempt, Text: why})
+		hc.flow.Add(record.Event{At: w.now, Kind: record.Nonsense, Host: hc.Host, Try: hc.attempt, Text: reason})
 		return
 	}
 	w.run.Strange = append(w.run.Strange, fmt.Sprintf("%.6f s: n-%d sent h-%d what no client sent: %.80s",
-		float64(w.now)/1e6, hc.Node, hc.Host, why))
+		float64(w.now)/1e6, hc.Node, hc.Host, reason))
 }
--- a/rehearsal/fleet/world.go
+++ b/rehearsal/fleet/world.go
@@ -1,3 +1,8 @@
+// Package fleet emulates everything around the nodes in a rehearsal: hosts, the network, discovery, the front-end load
+// balancer, clients and faults. It has no I/O and no wall clock, and all its randomness comes from one seed. The nodes
+// themselves run in virtual time or on sockets and are passed in as a NodePlayer.
+//
+// Times are in microseconds from the start of the run unless stated otherwise.
 package fleet
 
 import (
@@ -8,18 +13,19 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// Places are the addresses of a run; in virtual time they are names, on sockets addresses of 127.0.0.0/8.
+// Places holds the addresses of a run and the time of its start. In virtual time addresses are names, on sockets they
+// are addresses in 127.0.0.0/8.
 type Places struct {
-	Listen    func(node int) string                           // where clients reach a node
-	Host      func(node, host int) string                     // where a node reaches a host; nil: the same for all
-	Admin     func(node int) string                           // where operators reach a node; nil: nowhere
-	Links     func(node int) (listen string, others []string) // of its links with other nodes; nil where they have no addresses
-	Discovery func(node, which int) string                    // of its two addresses; a reload goes from one to the other
-	Epoch     int64                                           // the time of day at the start, microseconds since 1970
-	Lead      int64                                           // for the nodes to start before the run; a whole number of tenths of a second
+	Listen    func(node int) string                           // address at which clients reach a node; nil: the node's name
+	Host      func(node, host int) string                     // address at which a node reaches a host; nil: the same for all nodes
+	Admin     func(node int) string                           // address at which operators reach a node; nil: none
+	Links     func(node int) (listen string, others []string) // addresses of a node's links with the other nodes; nil if they have none
+	Discovery func(node, which int) string                    // the two addresses of discovery; a reload switches between them
+	Epoch     int64                                           // time of day at the start, in microseconds since 1970
+	Lead      int64                                           // time for the nodes to start before the run, in microseconds; a multiple of 100 ms
 }
 
-// World is one rehearsal.
+// World is one rehearsal with everything around its nodes.
 type World struct {
 	script      *scenario.Script
 	player      NodePlayer
@@ -30,35 +36,35 @@
 	queue       eventQueue
 
 	nodes             []*nodeState
-	nodesByZone       [][]*nodeState // by zone
+	nodesByZone       [][]*nodeState
 	hosts             []*host
 	hostByAddress     map[string]*host
-	meanCapacity      float64
-	meanLoad          float64 // of a flow, over all service types
+	meanCapacity      float64 // cores times speed of a host, on average
+	meanLoad          float64 // of a flow, averaged over the service types by share
 	zoneLinks         []zoneLink
-	blockedDirections []*direction
-	blockedConns      []*Conn
+	blockedDirections []*direction // directions that wait for the end of a cut
+	blockedConns      []*Conn      // the connection of each blocked direction
 	discovery         *discovery
-	storeBusyUntil    int64
-	storeSlowdown     float64
+	storeBusyUntil    int64   // when the store has served the calls that wait
+	storeSlowdown     float64 // factor by which faults slow the store down
 
 	networkRand, badClientRand *rand.Rand
 	linkRand                   *rand.Rand
 	linkFaults                 []*linkFault
 	seenDatagrams              []seenDatagram
 	demandRand                 *rand.Rand
-	clients                    []*client // that are not over
+	clients                    []*client // all clients started so far
 	flowByID                   map[string]*record.Flow
 	clientByFlowID             map[string]*client
-	demandByType               []float64 // clients that want a connection, by type
+	demandByType               []float64 // number of clients that want a connection, by service type
 	flowCount                  uint64
 	clientCount                uint64
 	run                        *record.Run
-	currentSecond              record.Second
+	currentSecond              record.Second // service in the second in progress
 	recordClosed               bool
 }
 
-// New sets up a rehearsal; Begin starts it.
+// New sets up a rehearsal of a script. Begin starts it.
 func New(s *scenario.Script, seed uint64, player NodePlayer, environment Places) *World {
 	w := &World{script: s, player: player, environment: environment, seed: seed, epoch: environment.Epoch, hostByAddress: map[string]*host{},
 		flowByID: map[string]*record.Flow{}, clientByFlowID: map[string]*client{}, zoneLinks: make([]zoneLink, len(s.Zones)),
@@ -90,6 +96,7 @@
 	return w
 }
 
+// makeHosts creates the hosts of the script. The speed of each varies by up to 5 % around that of its group.
 func (w *World) makeHosts() {
 	random := w.newRand(randHosts)
 	for _, g := range w.script.Hosts {
@@ -121,6 +128,7 @@
 	}
 }
 
+// endpoint returns the address at which a node reaches a host.
 func (w *World) endpoint(node int, h *host) string {
 	if w.environment.Host != nil {
 		return w.environment.Host(node, h.index)
@@ -128,6 +136,7 @@
 	return h.address
 }
 
+// zoneIndex returns the index of a zone, or 0 for an unknown name.
 func (w *World) zoneIndex(name string) int {
 	for i, z := range w.script.Zones {
 		if z == name {
@@ -137,10 +146,10 @@
 	return 0
 }
 
-// Begin starts the nodes and all that is planned.
+// Begin starts the nodes and schedules faults, demand and the periodic work.
 func (w *World) Begin() {
 	for _, n := range w.nodes {
-		for _, e := range w.discovery.entries { // each begins with the list as it is
+		for _, e := range w.discovery.entries { // each node starts with the current list
 			if e.state != "" {
 				n.hostView[e.host] = e
 			}
@@ -157,44 +166,55 @@
 	w.after(tickInterval, w.tick)
 }
 
+// discoveryTick sends the updates of discovery and schedules itself again.
 func (w *World) discoveryTick() {
 	w.discovery.sendUpdates()
 	w.applyMissedUpdates()
 	w.after(w.script.Discovery.UpdatePeriod.Us(), w.discoveryTick)
 }
 
-// tick goes through hosts and counts service.
+// tick updates all hosts, accounts for the service of the last interval and schedules itself again.
 func (w *World) tick() {
 	const tickSeconds = float64(tickInterval) / 1e6
 	for _, h := range w.hosts {
 		h.tick()
 	}
 	if w.now > 0 && w.now <= w.run.Length {
-		if w.currentSecond.Wanted == nil {
-			w.currentSecond = record.Second{Wanted: make([]float64, len(w.script.Types)), Served: make([]float64, len(w.script.Types))}
-		}
-		for t, serviceType := range w.script.Types {
-			w.currentSecond.Wanted[t] += w.demandByType[t] * serviceType.Benefit * tickSeconds
-			for _, h := range w.hosts {
-				if h.clientsByType[t] > 0 {
-					w.currentSecond.Served[t] += h.clientsByType[t] * serviceType.Benefit * tickSeconds * h.messageQuality(serviceType.MessageTarget.Us())
-				}
-			}
-		}
+		w.addService(tickSeconds)
 		if w.now%second == 0 {
-			w.run.Seconds = append(w.run.Seconds, w.currentSecond)
-			w.currentSecond = record.Second{}
-			for _, h := range w.hosts {
-				result := &w.run.Hosts[h.index]
-				result.Most, result.ColdMay = h.peakColdRatio, h.coldAllowance()
-				result.Load = append(result.Load, h.load/max(h.coreRate()*h.cores, 1))
-			}
+			w.finishSecond()
 		}
 	}
 	w.after(tickInterval, w.tick)
 }
 
-// End is when the last answer must have come.
+// addService adds the benefit wanted and served during a tick to the current second.
+func (w *World) addService(tickSeconds float64) {
+	if w.currentSecond.Wanted == nil {
+		w.currentSecond = record.Second{Wanted: make([]float64, len(w.script.Types)), Served: make([]float64, len(w.script.Types))}
+	}
+	for t, serviceType := range w.script.Types {
+		w.currentSecond.Wanted[t] += w.demandByType[t] * serviceType.Benefit * tickSeconds
+		for _, h := range w.hosts {
+			if h.clientsByType[t] > 0 {
+				w.currentSecond.Served[t] += h.clientsByType[t] * serviceType.Benefit * tickSeconds * h.messageQuality(serviceType.MessageTarget.Us())
+			}
+		}
+	}
+}
+
+// finishSecond records the service of the current second and the load of each host.
+func (w *World) finishSecond() {
+	w.run.Seconds = append(w.run.Seconds, w.currentSecond)
+	w.currentSecond = record.Second{}
+	for _, h := range w.hosts {
+		result := &w.run.Hosts[h.index]
+		result.Most, result.ColdMay = h.peakColdRatio, h.coldAllowance()
+		result.Load = append(result.Load, h.load/max(h.coreRate()*h.cores, 1))
+	}
+}
+
+// End returns the time by which the last answer must have arrived, in microseconds from the start of the run.
 func (w *World) End() int64 {
 	longest := scenario.Span(0)
 	for _, t := range w.script.Types {
@@ -203,7 +223,7 @@
 	return w.run.Length + longest.Us() + second
 }
 
-// Run closes the record and gives it.
+// Run closes the record of the run and returns it.
 func (w *World) Run() *record.Run {
 	if !w.recordClosed {
 		w.recordClosed = true
@@ -214,9 +234,10 @@
 	return w.run
 }
 
-// callStore is a call to the service that set-ups need: one after another.
-func (w *World) callStore(then func()) {
+// callStore calls the store, a service that each set-up needs, and runs done after the call. The store serves one call
+// after another.
+func (w *World) callStore(done func()) {
 	wait := w.script.Store.CallTime.Us()
 	w.storeBusyUntil = max(w.storeBusyUntil, w.now) + int64(1e6/w.script.Store.CallRate*w.storeSlowdown)
-	w.At(w.storeBusyUntil+int64(float64(wait)*w.storeSlowdown), then)
+	w.At(w.storeBusyUntil+int64(float64(wait)*w.storeSlowdown), done)
 }
--- a/rehearsal/scenario/flows.go
+++ b/rehearsal/scenario/flows.go
@@ -15,13 +15,13 @@
 
 // WriteFlows writes clients as a file that Demand.Flows can name: one a line, group - for none.
 func WriteFlows(to io.Writer, s *Script, all []Recorded) error {
-	b := bufio.NewWriter(to)
-	fmt.Fprintln(b, flowsHeader)
-	for _, r := range all {
-		group := cmp.Or(r.Group, "-")
-		fmt.Fprintf(b, "%d %s %s %s %s %s %d\n", r.At, s.Types[r.Type].Name, s.Zones[r.Zone], group, r.Key, formatLoads(r.Loads), r.Life)
+	w := bufio.NewWriter(to)
+	fmt.Fprintln(w, flowsHeader)
+	for _, client := range all {
+		group := cmp.Or(client.Group, "-")
+		fmt.Fprintf(w, "%d %s %s %s %s %s %d\n", client.At, s.Types[client.Type].Name, s.Zones[client.Zone], group, client.Key, formatLoads(client.Loads), client.Life)
 	}
-	return b.Flush()
+	return w.Flush()
 }
 
 // readFlows reads the file that Demand.Flows names, beside the script.
@@ -45,12 +45,12 @@
 		if text == "" || text[0] == '#' {
 			continue
 		}
-		r, err := s.parseRecorded(strings.Fields(text))
+		client, err := s.parseRecorded(strings.Fields(text))
 		if err != nil {
 			p.all = append(p.all, problem{p.lines["demand.flows"], "demand.flows", fmt.Sprintf("%s:%d: %v", path, line, err)})
 			return // the rest is likely to be wrong in the same way
 		}
-		s.Recorded = append(s.Recorded, r)
+		s.Recorded = append(s.Recorded, client)
 	}
 	if err := scanner.Err(); err != nil {
 		p.add("demand.flows", "%v", err)
@@ -59,11 +59,11 @@
 
 func formatLoads(all []Step) string {
 	var b strings.Builder
-	for i, l := range all {
+	for i, step := range all {
 		if i > 0 {
-			fmt.Fprintf(&b, ",%d:", l.After)
+			fmt.Fprintf(&b, ",%d:", step.After)
 		}
-		fmt.Fprintf(&b, "%.4f", l.Load)
+		fmt.Fprintf(&b, "%.4f", step.Load)
 	}
 	return b.String()
 }
@@ -75,42 +75,42 @@
 			after, load, ok = "0", part, true
 		}
 		at, err1 := strconv.ParseInt(after, 10, 64)
-		v, err2 := strconv.ParseFloat(load, 64)
-		if !ok || err1 != nil || err2 != nil || !(v > 0 && v < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
+		value, err2 := strconv.ParseFloat(load, 64)
+		if !ok || err1 != nil || err2 != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
 			return nil, fmt.Errorf("load %q: a figure over 0, then times with figures, in order", text)
 		}
-		all = append(all, Step{Span(at), v})
+		all = append(all, Step{Span(at), value})
 	}
 	return all, nil
 }
 
-func (s *Script) parseRecorded(fields []string) (r Recorded, err error) {
+func (s *Script) parseRecorded(fields []string) (client Recorded, err error) {
 	if len(fields) != 7 {
-		return r, fmt.Errorf("%d fields, not the 7 of %q", len(fields), flowsHeader)
+		return client, fmt.Errorf("%d fields, not the 7 of %q", len(fields), flowsHeader)
 	}
 	at, err1 := strconv.ParseInt(fields[0], 10, 64)
 	life, err2 := strconv.ParseInt(fields[6], 10, 64)
 	loads, err3 := parseLoads(fields[5])
-	r = Recorded{At: Span(at), Type: s.TypeNo(fields[1]), Key: fields[4], Loads: loads, Life: Span(life), Zone: -1}
+	client = Recorded{At: Span(at), Type: s.TypeNo(fields[1]), Key: fields[4], Loads: loads, Life: Span(life), Zone: -1}
 	for i, z := range s.Zones {
 		if z == fields[2] {
-			r.Zone = i
+			client.Zone = i
 		}
 	}
 	if fields[3] != "-" {
-		r.Group = fields[3]
+		client.Group = fields[3]
 	}
 	switch {
 	case err1 != nil || at < 0:
 		err = fmt.Errorf("at_us %q: a whole number of microseconds", fields[0])
-	case r.Type < 0:
+	case client.Type < 0:
 		err = fmt.Errorf("type %q is no service type", fields[1])
-	case r.Zone < 0:
+	case client.Zone < 0:
 		err = fmt.Errorf("zone %q: one of %s", fields[2], strings.Join(s.Zones, ", "))
 	case err3 != nil:
 		err = err3
 	case err2 != nil || life < 0:
 		err = fmt.Errorf("life_us %q: a whole number of microseconds", fields[6])
 	}
-	return r, err
+	return client, err
 }
--- a/rehearsal/scenario/override.go
+++ b/rehearsal/scenario/override.go
@@ -27,14 +27,14 @@
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return Parse(file, text) // for its errors
 	}
-	for _, c := range changes {
-		key, value, ok := strings.Cut(c, "=")
-		var v map[string]any
-		if err := toml.Unmarshal([]byte("v = "+value), &v); !ok || err != nil {
-			return nil, fmt.Errorf("%q is no KEY=VALUE with a value as in TOML", c)
+	for _, change := range changes {
+		key, value, ok := strings.Cut(change, "=")
+		var decoded map[string]any
+		if err := toml.Unmarshal([]byte("v = "+value), &decoded); !ok || err != nil {
+			return nil, fmt.Errorf("%q is no KEY=VALUE with a value as in TOML", change)
 		}
-		if err := setValue(tree, strings.Split(strings.TrimSpace(key), "."), v["v"]); err != nil {
-			return nil, fmt.Errorf("%q: %w", c, err)
+		if err := setValue(tree, strings.Split(strings.TrimSpace(key), "."), decoded["v"]); err != nil {
+			return nil, fmt.Errorf("%q: %w", change, err)
 		}
 	}
 	if text, err = toml.Marshal(tree); err != nil {
@@ -48,26 +48,26 @@
 }
 
 func setValue(tree any, path []string, value any) error {
-	switch t := tree.(type) {
+	switch node := tree.(type) {
 	case map[string]any:
 		if len(path) == 1 {
-			t[path[0]] = value
+			node[path[0]] = value
 			return nil
 		}
-		if t[path[0]] == nil {
-			t[path[0]] = map[string]any{}
+		if node[path[0]] == nil {
+			node[path[0]] = map[string]any{}
 		}
-		return setValue(t[path[0]], path[1:], value)
+		return setValue(node[path[0]], path[1:], value)
 	case []any:
 		index, err := strconv.Atoi(path[0])
-		if err != nil || index < 0 || index >= len(t) {
-			return fmt.Errorf("%q is no number of its %d members", path[0], len(t))
+		if err != nil || index < 0 || index >= len(node) {
+			return fmt.Errorf("%q is no number of its %d members", path[0], len(node))
 		}
 		if len(path) == 1 {
-			t[index] = value
+			node[index] = value
 			return nil
 		}
-		return setValue(t[index], path[1:], value)
+		return setValue(node[index], path[1:], value)
 	}
 	return fmt.Errorf("%q is no table", path[0])
 }
--- a/rehearsal/scenario/read.go
+++ b/rehearsal/scenario/read.go
@@ -94,9 +94,9 @@
 	var decodeError *toml.DecodeError
 	switch {
 	case errors.As(err, &missing):
-		for _, e := range missing.Errors {
-			row, _ := e.Position()
-			p.all = append(p.all, problem{row, strings.Join(e.Key(), "."), "no such key"})
+		for _, missingKey := range missing.Errors {
+			row, _ := missingKey.Position()
+			p.all = append(p.all, problem{row, strings.Join(missingKey.Key(), "."), "no such key"})
 		}
 		return nil, p
 	case errors.As(err, &decodeError):
@@ -128,10 +128,10 @@
 		expression := parser.Expression()
 		var parts []string
 		line := 1
-		for it := expression.Key(); it.Next(); {
-			n := it.Node()
-			parts = append(parts, string(n.Data))
-			line = 1 + strings.Count(string(text[:n.Raw.Offset]), "\n")
+		for key := expression.Key(); key.Next(); {
+			part := key.Node()
+			parts = append(parts, string(part.Data))
+			line = 1 + strings.Count(string(text[:part.Raw.Offset]), "\n")
 		}
 		name := strings.Join(parts, ".")
 		switch expression.Kind {
@@ -140,9 +140,9 @@
 			lines[table] = line
 		case unstable.ArrayTable:
 			table = memberPath(name, counts)
-			no := counts[table]
+			index := counts[table]
 			counts[table]++
-			table = fmt.Sprintf("%s.%d", table, no)
+			table = fmt.Sprintf("%s.%d", table, index)
 			lines[table] = line
 		case unstable.KeyValue:
 			if table != "" {
--- a/rehearsal/scenario/scenario_test.go
+++ b/rehearsal/scenario/scenario_test.go
@@ -25,7 +25,7 @@
 message_target = "60ms"
 `
 
-func TestShipped(t *testing.T) {
+func TestShippedScriptsAreValid(t *testing.T) {
 	names := Shipped()
 	if len(names) < 8 {
 		t.Errorf("%d scripts", len(names))
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestFaults wants each fault told with file, line, key and what would be right.
-func TestFaults(t *testing.T) {
+// TestErrorsNameFileLineAndKey wants each fault told with file, line, key and what would be right.
+func TestErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ change, to, want string }{
 		{"rate = 2.0", "rate = -1.0", "s.toml:10: demand.rate: -1 is impossible: 0 to 100000"},
 		{"rate = 2.0", "rate = nan", "s.toml:10: demand.rate: NaN is impossible"},
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestChanges(t *testing.T) {
+func TestOverrides(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(path, []byte(validScript), 0o600); err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestFlowsThereAndBack(t *testing.T) {
+func TestFlowsRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Parse(filepath.Join(dir, "s.toml"), []byte(validScript))
 	if err != nil {
