--- a/rehearsal/fleet/client.go
+++ b/rehearsal/fleet/client.go
@@ -100,7 +100,7 @@
 	if cl.world.script.Fleet.LoadSwing == 0 {
 		return
 	}
-	wait := int64(float64(cl.world.script.Fleet.LoadChange) * cl.profileRand.ExpFloat64())
+	wait := int64(float64(cl.world.script.Fleet.LoadChangeInterval) * cl.profileRand.ExpFloat64())
 	at := cl.world.now + max(wait, 1)
 	load := cl.baseLoad * logNormal(cl.profileRand, cl.world.script.Fleet.LoadSwing)
 	if at >= cl.endsAt {
--- a/rehearsal/fleet/fleet_test.go
+++ b/rehearsal/fleet/fleet_test.go
@@ -7,7 +7,7 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// idlePlayer is Nodes that do nothing.
+// idlePlayer is a NodePlayer whose nodes do nothing. It notes what the nodes receive.
 type idlePlayer struct{ received []string }
 
 func (n *idlePlayer) Start(int, Conf)           {}
@@ -50,6 +50,7 @@
 message_target = "60ms"
 `
 
+// newWorld returns a world with a plain script, its first host and the player of its node, which runs.
 func newWorld(t *testing.T, more string) (*World, *host, *idlePlayer) {
 	t.Helper()
 	s, err := scenario.Parse("plain.toml", []byte(plainScript+more))
@@ -63,7 +64,7 @@
 	return w, w.hosts[0], player
 }
 
-// addSetup puts a set-up of so much work in and gives the time at which it is done.
+// addSetup starts a set-up with some work, in microseconds, at a host.
 func addSetup(w *World, h *host, us float64) *setupJob {
 	h.advance()
 	j := &setupJob{work: us, abandoned: true, conn: &hostConn{Conn: &Conn{}}}
@@ -72,6 +73,8 @@
 	return j
 }
 
+// advanceUntilLeft advances the world until a host has only left active set-ups, and returns the time. It returns -1 if
+// nothing happens any more.
 func advanceUntilLeft(w *World, h *host, left int) int64 {
 	for len(h.activeSetups) > left {
 		next, ok := w.Next()
@@ -83,12 +86,14 @@
 	return w.now
 }
 
+// TestHostSharesCores checks how long set-ups take that share the cores of a host with each other, with messages and with
+// other programs.
 func TestHostSharesCores(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		set   func(h *host)
 		works []float64
-		first int64 // when the first is done
+		first int64 // microseconds until the first is done
 		last  int64
 	}{
 		{"alone", func(*host) {}, []float64{10_000}, 10_000, 10_000},
@@ -113,16 +118,18 @@
 	}
 }
 
+// TestPauseSuspendsWork checks that a pause of a host delays a set-up by its duration.
 func TestPauseSuspendsWork(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	addSetup(w, h, 10_000)
 	w.Advance(5_000)
 	w.injectHostFault(&scenario.Fault{Kind: "pause", For: 100_000}, h)
 	if at := advanceUntilLeft(w, h, 0); at < 109_900 || at > 110_100 {
-		t.Errorf("done at %d us", at)
+		t.Errorf("set-up done at %d us, want about 110000 us", at)
 	}
 }
 
+// TestColdHostWarmsUp checks the share of its capacity that a host has during its warm-up.
 func TestColdHostWarmsUp(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	h.bootedAt = 1
@@ -131,13 +138,14 @@
 		want float64
 	}{{1, 0.12}, {11_000_001, 0.56}, {22_000_001, 1}, {60_000_000, 1}} {
 		if got := h.warmShare(c.at); math.Abs(got-c.want) > 0.001 {
-			t.Errorf("after %d us warm %.3f, not %.3f", c.at, got, c.want)
+			t.Errorf("share of the capacity %.3f after %d us, want %.3f", got, c.at, c.want)
 		}
 	}
 	_ = w
 }
 
-// TestColdHostFallsOver sends connects to a cold host at rates round the stated multiple of what it can do.
+// TestColdHostFallsOver sends connects to a cold host at rates below and above the multiple of what it can handle at which
+// it falls over, and checks that it stays down then.
 func TestColdHostFallsOver(t *testing.T) {
 	for _, c := range []struct {
 		times float64
@@ -154,17 +162,18 @@
 			}
 		}
 		if h.fellOver != c.falls {
-			t.Errorf("%.1f times what it can do: fell %t, at most %.2f times", c.times, h.fellOver, h.peakColdRatio)
+			t.Errorf("%.1f times what it can handle: fell over %t, highest ratio %.2f", c.times, h.fellOver, h.peakColdRatio)
 		}
 		if w.Advance(20_000_000); c.falls && (h.state != hostDead || w.run.Hosts[0].FellAt == 0) {
-			t.Error("it fell over and is not down")
+			t.Error("the host fell over and is not down")
 		}
 		if w.startHost(h); c.falls && h.state != hostDead {
-			t.Error("it did not stay down")
+			t.Error("the host fell over and did not stay down")
 		}
 	}
 }
 
+// TestGroupCostIsCountedOnce checks that a group adds its cost to a host once, and that the cost goes with its last flow.
 func TestGroupCostIsCountedOnce(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	w.script.Fleet.GroupCost = 3
@@ -172,16 +181,17 @@
 	h.addToGroup("g", 1)
 	h.addToGroup("o", 1)
 	if want := 2 * 3 * w.unitLoadRate(); h.load != want {
-		t.Errorf("load %f, not %f", h.load, want)
+		t.Errorf("load %f, want %f", h.load, want)
 	}
 	h.addToGroup("g", -1)
 	h.addToGroup("g", -1)
 	h.addToGroup("o", -1)
 	if h.load != 0 || len(h.flowsByGroup) != 0 {
-		t.Errorf("left over: load %f, %d groups", h.load, len(h.flowsByGroup))
+		t.Errorf("without flows the host has a load of %f and %d groups", h.load, len(h.flowsByGroup))
 	}
 }
 
+// TestMessageQualityFallsWithLoad checks that quality decreases with load, and is 0 when the backlog exceeds the target.
 func TestMessageQualityFallsWithLoad(t *testing.T) {
 	w, h, _ := newWorld(t, "")
 	last := 1.1
@@ -192,17 +202,17 @@
 		}
 		q := h.messageQuality(60_000)
 		if q >= last {
-			t.Errorf("at load %.2f quality %.3f, not under %.3f", load, q, last)
+			t.Errorf("quality %.3f at load %.2f, want less than %.3f", q, load, last)
 		}
 		last = q
 	}
 	if last != 0 {
-		t.Errorf("with more piled up than the target allows quality is %f", last)
+		t.Errorf("quality %f with a backlog above the target, want 0", last)
 	}
 	_ = w
 }
 
-// TestSimultaneousEventsKeepOrder guards the order of what happens in the same microsecond: that in which it was asked for.
+// TestSimultaneousEventsKeepOrder checks that events of the same microsecond run in the order in which they were scheduled.
 func TestSimultaneousEventsKeepOrder(t *testing.T) {
 	w, _, _ := newWorld(t, "")
 	var got []int
@@ -217,15 +227,15 @@
 	w.Advance(500)
 	for i := range 20 {
 		if got[i] != i {
-			t.Fatalf("order %v", got)
+			t.Fatalf("events ran in the order %v", got)
 		}
 	}
 	if got[20] != 100 {
-		t.Errorf("what was asked for last came at place %v", got)
+		t.Errorf("the event scheduled last is not the last of %v", got)
 	}
 }
 
-// TestZoneCutHoldsTraffic holds what crosses a cut and lets it go after, in order.
+// TestZoneCutHoldsTraffic checks that a cut holds what crosses it, and that this arrives in order after the cut.
 func TestZoneCutHoldsTraffic(t *testing.T) {
 	w, h, player := newWorld(t, "")
 	far := w.hosts[1]
@@ -236,20 +246,21 @@
 	w.sendToNode(over, "one", nil)
 	w.sendToNode(over, "two", nil)
 	if w.Advance(2_900_000); len(player.received) != 1 || player.received[0] != "near" {
-		t.Fatalf("during the cut came %v", player.received)
+		t.Fatalf("received %v during the cut, want what does not cross it", player.received)
 	}
 	w.closePeerSide(over, true)
 	w.Advance(4_000_000)
 	if len(player.received) != 4 || player.received[1] != "one" || player.received[2] != "two" || player.received[3] != "broken" {
-		t.Errorf("after it came %v", player.received)
+		t.Errorf("received %v, want what crosses the cut in order after it", player.received)
 	}
 }
 
+// TestClientsDoNotDependOnOtherDraws guards paired comparisons of policies: a seed has to give the same clients, whatever
+// else draws random numbers in the meantime.
 func TestClientsDoNotDependOnOtherDraws(t *testing.T) {
-	// Guards paired comparison: the clients of a seed are the same whatever else draws from chance meanwhile.
 	first, second := clientKeys(t, false), clientKeys(t, true)
 	if len(first) == 0 || len(first) != len(second) {
-		t.Fatalf("%d and %d clients", len(first), len(second))
+		t.Fatalf("%d clients, and %d beside other draws", len(first), len(second))
 	}
 	for i := range first {
 		if first[i] != second[i] {
@@ -258,6 +269,7 @@
 	}
 }
 
+// clientKeys returns the keys of the clients that arrive within ten seconds.
 func clientKeys(t *testing.T, disturb bool) (all []string) {
 	w, _, _ := newWorld(t, "")
 	w.script.Demand.Rate = 20
@@ -269,16 +281,16 @@
 			w.discovery.random.Float64()
 		}
 	}
-	for _, p := range w.clients {
-		all = append(all, p.key)
+	for _, cl := range w.clients {
+		all = append(all, cl.key)
 	}
 	return all
 }
 
-// Where hosts report, a probe learns the load asked over what the host can do.
+// TestProbeReport checks that the report in the answer to a probe is the load divided by what the host can handle.
 func TestProbeReport(t *testing.T) {
 	_, h, _ := newWorld(t, "")
 	if h.load = 0.62 * coreWorkPerSecond; h.probeAnswer(true)+h.probeAnswer(false) != "PONG 0,0.620\r\nPONG\r\n" {
-		t.Fatal(h.probeAnswer(true), h.probeAnswer(false))
+		t.Fatalf("answers %q with and %q without a report", h.probeAnswer(true), h.probeAnswer(false))
 	}
 }
--- a/rehearsal/scenario/check.go
+++ b/rehearsal/scenario/check.go
@@ -7,19 +7,21 @@
 	"strings"
 )
 
-// checkSpan asks that a length of time lie between two others.
+// checkSpan requires a length of time to be from low to high.
 func (p *problems) checkSpan(key string, value, low, high Span) {
 	if value < low || value > high {
-		p.add(key, "%v is impossible: %v to %v", value, low, high)
+		p.add(key, "%v is out of range: %v to %v", value, low, high)
 	}
 }
 
+// checkNumber requires a number to be from low to high, which NaN is not.
 func (p *problems) checkNumber(key string, value, low, high float64) {
 	if !(value >= low && value <= high) {
-		p.add(key, "%v is impossible: %v to %v", value, low, high)
+		p.add(key, "%v is out of range: %v to %v", value, low, high)
 	}
 }
 
+// checkWord requires a value to be one of words.
 func (p *problems) checkWord(key, value string, words ...string) {
 	if !slices.Contains(words, value) {
 		p.add(key, "%q is unknown: one of %s", value, strings.Join(words, ", "))
@@ -29,17 +31,18 @@
 const (
 	maxHosts = 4096
 	maxNodes = 4096
-	maxRate  = 100_000
+	maxRate  = 100_000 // new flows per second
 	hour     = 3600 * second
 )
 
+// check adds all problems of the script except those of its file of flows.
 func (s *Script) check(p *problems) {
 	if s.Name == "" {
 		p.add("name", "is missing")
 	}
 	p.checkSpan("length", s.Length, second, hour)
 	if slices.Contains(s.Zones, "") || len(slices.Compact(sortNames(slices.Clone(s.Zones)))) != len(s.Zones) {
-		p.add("zones", "each wants a name of its own")
+		p.add("zones", "names must be unique and not empty")
 	}
 	s.checkNetwork(p)
 	s.checkFleet(p)
@@ -92,7 +95,7 @@
 	p.checkWord("fleet.echo", fleet.EchoMode, "at_once", "in_turn")
 	p.checkNumber("fleet.load_spread", fleet.LoadSpread, 0, 3)
 	p.checkNumber("fleet.swing", fleet.LoadSwing, 0, 3)
-	p.checkSpan("fleet.change", fleet.LoadChange, 100*millisecond, hour)
+	p.checkSpan("fleet.change", fleet.LoadChangeInterval, 100*millisecond, hour)
 	p.checkNumber("fleet.life_spread", fleet.LifeSpread, 0, 3)
 	total := 0
 	for i, h := range s.Hosts {
@@ -109,9 +112,10 @@
 	}
 }
 
+// checkZone requires a name to be that of a zone, or empty if mayBeEmpty.
 func (s *Script) checkZone(p *problems, key, name string, mayBeEmpty bool) {
 	if !(mayBeEmpty && name == "") && !slices.Contains(s.Zones, name) {
-		p.add(key, "%q is no zone: one of %s", name, strings.Join(s.Zones, ", "))
+		p.add(key, "%q is not a zone: one of %s", name, strings.Join(s.Zones, ", "))
 	}
 }
 
@@ -160,18 +164,18 @@
 		v   [2]Span
 	}{{"back", clients.ReturnAfterBreak}, {"moved", clients.ReturnAfterMove}} {
 		if pair.v[0] < 0 || pair.v[1] < pair.v[0] || pair.v[1] > hour {
-			p.add("clients."+pair.key, "%v to %v is impossible: two times, the shorter first", pair.v[0], pair.v[1])
+			p.add("clients."+pair.key, "%v to %v is out of range: two times, the shorter first", pair.v[0], pair.v[1])
 		}
 	}
 	p.checkSpan("clients.line_every", clients.LineInterval, millisecond, 60*second)
 	if len(s.Types) == 0 {
-		p.add("types", "there is no service type")
+		p.add("types", "there are no service types")
 	}
 	names := map[string]bool{}
 	for i, t := range s.Types {
 		key := "types." + strconv.Itoa(i)
 		if t.Name == "" || strings.ContainsAny(t.Name, " ,=\t\r\n") || names[t.Name] {
-			p.add(key+".name", "%q: each wants a name of its own, without spaces or commas", t.Name)
+			p.add(key+".name", "%q: names must be unique, not empty and without spaces, commas and equals signs", t.Name)
 		}
 		names[t.Name] = true
 		p.checkNumber(key+".share", t.Share, 0.0001, 1e6)
@@ -217,7 +221,7 @@
 	p.checkNumber("demand.standing_tilt", demand.StandingTilt, 0, 3)
 	p.checkSpan("demand.life", demand.Life, 100*millisecond, hour)
 	if demand.Rate == 0 && demand.Flows == "" && len(demand.Loops)+len(demand.Bulk) == 0 {
-		p.add("demand.rate", "nobody comes: give a rate, flows, loops or bulk")
+		p.add("demand.rate", "no clients arrive: set a rate, flows, loops or bulk")
 	}
 	for name, v := range demand.ZoneWeights {
 		s.checkZone(p, "demand.skew."+name, name, false)
@@ -228,7 +232,7 @@
 		p.checkNumber(key+".times", w.RateMultiplier, 0, 1000)
 		p.checkSpan(key+".at", w.At, 0, s.Length)
 		if i > 0 && w.At < demand.Waves[i-1].At {
-			p.add(key+".at", "%v comes before the wave above it", w.At)
+			p.add(key+".at", "%v is before the preceding wave", w.At)
 		}
 	}
 	for i, l := range demand.Loops {
@@ -248,13 +252,14 @@
 	}
 }
 
+// checkClientGroup checks a group of looping or bulk clients.
 func (s *Script) checkClientGroup(p *problems, key string, from, length Span, count int, kind, zone string) {
 	p.checkSpan(key+".at", from, 0, s.Length)
 	p.checkSpan(key+".for", length, 0, s.Length)
 	p.checkNumber(key+".count", float64(count), 1, 10_000)
 	s.checkZone(p, key+".zone", zone, true)
 	if s.TypeNo(kind) < 0 && kind != "" {
-		p.add(key+".type", "%q is no service type", kind)
+		p.add(key+".type", "%q is not a service type", kind)
 	}
 }
 
@@ -270,20 +275,20 @@
 	p.checkSpan(key+".for", fault.For, 0, hour)
 	p.checkSpan(key+".step", fault.Step, 0, s.Length)
 	if kind.needsDuration && fault.For == 0 {
-		p.add(key+".for", "is missing: how long")
+		p.add(key+".for", "is missing: the fault needs a duration")
 	}
 	if kind.sizeMeaning != "" && !(fault.Size >= kind.minSize && fault.Size <= kind.maxSize) {
-		p.add(key+".size", "%v is impossible: %s, %v to %v", fault.Size, kind.sizeMeaning, kind.minSize, kind.maxSize)
+		p.add(key+".size", "%v is out of range: %s, %v to %v", fault.Size, kind.sizeMeaning, kind.minSize, kind.maxSize)
 	} else if kind.sizeMeaning == "" && fault.Size != 0 {
-		p.add(key+".size", "means nothing for %s", fault.Kind)
+		p.add(key+".size", "has no meaning for %s", fault.Kind)
 	}
 	if fault.Kind == "link_split" {
 		p.checkNumber(key+".parts", float64(fault.Parts), 2, float64(max(s.NodeCount(), 2)))
 	} else if fault.Parts != 0 {
-		p.add(key+".parts", "means nothing for %s", fault.Kind)
+		p.add(key+".parts", "has no meaning for %s", fault.Kind)
 	}
 	if strings.HasPrefix(fault.Kind, "link_") && (!s.Cluster.On || s.Cluster.Alone) {
-		p.add(key+".kind", "there are no links: cluster.on is false, or cluster.alone true")
+		p.add(key+".kind", "nodes have no links: cluster.on is false or cluster.alone is true")
 	}
 	if fault.Kind == "delay" || fault.Kind == "link_delay" {
 		p.checkSpan(key+".delay", fault.Delay, 1, 60*second)
@@ -299,41 +304,44 @@
 	case targetsZone:
 		s.checkZone(p, key+".zone", fault.Zone, false)
 		if len(s.Zones) < 2 {
-			p.add(key+".zone", "there is one zone only")
+			p.add(key+".zone", "there is only one zone")
 		}
 	}
 }
 
+// checkMembers checks the members that a fault names, or the count or share that it draws. Names are letter-0 to
+// letter-(total-1).
 func (s *Script) checkMembers(p *problems, key string, names []string, letter string, total int, fault Fault) {
 	for _, name := range names {
 		index, err := strconv.Atoi(strings.TrimPrefix(name, letter+"-"))
 		if err != nil || name != fmt.Sprintf("%s-%d", letter, index) || index < 0 || index >= total {
-			p.add(key, "%q is none of %s-0 to %s-%d", name, letter, letter, total-1)
+			p.add(key, "%q is not one of %s-0 to %s-%d", name, letter, letter, total-1)
 		}
 	}
 	if len(names) == 0 && fault.Count == 0 && fault.Share == 0 {
-		p.add(key, "name some, or give a count or a share")
+		p.add(key, "set names, a count or a share")
 	}
 	p.checkNumber(strings.TrimSuffix(key, "s")+"s", float64(fault.Count), 0, float64(total))
 	p.checkNumber(key[:strings.LastIndexByte(key, '.')]+".share", fault.Share, 0, 1)
 }
 
-// HostCount and NodeCount are how many there are in all.
+// HostCount returns the number of hosts.
 func (s *Script) HostCount() (n int) {
-	for _, h := range s.Hosts {
-		n += h.Count
+	for _, g := range s.Hosts {
+		n += g.Count
 	}
 	return n
 }
 
+// NodeCount returns the number of nodes.
 func (s *Script) NodeCount() (n int) {
-	for _, v := range s.Nodes {
-		n += v.Count
+	for _, g := range s.Nodes {
+		n += g.Count
 	}
 	return n
 }
 
-// TypeNo is the number of a service type, or -1.
+// TypeNo returns the index of a service type, or -1 if there is none of that name.
 func (s *Script) TypeNo(name string) int {
 	return slices.IndexFunc(s.Types, func(t ServiceType) bool { return t.Name == name })
 }
--- a/rehearsal/scenario/defaults.go
+++ b/rehearsal/scenario/defaults.go
@@ -1,13 +1,15 @@
 package scenario
 
-// defaults are what holds where a script says nothing.
+const defaultBulkWindow = 16 << 10 // bytes
+
+// defaults returns a script with the values that apply where a script sets none.
 func defaults() *Script {
 	return &Script{
 		Length:  60 * second,
 		Network: Network{SameZone: 200, CrossZone: 2 * millisecond, Client: 500, Jitter: 0.2},
 		Fleet: Fleet{PerCore: 16, ConnectionCap: 2.5, SetupWork: 8 * millisecond, ProbeWork: 250, SlotsPerCore: 4, QueuePerCore: 16, ColdFrom: 0.12,
 			ColdTime: 22 * second, FallMultiple: 3, FallAfter: 3 * second, DrainMode: "none", Buffer: second, ShedMode: "none",
-			EchoMode: "at_once", SendsLoad: true, LoadSpread: 0.6, LoadSwing: 0.3, LoadChange: 8 * second, LifeSpread: 0.8},
+			EchoMode: "at_once", SendsLoad: true, LoadSpread: 0.6, LoadSwing: 0.3, LoadChangeInterval: 8 * second, LifeSpread: 0.8},
 		Node:      Node{Sockets: 1024, MemoryMB: 192, MaxConnects: 6, Probing: true, DrainGrace: 300 * millisecond, DialTimeout: 250 * millisecond, Backlog: 1024},
 		Discovery: Discovery{NoticeDelay: 1500 * millisecond, UpdatePeriod: 400 * millisecond},
 		FrontEnd:  FrontEnd{NoticeDelay: 2 * second},
@@ -17,7 +19,7 @@
 	}
 }
 
-// fillDefaults sets what follows from other values.
+// fillDefaults sets the defaults of list members and those that depend on other values.
 func (s *Script) fillDefaults() {
 	if len(s.Zones) == 0 {
 		s.Zones = []string{"a"}
@@ -57,7 +59,7 @@
 	}
 	for i := range s.Demand.Bulk {
 		if s.Demand.Bulk[i].Window == 0 {
-			s.Demand.Bulk[i].Window = 16 << 10
+			s.Demand.Bulk[i].Window = defaultBulkWindow
 		}
 	}
 }
--- a/rehearsal/scenario/flows.go
+++ b/rehearsal/scenario/flows.go
@@ -11,9 +11,10 @@
 	"strings"
 )
 
+// flowsHeader is the first line of a file of flows and names its fields.
 const flowsHeader = "# at_us type zone group key load,after_us:load... life_us"
 
-// WriteFlows writes clients as a file that Demand.Flows can name: one a line, group - for none.
+// WriteFlows writes clients in the format of the file that Demand.Flows names: one per line, with - for no group.
 func WriteFlows(to io.Writer, s *Script, all []Recorded) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintln(w, flowsHeader)
@@ -24,7 +25,7 @@
 	return w.Flush()
 }
 
-// readFlows reads the file that Demand.Flows names, beside the script.
+// readFlows reads the file that Demand.Flows names. A relative path is relative to the script.
 func (s *Script) readFlows(p *problems) {
 	path := s.Demand.Flows
 	if path == "" {
@@ -48,7 +49,7 @@
 		client, err := s.parseRecorded(strings.Fields(text))
 		if err != nil {
 			p.all = append(p.all, problem{p.lines["demand.flows"], "demand.flows", fmt.Sprintf("%s:%d: %v", path, line, err)})
-			return // the rest is likely to be wrong in the same way
+			return // the other lines are likely to have the same problem
 		}
 		s.Recorded = append(s.Recorded, client)
 	}
@@ -57,6 +58,7 @@
 	}
 }
 
+// formatLoads formats the loads of a client: LOAD,AFTER:LOAD,... with times in microseconds.
 func formatLoads(all []Step) string {
 	var b strings.Builder
 	for i, step := range all {
@@ -68,6 +70,7 @@
 	return b.String()
 }
 
+// parseLoads is the inverse of formatLoads.
 func parseLoads(text string) (all []Step, err error) {
 	for i, part := range strings.Split(text, ",") {
 		after, load, ok := strings.Cut(part, ":")
@@ -77,16 +80,17 @@
 		at, err1 := strconv.ParseInt(after, 10, 64)
 		value, err2 := strconv.ParseFloat(load, 64)
 		if !ok || err1 != nil || err2 != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
-			return nil, fmt.Errorf("load %q: a figure over 0, then times with figures, in order", text)
+			return nil, fmt.Errorf("load %q: want a number over 0, then times with numbers, in order of time", text)
 		}
 		all = append(all, Step{Span(at), value})
 	}
 	return all, nil
 }
 
+// parseRecorded parses the fields of one client.
 func (s *Script) parseRecorded(fields []string) (client Recorded, err error) {
 	if len(fields) != 7 {
-		return client, fmt.Errorf("%d fields, not the 7 of %q", len(fields), flowsHeader)
+		return client, fmt.Errorf("%d fields, want the 7 of %q", len(fields), flowsHeader)
 	}
 	at, err1 := strconv.ParseInt(fields[0], 10, 64)
 	life, err2 := strconv.ParseInt(fields[6], 10, 64)
@@ -102,15 +106,15 @@
 	}
 	switch {
 	case err1 != nil || at < 0:
-		err = fmt.Errorf("at_us %q: a whole number of microseconds", fields[0])
+		err = fmt.Errorf("at_us %q: want a whole number of microseconds", fields[0])
 	case client.Type < 0:
-		err = fmt.Errorf("type %q is no service type", fields[1])
+		err = fmt.Errorf("type %q is not a service type", fields[1])
 	case client.Zone < 0:
-		err = fmt.Errorf("zone %q: one of %s", fields[2], strings.Join(s.Zones, ", "))
+		err = fmt.Errorf("zone %q: want one of %s", fields[2], strings.Join(s.Zones, ", "))
 	case err3 != nil:
 		err = err3
 	case err2 != nil || life < 0:
-		err = fmt.Errorf("life_us %q: a whole number of microseconds", fields[6])
+		err = fmt.Errorf("life_us %q: want a whole number of microseconds", fields[6])
 	}
 	return client, err
 }
--- a/rehearsal/scenario/limits.go
+++ b/rehearsal/scenario/limits.go
@@ -1,14 +1,14 @@
 package scenario
 
-// FleetLimits is what all nodes of the fleet are to keep together: a rate of node.admission over an address, and what the
-// script lists.
-func (s *Script) FleetLimits() (all []Limit) {
+// FleetLimits returns the limits that all nodes of the fleet keep together: the rate of node.admission per address, and
+// those that the script lists. There are none if the cluster is off.
+func (s *Script) FleetLimits() (limits []Limit) {
 	if !s.Cluster.On {
 		return nil
 	}
-	if a := s.Node.Admission; a.Rate > 0 {
+	if admission := s.Node.Admission; admission.Rate > 0 {
 		promise := map[bool]string{true: "strict", false: "available"}[s.Cluster.Strict]
-		all = append(all, Limit{Over: "address", Rate: a.Rate, Burst: max(a.Burst, 1), Promise: promise})
+		limits = append(limits, Limit{Over: "address", Rate: admission.Rate, Burst: max(admission.Burst, 1), Promise: promise})
 	}
-	return append(all, s.Cluster.Limits...)
+	return append(limits, s.Cluster.Limits...)
 }
--- a/rehearsal/scenario/override.go
+++ b/rehearsal/scenario/override.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// LoadWith reads a script with some of its values changed, each as KEY=VALUE: fleet.buffer="2s", types.0.benefit=3.
-// Members of lists are counted from 0.
+// LoadWith reads a script as Load does and changes some of its values. Each change is KEY=VALUE with a value as in TOML,
+// such as fleet.buffer="2s" or types.0.benefit=3. Members of lists are counted from 0.
 func LoadWith(name string, changes []string) (*Script, error) {
 	if len(changes) == 0 {
 		return Load(name)
@@ -25,13 +25,13 @@
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		return Parse(file, text) // for its errors
+		return Parse(file, text) // returns the errors with file and line
 	}
 	for _, change := range changes {
 		key, value, ok := strings.Cut(change, "=")
 		var decoded map[string]any
 		if err := toml.Unmarshal([]byte("v = "+value), &decoded); !ok || err != nil {
-			return nil, fmt.Errorf("%q is no KEY=VALUE with a value as in TOML", change)
+			return nil, fmt.Errorf("%q is not KEY=VALUE with a value as in TOML", change)
 		}
 		if err := setValue(tree, strings.Split(strings.TrimSpace(key), "."), decoded["v"]); err != nil {
 			return nil, fmt.Errorf("%q: %w", change, err)
@@ -47,6 +47,7 @@
 	return s, err
 }
 
+// setValue sets the value at a path of keys and list positions in a decoded script. Missing tables are created.
 func setValue(tree any, path []string, value any) error {
 	switch node := tree.(type) {
 	case map[string]any:
@@ -61,7 +62,7 @@
 	case []any:
 		index, err := strconv.Atoi(path[0])
 		if err != nil || index < 0 || index >= len(node) {
-			return fmt.Errorf("%q is no number of its %d members", path[0], len(node))
+			return fmt.Errorf("%q is not the number of one of its %d members", path[0], len(node))
 		}
 		if len(path) == 1 {
 			node[index] = value
@@ -69,5 +70,5 @@
 		}
 		return setValue(node[index], path[1:], value)
 	}
-	return fmt.Errorf("%q is no table", path[0])
+	return fmt.Errorf("%q is not a table", path[0])
 }
--- a/rehearsal/scenario/read.go
+++ b/rehearsal/scenario/read.go
@@ -17,7 +17,7 @@
 //go:embed scripts/*.toml
 var shipped embed.FS
 
-// Shipped names the scripts that come with the program, in order.
+// Shipped returns the names of the scripts that come with the program, in order.
 func Shipped() []string {
 	files, _ := fs.Glob(shipped, "scripts/*.toml")
 	var names []string
@@ -27,12 +27,13 @@
 	return sortNames(names)
 }
 
+// sortNames sorts names in place and returns them.
 func sortNames(names []string) []string {
 	slices.Sort(names)
 	return names
 }
 
-// Load reads a script: a shipped one by its name, else a file.
+// Load reads a script: the shipped one of that name, or else the file of that name.
 func Load(name string) (*Script, error) {
 	if text, err := shipped.ReadFile("scripts/" + name + ".toml"); err == nil {
 		return Parse(name+".toml", text)
@@ -44,20 +45,21 @@
 	return Parse(name, text)
 }
 
-// Fault of a script, with where it stands.
+// problem is an error in a script, with its place.
 type problem struct {
 	line    int
 	key     string
 	message string
 }
 
-// problems are all that is wrong with a script.
+// problems is the error that holds all problems of a script.
 type problems struct {
 	file  string
-	lines map[string]int
+	lines map[string]int // line of each key
 	all   []problem
 }
 
+// Error returns the problems, one per line.
 func (p *problems) Error() string {
 	var b strings.Builder
 	for i, problem := range p.all {
@@ -69,7 +71,7 @@
 	return b.String()
 }
 
-// add notes a fault. The line is that of the key, or of the nearest table round it that stands in the file.
+// add adds a problem. Its line is that of the key or, if the file does not have it, of the nearest enclosing table.
 func (p *problems) add(key, format string, args ...any) {
 	table, line := key, 1
 	for table != "" {
@@ -82,7 +84,8 @@
 	p.all = append(p.all, problem{line, key, fmt.Sprintf(format, args...)})
 }
 
-// Parse reads a script and checks it whole. The error names every fault, one a line: file, line, key, what is right.
+// Parse reads and checks a script. file is used in errors and as the place of other files. The error names every problem,
+// one per line, with file, line, key and what is right.
 func Parse(file string, text []byte) (*Script, error) {
 	s := defaults()
 	s.File = file
@@ -117,7 +120,7 @@
 	return s, nil
 }
 
-// keyLines gives each key its line; members of lists of tables are counted from 0.
+// keyLines returns the line of each key. Members of arrays of tables are counted from 0.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
@@ -154,7 +157,7 @@
 	return lines
 }
 
-// memberPath puts the number of the last member behind each list of tables that a name goes through.
+// memberPath adds the number of the last member after each array of tables in a name.
 func memberPath(name string, counts map[string]int) string {
 	parts := strings.Split(name, ".")
 	full := parts[0]
--- a/rehearsal/scenario/scenario.go
+++ b/rehearsal/scenario/scenario.go
@@ -1,12 +1,12 @@
-// Package scenario reads scripts of a rehearsal: a fleet, its clients and a timeline of faults, as TOML. It decides
-// nothing and plays nothing; every fault of a script is told with its line and key.
+// Package scenario reads the scripts of rehearsals. A script describes, in TOML, a fleet, its clients and a timeline of
+// faults. The package only reads and checks scripts; every error names the line and the key.
 package scenario
 
-// Script is one rehearsal.
+// Script describes one rehearsal.
 type Script struct {
 	Name   string   `toml:"name"`
 	About  string   `toml:"about"`
-	Length Span     `toml:"length"` // until which clients come and benefit counts
+	Length Span     `toml:"length"` // time in which clients arrive and benefit counts
 	Seed   uint64   `toml:"seed"`
 	Zones  []string `toml:"zones"`
 
@@ -24,248 +24,248 @@
 	Demand    Demand        `toml:"demand"`
 	Faults    []Fault       `toml:"faults"`
 
-	File     string     `toml:"-"` // where it was read
-	Recorded []Recorded `toml:"-"` // the flows of the file that Demand.Flows names
+	File     string     `toml:"-"` // file that it was read from
+	Recorded []Recorded `toml:"-"` // clients of the file that Demand.Flows names
 }
 
 // Recorded is one client of a capture.
 type Recorded struct {
-	At    Span
-	Type  int
-	Zone  int
-	Group string // empty without one
+	At    Span   // arrival, from the start of the run
+	Type  int    // index of the service type
+	Zone  int    // index of the zone
+	Group string // empty without a group
 	Key   string
-	Loads []Step // the first holds from the start on
-	Life  Span
+	Loads []Step // the first applies from the start
+	Life  Span   // how long the client wants a connection
 }
 
-// Step is a load from a moment of a client's life on.
+// Step is a load that applies from a time in a client's life on.
 type Step struct {
 	After Span
 	Load  float64
 }
 
-// Network is the ways between machines; one way each.
+// Network holds the one-way delays between machines.
 type Network struct {
-	SameZone  Span    `toml:"same"`   // within a zone
-	CrossZone Span    `toml:"cross"`  // between zones
-	Client    Span    `toml:"client"` // from a client to its node
+	SameZone  Span    `toml:"same"`
+	CrossZone Span    `toml:"cross"`
+	Client    Span    `toml:"client"` // between a client and its node
 	Jitter    float64 `toml:"jitter"` // share by which each delay varies
 }
 
-// Fleet is what all hosts have in common.
+// Fleet holds what all hosts have in common. Work is time of a core of speed 1.
 type Fleet struct {
-	PerCore       float64 `toml:"flows_per_core"` // flows of load 1 that fill a core of speed 1
-	ConnectionCap float64 `toml:"cap"`            // connections held at most, as a multiple of what fills the host
-	SetupWork     Span    `toml:"setup_work"`     // of a core of speed 1, for each set-up
-	ProbeWork     Span    `toml:"probe_work"`     // for each probe
-	SlotsPerCore  float64 `toml:"slots_per_core"` // set-ups in work at once
-	QueuePerCore  float64 `toml:"queue_per_core"` // set-ups that wait
-	ColdFrom      float64 `toml:"cold_from"`      // share of its capacity at which a host starts
-	ColdTime      Span    `toml:"cold_time"`      // until it has all of it
-	FallMultiple  float64 `toml:"fall_multiple"`  // sent more than this times what it can do ...
-	FallAfter     Span    `toml:"fall_after"`     // ... for so long, a cold host falls over and stays down;
-	FallRoots     float64 `toml:"fall_roots"`     // besides that much, so many times its root are put down to chance
-	GroupCost     float64 `toml:"group_cost"`     // flows' loads that a group costs each host that holds any of it
-	Groups        int     `toml:"groups"`         // how many groups there are; 0 for none
-	ErrorRate     float64 `toml:"error_rate"`     // share of set-ups answered ERR
-	DrainMode     string  `toml:"drain"`          // none, paced or at_once: how a draining host sends its clients away
-	Buffer        Span    `toml:"buffer"`         // work of messages piled up at most
-	Thrash        float64 `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
-	ShedMode      string  `toml:"sheds"`          // none, newest or heaviest: whom a host drops when its buffer is full
-	EchoMode      string  `toml:"echo"`           // at_once or in_turn: whether lines come back before their work is done
-	SendsLoad     bool    `toml:"tells_load"`     // hosts send LOAD
-	LoadSpread    float64 `toml:"load_spread"`    // sigma of flows' loads (log-normal)
-	LoadSwing     float64 `toml:"swing"`          // sigma of its changes over a flow's life
-	LoadChange    Span    `toml:"change"`         // a flow's load changes about so often
-	LifeSpread    float64 `toml:"life_spread"`    // sigma of lives (log-normal)
+	PerCore            float64 `toml:"flows_per_core"` // flows of load 1 that saturate a core of speed 1
+	ConnectionCap      float64 `toml:"cap"`            // most connections of a host, as a multiple of its capacity
+	SetupWork          Span    `toml:"setup_work"`     // work of a set-up
+	ProbeWork          Span    `toml:"probe_work"`     // work of a probe
+	SlotsPerCore       float64 `toml:"slots_per_core"` // set-ups that are worked on at once
+	QueuePerCore       float64 `toml:"queue_per_core"` // set-ups that wait
+	ColdFrom           float64 `toml:"cold_from"`      // share of its capacity that a host has at its start
+	ColdTime           Span    `toml:"cold_time"`      // time from its start until it has its whole capacity
+	FallMultiple       float64 `toml:"fall_multiple"`  // a cold host falls over, and stays down, if it receives more than this multiple of what it can handle
+	FallAfter          Span    `toml:"fall_after"`     // time over which that is counted
+	FallRoots          float64 `toml:"fall_roots"`     // so many times the square root of the limit are allowed in addition, attributed to chance
+	GroupCost          float64 `toml:"group_cost"`     // load that a group costs each host with any of its flows
+	Groups             int     `toml:"groups"`         // number of groups; 0: none
+	ErrorRate          float64 `toml:"error_rate"`     // share of set-ups answered ERR
+	DrainMode          string  `toml:"drain"`          // how a draining host sends its clients away: none, paced or at_once
+	Buffer             Span    `toml:"buffer"`         // largest backlog of messages, as time of all cores
+	Thrash             float64 `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
+	ShedMode           string  `toml:"sheds"`          // flow that a host drops when its buffer is full: none, newest or heaviest
+	EchoMode           string  `toml:"echo"`           // at_once: lines are echoed before their work is done; in_turn: after it
+	SendsLoad          bool    `toml:"tells_load"`     // hosts send LOAD
+	LoadSpread         float64 `toml:"load_spread"`    // sigma of the flows' loads (log-normal)
+	LoadSwing          float64 `toml:"swing"`          // sigma of the changes of a flow's load (log-normal)
+	LoadChangeInterval Span    `toml:"change"`         // mean time between changes of a flow's load
+	LifeSpread         float64 `toml:"life_spread"`    // sigma of the lives of flows (log-normal)
 }
 
-// HostGroup are some hosts alike.
+// HostGroup describes hosts that are alike.
 type HostGroup struct {
 	Kind   string  `toml:"kind"`
 	Count  int     `toml:"count"`
 	Cores  float64 `toml:"cores"`
 	Speed  float64 `toml:"speed"`
 	Zone   string  `toml:"zone"` // empty: spread over all zones
-	BootAt Span    `toml:"boot"` // when it starts; 0 for long ago
+	BootAt Span    `toml:"boot"` // when the hosts start; 0: long before the run
 }
 
-// NodeGroup are the nodes of a zone.
+// NodeGroup describes the nodes of a zone.
 type NodeGroup struct {
 	Zone  string `toml:"zone"`
 	Count int    `toml:"count"`
 }
 
-// Node is what each node has.
+// Node holds the settings and resources of each node.
 type Node struct {
 	Sockets         int  `toml:"sockets"`
 	MemoryMB        int  `toml:"memory_mb"`
-	MaxConnects     int  `toml:"max_connects"`
+	MaxConnects     int  `toml:"max_connects"` // connects for one flow
 	Probing         bool `toml:"probing"`
-	HostsReportLoad bool `toml:"reports"` // hosts tell their load to probes
+	HostsReportLoad bool `toml:"reports"` // hosts report their load to probes
 	DrainGrace      Span `toml:"drain_grace"`
-	MaxRetryAfter   Span `toml:"max_wait"` // that clients obey when told to come again later; 0: they are not told
+	MaxRetryAfter   Span `toml:"max_wait"` // longest wait that clients are asked for in a rejection; 0: they are not asked to wait
 	DialTimeout     Span `toml:"dial_timeout"`
-	Backlog         int  `toml:"backlog"` // connections that wait at the listener at the most
+	Backlog         int  `toml:"backlog"` // most connections that wait at the listener
 
 	Admission Admission `toml:"admission"`
 	Holding   Holding   `toml:"holding"`
 
-	// What the node's own core costs, for play in virtual time; all 0: it costs nothing.
-	Turn   Span `toml:"turn_cost"`   // each turn of its loop
-	Event  Span `toml:"event_cost"`  // each event taken in
-	Socket Span `toml:"socket_cost"` // each connection opened, taken or closed
+	// Cost of the node's own core, for play in virtual time. If all are 0 it costs nothing.
+	Turn   Span `toml:"turn_cost"`   // each loop iteration
+	Event  Span `toml:"event_cost"`  // each event handled
+	Socket Span `toml:"socket_cost"` // each connection opened, accepted or closed
 	KB     Span `toml:"kb_cost"`     // each 1024 bytes sent or received
 }
 
-// Cluster is whether nodes bound themselves by what all of them together may place, and whether they tell each other.
+// Cluster says whether nodes are bounded by what all of them together may place, and whether they report to each other.
 type Cluster struct {
 	On     bool `toml:"on"`
-	Strict bool `toml:"strict"` // a rate of node.admission is kept whatever fails; without, by who can be reached
-	Alone  bool `toml:"alone"`  // each goes by its own eyes: none has another's address
+	Strict bool `toml:"strict"` // a rate of node.admission is kept whatever fails; otherwise among the nodes that reach each other
+	Alone  bool `toml:"alone"`  // no node has another's address: each goes by its own observations
 
 	Limits []Limit `toml:"limits"` // kept by all nodes together
 }
 
-// Limit is one that the whole fleet keeps: a rate of new flows, or a number at once.
+// Limit is a limit that the whole fleet keeps: a rate of new flows, or a number at once.
 type Limit struct {
-	Over    string  `toml:"over"` // address, type, group or host
-	Of      string  `toml:"of"`   // one of these alone
-	Promise string  `toml:"promise"`
-	Rate    float64 `toml:"rate"`
+	Over    string  `toml:"over"`    // what is limited: address, type, group, host or cold
+	Of      string  `toml:"of"`      // the only one of these that is limited; empty: each
+	Promise string  `toml:"promise"` // strict or available
+	Rate    float64 `toml:"rate"`    // new flows per second
 	Burst   float64 `toml:"burst"`
 	AtOnce  int     `toml:"at_once"`
 }
 
-// Admission is what a node allows each client address; 0: anything.
+// Admission is what a node allows each client address. 0 means no limit.
 type Admission struct {
 	PerAddress int     `toml:"per_address"` // connections at once
-	Rate       float64 `toml:"rate"`        // new ones a second
-	Burst      float64 `toml:"burst"`       // of these in hand
-	Reserve    int     `toml:"reserve"`     // descriptors kept for known clients
+	Rate       float64 `toml:"rate"`        // new connections per second
+	Burst      float64 `toml:"burst"`       // new connections in addition
+	Reserve    int     `toml:"reserve"`     // descriptors reserved for known clients
 }
 
-// Holding is what a node may hold; 0: its own defaults, or no limit.
+// Holding is what a node may hold. 0 means the node's default or no limit.
 type Holding struct {
 	Buffers int  `toml:"buffers"`
 	Idle    Span `toml:"idle"`
 	Stalled Span `toml:"stalled"`
 }
 
-// Discovery is the service that names the hosts.
+// Discovery describes the service that publishes the hosts.
 type Discovery struct {
-	NoticeDelay  Span    `toml:"notice"`  // until it knows of what changed
-	UpdatePeriod Span    `toml:"period"`  // it tells changes so often
-	CallRate     float64 `toml:"calls"`   // calls a second that it can take; 0: any number
-	RefusalShare float64 `toml:"refuses"` // share of calls that it turns down
+	NoticeDelay  Span    `toml:"notice"`  // time until it notices a change
+	UpdatePeriod Span    `toml:"period"`  // time between updates
+	CallRate     float64 `toml:"calls"`   // calls per second that it can handle; 0: any number
+	RefusalShare float64 `toml:"refuses"` // share of calls that it refuses
 }
 
-// FrontEnd deals clients out among the nodes of their zone.
+// FrontEnd describes the front-end load balancer, which distributes clients over the nodes of their zone.
 type FrontEnd struct {
-	NoticeDelay Span `toml:"notice"` // it goes on sending to a dead node for so long
+	NoticeDelay Span `toml:"notice"` // time for which it keeps sending clients to a dead node
 }
 
-// Store is a service that each set-up needs.
+// Store describes a service that each set-up calls.
 type Store struct {
-	CallRate float64 `toml:"rate"` // calls a second that it can take; 0: there is none
-	CallTime Span    `toml:"time"` // of a call
+	CallRate float64 `toml:"rate"` // calls per second that it can handle; 0: there is no store
+	CallTime Span    `toml:"time"` // duration of a call
 }
 
-// Clients is what all clients have in common.
+// Clients holds what all clients have in common.
 type Clients struct {
-	Retries          int     `toml:"retries"`    // tries after the first
+	Retries          int     `toml:"retries"`    // attempts after the first
 	RetryWait        string  `toml:"wait"`       // none, at_once, fixed or exponential
-	RetryPause       Span    `toml:"pause"`      // the fixed wait, and the first of the exponential ones
-	GivesUp          bool    `toml:"gives_up"`   // after these it is gone; else it comes again later, and waits ever longer
-	HonourShare      float64 `toml:"honour"`     // share of clients that wait as told
-	ReturnAfterBreak [2]Span `toml:"back"`       // after a break a client comes again within
-	ReturnAfterMove  [2]Span `toml:"moved"`      // after MOVE
-	LineInterval     Span    `toml:"line_every"` // a line of each established flow
+	RetryPause       Span    `toml:"pause"`      // the fixed wait, or the first of the exponential ones
+	GivesUp          bool    `toml:"gives_up"`   // after these a client gives up; otherwise it starts over, after ever longer waits
+	HonourShare      float64 `toml:"honour"`     // share of requested waits that clients observe
+	ReturnAfterBreak [2]Span `toml:"back"`       // shortest and longest time after which a client connects again after a break
+	ReturnAfterMove  [2]Span `toml:"moved"`      // the same after MOVE
+	LineInterval     Span    `toml:"line_every"` // mean time between lines of an established flow
 }
 
-// ServiceType is a service type.
+// ServiceType describes a service type.
 type ServiceType struct {
 	Name           string  `toml:"name"`
-	Share          float64 `toml:"share"`
+	Share          float64 `toml:"share"` // of new flows, relative to the other types
 	Load           float64 `toml:"load"`
-	Life           float64 `toml:"life"`
+	Life           float64 `toml:"life"` // mean life of a flow, as a multiple of demand.life
 	SetupTarget    Span    `toml:"setup_target"`
 	ConnectTimeout Span    `toml:"connect_timeout"`
 	MessageTarget  Span    `toml:"message_target"`
 	Benefit        float64 `toml:"benefit"`
 	Effect         string  `toml:"effect"` // repeatable, referenced or once-only
-	Scope          string  `toml:"scope"`  // all or zone: hosts that know a referenced flow again
-	Window         Span    `toml:"window"` // for so long
+	Scope          string  `toml:"scope"`  // all or zone: hosts that recognize a referenced flow
+	Window         Span    `toml:"window"` // time for which they do
 }
 
-// Demand is who comes.
+// Demand describes the clients that arrive.
 type Demand struct {
-	Rate         float64            `toml:"rate"`          // new flows a second, over all zones
-	Life         Span               `toml:"life"`          // of a flow of life 1, on average
-	ZoneWeights  map[string]float64 `toml:"skew"`          // weight of a zone; 1 where none is given
-	Standing     float64            `toml:"standing"`      // flows that stand at the start, as a share of the rate's mean number
-	StandingTilt float64            `toml:"standing_tilt"` // sigma of their uneven spread over hosts (log-normal)
+	Rate         float64            `toml:"rate"`          // new flows per second, over all zones
+	Life         Span               `toml:"life"`          // mean life of a flow of life 1
+	ZoneWeights  map[string]float64 `toml:"skew"`          // weight of each zone; 1 for zones without one
+	Standing     float64            `toml:"standing"`      // flows established at the start, as a share of the mean number that the rate gives
+	StandingTilt float64            `toml:"standing_tilt"` // sigma of their distribution over hosts (log-normal)
 	Waves        []Wave             `toml:"waves"`
-	Flows        string             `toml:"flows"` // a file of flows, in place of a rate
+	Flows        string             `toml:"flows"` // file of flows that replaces the rate
 	Loops        []LoopingClients   `toml:"loops"`
 	Bulk         []BulkClients      `toml:"bulk"`
 	BadClients   []BadClients       `toml:"bad"`
 }
 
-// Wave says by how much the rate is multiplied from a moment on; in between it changes evenly.
+// Wave is a factor of the rate that applies at a time. Between waves it is interpolated.
 type Wave struct {
 	At             Span    `toml:"at"`
 	RateMultiplier float64 `toml:"times"`
 }
 
-// LoopingClients is clients that open, and close as soon as they are established, again and again.
+// LoopingClients are clients that connect, disconnect as soon as they are established, and connect again.
 type LoopingClients struct {
 	At    Span   `toml:"at"`
-	For   Span   `toml:"for"`
+	For   Span   `toml:"for"` // 0: until the end
 	Count int    `toml:"count"`
 	Type  string `toml:"type"`
 	Zone  string `toml:"zone"`
 
-	OneAddress bool `toml:"one_address"` // all come from one address
+	OneAddress bool `toml:"one_address"` // all connect from the same address
 }
 
-// BulkClients is clients that send lines as fast as they come back.
+// BulkClients are clients that send lines as fast as these are echoed.
 type BulkClients struct {
 	At     Span   `toml:"at"`
-	For    Span   `toml:"for"`
+	For    Span   `toml:"for"` // 0: until the end
 	Count  int    `toml:"count"`
 	Type   string `toml:"type"`
 	Zone   string `toml:"zone"`
-	Window int    `toml:"window"` // bytes on their way at once
+	Window int    `toml:"window"` // bytes in flight
 }
 
-// BadClients is clients that keep no protocol, new ones so many a second.
+// BadClients are clients that violate the protocol. New ones arrive at a rate.
 type BadClients struct {
 	At   Span    `toml:"at"`
-	For  Span    `toml:"for"`
-	Rate float64 `toml:"rate"`
-	Kind string  `toml:"kind"`
-	Zone string  `toml:"zone"`
+	For  Span    `toml:"for"`  // 0: until the end
+	Rate float64 `toml:"rate"` // new clients per second
+	Kind string  `toml:"kind"` // one of BadClientKinds
+	Zone string  `toml:"zone"` // empty: random
 }
 
-// BadClientKinds are the ways to keep no protocol.
+// BadClientKinds are the ways in which clients violate the protocol.
 var BadClientKinds = []string{"garbage", "endless", "mute", "half", "no_type", "no_time", "many", "early", "huge"}
 
-// Fault is one thing that happens.
+// Fault is one fault of the timeline.
 type Fault struct {
 	At       Span     `toml:"at"`
 	Kind     string   `toml:"kind"`
-	Hosts    []string `toml:"hosts"` // names, such as "h-3"; else Count or Share of them by chance
-	Nodes    []string `toml:"nodes"`
+	Hosts    []string `toml:"hosts"` // names, such as "h-3"; without names, Count or Share of them at random
+	Nodes    []string `toml:"nodes"` // names, such as "n-3"; likewise
 	Zone     string   `toml:"zone"`
 	Count    int      `toml:"count"`
 	Share    float64  `toml:"share"`
 	For      Span     `toml:"for"`
-	Size     float64  `toml:"size"`  // see the kinds
-	Delay    Span     `toml:"delay"` // added to a link
-	Interval Span     `toml:"on"`    // a neighbour is on and off for so long; hosts are listed again so often
-	Step     Span     `toml:"step"`  // between the members of a roll
-	To       []string `toml:"to"`    // nodes at the other end; empty: all others
-	Parts    int      `toml:"parts"` // into which a fleet is cut
+	Size     float64  `toml:"size"`  // its meaning depends on the kind
+	Delay    Span     `toml:"delay"` // added to the delay of a network link
+	Interval Span     `toml:"on"`    // a neighbour alternates, and hosts are published again, at this interval
+	Step     Span     `toml:"step"`  // time between one member and the next
+	To       []string `toml:"to"`    // nodes at the other end of links; empty: all others
+	Parts    int      `toml:"parts"` // number of parts into which the fleet is split
 }
