--- a/rehearsal/fleet/client.go
+++ b/rehearsal/fleet/client.go
@@ -155,8 +155,8 @@
 		cl.countedAt = nil
 	}
 	if cl.node != nil {
-		for i, o := range cl.node.clients {
-			if o == cl {
+		for i, other := range cl.node.clients {
+			if other == cl {
 				last := len(cl.node.clients) - 1
 				cl.node.clients[i] = cl.node.clients[last]
 				cl.node.clients = cl.node.clients[:last]
@@ -184,28 +184,28 @@
 	if cl.state == clientDone || w.now > w.run.Length || w.now >= cl.endsAt {
 		return
 	}
-	n := w.pickNode(cl.zone, cl.eventRand)
-	if n == nil {
+	node := w.pickNode(cl.zone, cl.eventRand)
+	if node == nil {
 		cl.attemptFailed(-1)
 		return
 	}
 	w.flowCount++
-	f := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, Type: cl.serviceType, Group: cl.group, Node: n.index,
+	flow := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, Type: cl.serviceType, Group: cl.group, Node: node.index,
 		Zone: cl.zone, Timeout: w.run.Types[cl.serviceType].Timeout, Again: cl.returning, Host: -1, Load: cl.load, LifeLeft: cl.endsAt - w.now}
-	w.run.Flows = append(w.run.Flows, f)
+	w.run.Flows = append(w.run.Flows, flow)
 	w.run.Counts.Tries++
-	w.flowByID[f.ID], w.clientByFlowID[f.ID] = f, cl
+	w.flowByID[flow.ID], w.clientByFlowID[flow.ID] = flow, cl
 	if cl.initialHost != nil {
-		f.Timeout, f.Stood = standingConnectTimeout, true
+		flow.Timeout, flow.Stood = standingConnectTimeout, true
 	}
-	cl.flow, cl.state, cl.node, cl.hostEndAt, cl.silenceRecorded = f, clientAsking, n, 0, false
+	cl.flow, cl.state, cl.node, cl.hostEndAt, cl.silenceRecorded = flow, clientAsking, node, 0, false
 	cl.pendingToHost, cl.pendingToClient, cl.upSent = pendingBytes{}, pendingBytes{}, false
-	n.clients = append(n.clients, cl)
-	cl.conn = w.openToNode(cl, n.index, cl.address)
-	cl.conn.clientFlow = f
+	node.clients = append(node.clients, cl)
+	cl.conn = w.openToNode(cl, node.index, cl.address)
+	cl.conn.clientFlow = flow
 	cl.generation++
 	generation := cl.generation
-	w.after(f.Timeout, func() { // for the case that the connection is not established
+	w.after(flow.Timeout, func() { // for the case that the connection is not established
 		if cl.generation == generation && cl.state == clientAsking && cl.flow.Find(record.Asked) == nil {
 			cl.timeOut()
 		}
@@ -225,9 +225,9 @@
 
 // connected implements peer: the client sends its OPEN line.
 func (cl *client) connected(c *Conn) {
-	w, f := cl.world, cl.flow
+	w, flow := cl.world, cl.flow
 	var b strings.Builder
-	fmt.Fprintf(&b, "OPEN %s %s c=%s,d=%d", f.ID, f.Key, w.script.Types[cl.serviceType].Name, f.Timeout/1000)
+	fmt.Fprintf(&b, "OPEN %s %s c=%s,d=%d", flow.ID, flow.Key, w.script.Types[cl.serviceType].Name, flow.Timeout/1000)
 	if cl.group != "" {
 		fmt.Fprintf(&b, ",g=%s", cl.group)
 	}
@@ -241,10 +241,10 @@
 		b.WriteString(",again=1")
 	}
 	b.WriteString("\r\n")
-	f.Add(record.Event{At: w.now, Kind: record.Asked, Host: -1})
+	flow.Add(record.Event{At: w.now, Kind: record.Asked, Host: -1})
 	w.sendToNode(c, b.String(), nil)
 	generation := cl.generation
-	w.after(f.Timeout, func() {
+	w.after(flow.Timeout, func() {
 		if cl.generation == generation && cl.state == clientAsking {
 			cl.timeOut()
 		}
@@ -318,8 +318,8 @@
 
 // receiveAnswer handles the final answer to an attempt.
 func (cl *client) receiveAnswer(text string) {
-	w, f := cl.world, cl.flow
-	f.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: text})
+	w, flow := cl.world, cl.flow
+	flow.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: text})
 	cl.initialHost = nil
 	receipt, up := strings.CutPrefix(text, "UP ")
 	if !up {
@@ -334,14 +334,14 @@
 		cl.attemptFailed(retryAfter)
 		return
 	}
-	f.Establish = w.now - f.Find(record.Asked).At
+	flow.Establish = w.now - flow.Find(record.Asked).At
 	name, _, _ := strings.Cut(receipt, ".")
 	cl.state, cl.failures, cl.retryRounds, cl.retrying = clientEstablished, 0, 0, false
 	for _, h := range w.hosts {
 		if h.uid == name {
-			f.Host = h.index
-			f.Crossed = h.zone != cl.node.zone
-			if f.Crossed {
+			flow.Host = h.index
+			flow.Crossed = h.zone != cl.node.zone
+			if flow.Crossed {
 				w.run.Counts.Crossings++
 			}
 			if !cl.looping {
@@ -428,13 +428,13 @@
 	if c != cl.conn {
 		return
 	}
-	w, f, closingLine, state := cl.world, cl.flow, cl.closingLine, cl.state
+	w, flow, closingLine, state := cl.world, cl.flow, cl.closingLine, cl.state
 	kind := record.Cut
 	if closingLine == "MOVE" {
 		kind = record.Moved
 	}
 	if closingLine != "BYE" {
-		f.Add(record.Event{At: w.now, Kind: kind, Host: -1})
+		flow.Add(record.Event{At: w.now, Kind: kind, Host: -1})
 	}
 	w.closePeerSide(c, false)
 	cl.generation++
--- a/rehearsal/fleet/conn.go
+++ b/rehearsal/fleet/conn.go
@@ -192,8 +192,8 @@
 	c.removed = true
 	n := w.nodes[c.Node]
 	if n.starts == c.nodeStarts {
-		for i, o := range n.conns {
-			if o == c {
+		for i, other := range n.conns {
+			if other == c {
 				last := len(n.conns) - 1
 				n.conns[i] = n.conns[last]
 				n.conns[last] = nil
--- a/rehearsal/fleet/demand.go
+++ b/rehearsal/fleet/demand.go
@@ -25,7 +25,7 @@
 	for i, loop := range demand.Loops {
 		address := netip.Addr{}
 		if loop.OneAddress {
-			address = clientAddress(1<<23 - 1 - uint64(i))
+			address = clientAddress(lastClientNumber - uint64(i))
 		}
 		for range loop.Count {
 			w.scheduleSpecialClient(loop.At.Us(), loop.For.Us(), loop.Type, loop.Zone, true, 0, address)
@@ -42,6 +42,7 @@
 }
 
 const (
+	lastClientNumber       = 1<<23 - 1   // highest number that clientAddress maps to an address of its own
 	standingLeadTime       = second      // time before the run at which clients with standing flows connect
 	standingConnectTimeout = 30 * second // their connect timeout
 )
--- a/rehearsal/fleet/discovery.go
+++ b/rehearsal/fleet/discovery.go
@@ -78,6 +78,7 @@
 	d.subscriptions = append(d.subscriptions, sub)
 }
 
+// connected implements peer.
 func (d *discovery) connected(*Conn) {}
 
 // closed implements peer.
@@ -152,8 +153,8 @@
 
 // entriesSince returns the entries added to the journal after a revision.
 func (d *discovery) entriesSince(revision int64) (entries []hostEntry) {
-	for _, record := range d.journal[revision:] {
-		entries = append(entries, record.entry)
+	for _, change := range d.journal[revision:] {
+		entries = append(entries, change.entry)
 	}
 	return entries
 }
--- a/rehearsal/fleet/faults.go
+++ b/rehearsal/fleet/faults.go
@@ -9,68 +9,69 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// injectFault starts a fault of the script. Members that it hits at random are drawn from a source of its own.
-func (w *World) injectFault(f *scenario.Fault) {
-	index := uint64(slices.IndexFunc(w.script.Faults, func(o scenario.Fault) bool { return o.At == f.At && o.Kind == f.Kind }))
-	pick := func(names []string, total int) []int { return w.pickMembers(f, randFaults+index<<8, names, total) }
-	duration := f.For.Us()
-	switch f.Kind {
+// injectFault starts a fault of the script. Members that it hits at random are drawn from a source of its own; faults of
+// the same kind and time draw the same.
+func (w *World) injectFault(fault *scenario.Fault) {
+	index := uint64(slices.IndexFunc(w.script.Faults, func(o scenario.Fault) bool { return o.At == fault.At && o.Kind == fault.Kind }))
+	pick := func(names []string, total int) []int { return w.pickMembers(fault, randFaults+index<<8, names, total) }
+	duration := fault.For.Us()
+	switch fault.Kind {
 	case "cut", "delay", "breaks":
-		w.injectZoneFault(f, w.zoneIndex(f.Zone))
+		w.injectZoneFault(fault, w.zoneIndex(fault.Zone))
 	case "store_slow":
-		w.storeSlowdown *= f.Size
-		w.after(duration, func() { w.storeSlowdown /= f.Size })
+		w.storeSlowdown *= fault.Size
+		w.after(duration, func() { w.storeSlowdown /= fault.Size })
 	case "discovery":
 		w.discovery.outages++
 		w.discovery.breakSubscriptions()
 		w.after(duration, func() { w.discovery.outages-- })
 	case "discovery_no":
-		w.discovery.refusalShare += f.Size
-		w.after(duration, func() { w.discovery.refusalShare -= f.Size })
+		w.discovery.refusalShare += fault.Size
+		w.after(duration, func() { w.discovery.refusalShare -= fault.Size })
 	case "reconnect", "vanish":
-		w.dropClients(f, w.newRand(randFaults+index<<8+1<<20))
+		w.dropClients(fault, w.newRand(randFaults+index<<8+1<<20))
 	case "link_loss", "link_delay", "link_twice", "link_mixed", "link_bent", "link_again", "link_mute", "link_cut", "link_split", "link_liar":
 		var to []int
-		if len(f.To) > 0 {
-			to = pick(f.To, len(w.nodes))
+		if len(fault.To) > 0 {
+			to = pick(fault.To, len(w.nodes))
 		}
 		var nodes []int
-		if f.Kind != "link_split" {
-			nodes = pick(f.Nodes, len(w.nodes))
+		if fault.Kind != "link_split" {
+			nodes = pick(fault.Nodes, len(w.nodes))
 		}
-		w.injectLinkFault(f, nodes, to)
+		w.injectLinkFault(fault, nodes, to)
 	case "node_kill", "node_stop", "node_reload", "node_starve", "node_pause", "node_twin", "node_clock", "node_rate":
-		for i, n := range pick(f.Nodes, len(w.nodes)) {
-			w.after(int64(i)*f.Step.Us(), func() { w.injectNodeFault(f, n) })
+		for i, n := range pick(fault.Nodes, len(w.nodes)) {
+			w.after(int64(i)*fault.Step.Us(), func() { w.injectNodeFault(fault, n) })
 		}
 	default:
-		for i, h := range pick(f.Hosts, len(w.hosts)) {
-			w.after(int64(i)*f.Step.Us(), func() { w.injectHostFault(f, w.hosts[h]) })
+		for i, h := range pick(fault.Hosts, len(w.hosts)) {
+			w.after(int64(i)*fault.Step.Us(), func() { w.injectHostFault(fault, w.hosts[h]) })
 		}
 	}
 }
 
 // pickMembers returns the indexes of the named members. Without names it draws as many of total members as the fault's
 // count or share says.
-func (w *World) pickMembers(f *scenario.Fault, purpose uint64, names []string, total int) []int {
+func (w *World) pickMembers(fault *scenario.Fault, purpose uint64, names []string, total int) []int {
 	var indexes []int
-	for _, n := range names {
-		index, _ := strconv.Atoi(n[strings.IndexByte(n, '-')+1:])
+	for _, name := range names {
+		index, _ := strconv.Atoi(name[strings.IndexByte(name, '-')+1:])
 		indexes = append(indexes, index)
 	}
 	if len(names) > 0 {
 		return indexes
 	}
-	count := f.Count
+	count := fault.Count
 	if count == 0 {
-		count = max(int(f.Share*float64(total)+0.5), 1)
+		count = max(int(fault.Share*float64(total)+0.5), 1)
 	}
 	return w.newRand(purpose).Perm(total)[:min(count, total)]
 }
 
 // injectHostFault starts a fault of one host.
-func (w *World) injectHostFault(f *scenario.Fault, h *host) {
-	duration := f.For.Us()
+func (w *World) injectHostFault(fault *scenario.Fault, h *host) {
+	duration := fault.For.Us()
 	applyTemporarily := func(begin, end func()) {
 		h.advance()
 		begin()
@@ -81,7 +82,7 @@
 			h.scheduleCompletion()
 		})
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "crash":
 		w.crashHost(h, duration)
 	case "silent":
@@ -91,11 +92,11 @@
 	case "pause":
 		applyTemporarily(func() { h.pauses++ }, func() { h.pauses-- })
 	case "slow":
-		applyTemporarily(func() { h.slowdown *= f.Size }, func() { h.slowdown /= f.Size })
+		applyTemporarily(func() { h.slowdown *= fault.Size }, func() { h.slowdown /= fault.Size })
 	case "errors":
-		applyTemporarily(func() { h.extraErrorRate += f.Size }, func() { h.extraErrorRate -= f.Size })
+		applyTemporarily(func() { h.extraErrorRate += fault.Size }, func() { h.extraErrorRate -= fault.Size })
 	case "neighbour":
-		w.runNeighbour(f, h, w.now+duration)
+		w.runNeighbour(fault, h, w.now+duration)
 	case "drain":
 		w.drainHost(h, duration, 0)
 	case "restart":
@@ -103,7 +104,7 @@
 	case "join":
 		w.startAbsentHost(h)
 	case "relist":
-		w.republish(h, f.Interval.Us(), w.now+duration)
+		w.republish(h, fault.Interval.Us(), w.now+duration)
 	}
 }
 
@@ -121,11 +122,11 @@
 }
 
 // runNeighbour lets another program use a share of the host's machine, alternating between on and off.
-func (w *World) runNeighbour(f *scenario.Fault, h *host, until int64) {
+func (w *World) runNeighbour(fault *scenario.Fault, h *host, until int64) {
 	h.advance()
-	h.neighbourShare = f.Size
+	h.neighbourShare = fault.Size
 	h.scheduleCompletion()
-	interval := f.Interval.Us()
+	interval := fault.Interval.Us()
 	if interval == 0 {
 		interval = until - w.now
 	}
@@ -134,7 +135,7 @@
 		h.neighbourShare = 0
 		h.scheduleCompletion()
 		if w.now+interval < until {
-			w.after(interval, func() { w.runNeighbour(f, h, until) })
+			w.after(interval, func() { w.runNeighbour(fault, h, until) })
 		}
 	})
 }
@@ -190,12 +191,12 @@
 }
 
 // injectNodeFault starts a fault of one node.
-func (w *World) injectNodeFault(f *scenario.Fault, index int) {
-	switch f.Kind {
+func (w *World) injectNodeFault(fault *scenario.Fault, index int) {
+	switch fault.Kind {
 	case "node_kill":
-		w.killNode(index, f.For.Us())
+		w.killNode(index, fault.For.Us())
 	case "node_stop":
-		w.stopNode(index, f.For.Us())
+		w.stopNode(index, fault.For.Us())
 	case "node_reload":
 		n := w.nodes[index]
 		n.reloads++
@@ -203,21 +204,21 @@
 			w.player.Reload(index, w.nodeConfig(n))
 		}
 	case "node_pause":
-		w.pauseNode(index, f.For.Us())
+		w.pauseNode(index, fault.For.Us())
 	case "node_twin":
 		w.player.Twin(index, w.nodeConfig(w.nodes[index]), true)
-		w.after(f.For.Us(), func() { w.player.Twin(index, Conf{}, false) })
+		w.after(fault.For.Us(), func() { w.player.Twin(index, Conf{}, false) })
 	case "node_clock":
-		w.player.Clock(index, int64(f.Size*1e6), 1)
+		w.player.Clock(index, int64(fault.Size*1e6), 1)
 	case "node_rate":
-		w.player.Clock(index, 0, f.Size)
-		w.after(f.For.Us(), func() { w.player.Clock(index, 0, 1) })
+		w.player.Clock(index, 0, fault.Size)
+		w.after(fault.For.Us(), func() { w.player.Clock(index, 0, 1) })
 	case "node_starve":
 		n := w.nodes[index]
-		n.starvedShares = append(n.starvedShares, f.Size)
+		n.starvedShares = append(n.starvedShares, fault.Size)
 		w.player.Starve(index, n.starvedShare())
-		w.after(f.For.Us(), func() {
-			i := slices.Index(n.starvedShares, f.Size)
+		w.after(fault.For.Us(), func() {
+			i := slices.Index(n.starvedShares, fault.Size)
 			n.starvedShares = slices.Delete(n.starvedShares, i, i+1)
 			w.player.Starve(index, n.starvedShare())
 		})
@@ -253,23 +254,23 @@
 }
 
 // injectZoneFault starts a fault of the network between a zone and the others.
-func (w *World) injectZoneFault(f *scenario.Fault, zone int) {
+func (w *World) injectZoneFault(fault *scenario.Fault, zone int) {
 	link := &w.zoneLinks[zone]
-	switch f.Kind {
+	switch fault.Kind {
 	case "cut":
 		link.cuts++
-		w.after(f.For.Us(), func() {
+		w.after(fault.For.Us(), func() {
 			link.cuts--
 			w.resumeAfterCut()
 		})
 	case "delay":
-		link.addedDelay += f.Delay.Us()
-		w.after(f.For.Us(), func() { link.addedDelay -= f.Delay.Us() })
+		link.addedDelay += fault.Delay.Us()
+		w.after(fault.For.Us(), func() { link.addedDelay -= fault.Delay.Us() })
 	case "breaks":
 		random := w.newRand(randFaults + 1<<30)
 		for _, n := range w.nodes {
 			for _, c := range slices.Clone(n.conns) {
-				if c.Host >= 0 && c.path.zone != n.zone && (c.path.zone == zone || n.zone == zone) && random.Float64() < f.Size {
+				if c.Host >= 0 && c.path.zone != n.zone && (c.path.zone == zone || n.zone == zone) && random.Float64() < fault.Size {
 					w.breakConnection(c)
 				}
 			}
@@ -291,19 +292,19 @@
 
 // dropClients lets a random share of the established clients drop their connections and connect again. For the fault
 // reconnect they close their connections, for vanish they do not.
-func (w *World) dropClients(f *scenario.Fault, random interface{ Float64() float64 }) {
+func (w *World) dropClients(fault *scenario.Fault, random interface{ Float64() float64 }) {
 	for _, cl := range slices.Clone(w.clients) {
-		if cl.state != clientEstablished || cl.looping || random.Float64() >= f.Size {
+		if cl.state != clientEstablished || cl.looping || random.Float64() >= fault.Size {
 			continue
 		}
 		cl.flow.Add(record.Event{At: w.now, Kind: record.Left, Host: -1})
-		if f.Kind == "reconnect" {
+		if fault.Kind == "reconnect" {
 			w.closePeerSide(cl.conn, true)
 		}
 		cl.generation++
 		cl.clearConnection()
 		w.run.Counts.Breaks++
 		cl.returning, cl.retrying, cl.failures = true, false, 0
-		w.after(int64(random.Float64()*float64(f.For)), cl.attempt)
+		w.after(int64(random.Float64()*float64(fault.For)), cl.attempt)
 	}
 }
--- a/rehearsal/fleet/host_conn.go
+++ b/rehearsal/fleet/host_conn.go
@@ -31,6 +31,7 @@
 	h.conns = append(h.conns, hc)
 }
 
+// connected implements peer.
 func (h *host) connected(*Conn) {}
 
 // probeAnswer returns the answer to a probe. The load report has two values: the number of active set-ups, and the load
--- a/rehearsal/fleet/links.go
+++ b/rehearsal/fleet/links.go
@@ -13,7 +13,7 @@
 // linkFault is a fault of links in force.
 type linkFault struct {
 	*scenario.Fault
-	fromNodes, toNodes []bool // by node; toNodes is nil if the fault is about all other nodes
+	fromNodes, toNodes []bool // by node; toNodes is nil if the fault is about the links with all other nodes
 	parts              []int  // for a split, the part of each node
 }
 
@@ -45,25 +45,25 @@
 }
 
 // injectLinkFault starts a fault of the links of some nodes, or of those between them and the nodes in to.
-func (w *World) injectLinkFault(f *scenario.Fault, nodes, to []int) {
-	fault := &linkFault{Fault: f, fromNodes: make([]bool, len(w.nodes))}
+func (w *World) injectLinkFault(fault *scenario.Fault, nodes, to []int) {
+	active := &linkFault{Fault: fault, fromNodes: make([]bool, len(w.nodes))}
 	for _, n := range nodes {
-		fault.fromNodes[n] = true
+		active.fromNodes[n] = true
 	}
 	if len(to) > 0 {
-		fault.toNodes = make([]bool, len(w.nodes))
+		active.toNodes = make([]bool, len(w.nodes))
 		for _, n := range to {
-			fault.toNodes[n] = true
+			active.toNodes[n] = true
 		}
 	}
-	if f.Kind == "link_split" {
+	if fault.Kind == "link_split" {
 		for n := range w.nodes {
-			fault.parts = append(fault.parts, n%f.Parts)
+			active.parts = append(active.parts, n%fault.Parts)
 		}
 	}
-	w.linkFaults = append(w.linkFaults, fault)
-	w.after(f.For.Us(), func() {
-		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == fault })
+	w.linkFaults = append(w.linkFaults, active)
+	w.after(fault.For.Us(), func() {
+		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == active })
 	})
 }
 
@@ -82,36 +82,36 @@
 	}
 	jitter := w.script.Network.Jitter
 	copies, delay := 1, int64(float64(base)*(1-jitter+2*jitter*random.Float64()))
-	for _, f := range w.linkFaults {
-		if !f.affects(from, to) {
+	for _, fault := range w.linkFaults {
+		if !fault.affects(from, to) {
 			continue
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case "link_cut", "link_mute", "link_split":
 			return
 		case "link_loss":
-			if random.Float64() < f.Size {
+			if random.Float64() < fault.Size {
 				return
 			}
 		case "link_delay":
-			delay += int64(float64(f.Delay.Us()) * (1 - f.Size + 2*f.Size*random.Float64()))
+			delay += int64(float64(fault.Delay.Us()) * (1 - fault.Size + 2*fault.Size*random.Float64()))
 		case "link_twice":
-			if random.Float64() < f.Size {
+			if random.Float64() < fault.Size {
 				copies++
 			}
 		case "link_mixed":
-			if random.Float64() < f.Size {
+			if random.Float64() < fault.Size {
 				delay += maxReorderDelay * int64(random.IntN(1000)) / 1000
 			}
 		case "link_bent":
-			if random.Float64() < f.Size {
+			if random.Float64() < fault.Size {
 				payload = slices.Clone(payload)
 				payload[random.IntN(len(payload))] ^= byte(1 + random.IntN(255))
 			}
 		case "link_liar":
 			payload = w.falseReport(payload)
 		case "link_again":
-			w.replayDatagram(f, random)
+			w.replayDatagram(fault, random)
 		}
 	}
 	if len(w.seenDatagrams) < maxSeenDatagrams {
@@ -134,9 +134,9 @@
 }
 
 // replayDatagram may send a datagram that was delivered before once more, to the same node.
-func (w *World) replayDatagram(f *linkFault, random *rand.Rand) {
-	if len(w.seenDatagrams) > 0 && random.Float64() < f.Size {
-		d := w.seenDatagrams[random.IntN(len(w.seenDatagrams))]
-		w.deliverDatagram(d.from, d.to, d.payload, random.Int64N(maxReplayDelay))
+func (w *World) replayDatagram(fault *linkFault, random *rand.Rand) {
+	if len(w.seenDatagrams) > 0 && random.Float64() < fault.Size {
+		datagram := w.seenDatagrams[random.IntN(len(w.seenDatagrams))]
+		w.deliverDatagram(datagram.from, datagram.to, datagram.payload, random.Int64N(maxReplayDelay))
 	}
 }
--- a/rehearsal/fleet/observe.go
+++ b/rehearsal/fleet/observe.go
@@ -76,14 +76,14 @@
 func (w *World) observeConnect(c *Conn, data []byte) {
 	rest, ok := strings.CutPrefix(string(data), "OPEN ")
 	id, _, _ := strings.Cut(rest, " ")
-	f := w.flowByID[id]
-	if !ok || f == nil {
+	flow := w.flowByID[id]
+	if !ok || flow == nil {
 		return
 	}
-	c.flow, c.client, c.attempt = f, w.clientByFlowID[id], f.Connects
-	f.Connects++
+	c.flow, c.client, c.attempt = flow, w.clientByFlowID[id], flow.Connects
+	flow.Connects++
 	w.run.Counts.Connects++
-	f.Add(record.Event{At: w.now, Kind: record.Sent, Host: c.Host, Try: c.attempt})
+	flow.Add(record.Event{At: w.now, Kind: record.Sent, Host: c.Host, Try: c.attempt})
 }
 
 // observeForwarded examines data that a node sends a client, and records if it has been held too long.
@@ -101,7 +101,7 @@
 	}
 }
 
-// observeNodeClose records that a node closes its side of a connection: that it ends a connect, or that it has told a
+// observeNodeClose records that a node closes its side of a connection: that it ends a connect, or that it has notified a
 // client of the end of its flow too late.
 func (w *World) observeNodeClose(c *Conn) {
 	if c.flow != nil {
--- a/rehearsal/fleet/world.go
+++ b/rehearsal/fleet/world.go
@@ -158,8 +158,8 @@
 		w.startNode(n.index)
 	}
 	for i := range w.script.Faults {
-		f := &w.script.Faults[i]
-		w.At(f.At.Us(), func() { w.injectFault(f) })
+		fault := &w.script.Faults[i]
+		w.At(fault.At.Us(), func() { w.injectFault(fault) })
 	}
 	w.scheduleDemand()
 	w.after(w.script.Discovery.UpdatePeriod.Us(), w.discoveryTick)
--- a/rehearsal/scenario/flows.go
+++ b/rehearsal/scenario/flows.go
@@ -77,9 +77,9 @@
 		if i == 0 {
 			after, load, ok = "0", part, true
 		}
-		at, err1 := strconv.ParseInt(after, 10, 64)
-		value, err2 := strconv.ParseFloat(load, 64)
-		if !ok || err1 != nil || err2 != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
+		at, afterErr := strconv.ParseInt(after, 10, 64)
+		value, loadErr := strconv.ParseFloat(load, 64)
+		if !ok || afterErr != nil || loadErr != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
 			return nil, fmt.Errorf("load %q: want a number over 0, then times with numbers, in order of time", text)
 		}
 		all = append(all, Step{Span(at), value})
@@ -92,9 +92,9 @@
 	if len(fields) != 7 {
 		return client, fmt.Errorf("%d fields, want the 7 of %q", len(fields), flowsHeader)
 	}
-	at, err1 := strconv.ParseInt(fields[0], 10, 64)
-	life, err2 := strconv.ParseInt(fields[6], 10, 64)
-	loads, err3 := parseLoads(fields[5])
+	at, atErr := strconv.ParseInt(fields[0], 10, 64)
+	life, lifeErr := strconv.ParseInt(fields[6], 10, 64)
+	loads, loadsErr := parseLoads(fields[5])
 	client = Recorded{At: Span(at), Type: s.TypeNo(fields[1]), Key: fields[4], Loads: loads, Life: Span(life), Zone: -1}
 	for i, z := range s.Zones {
 		if z == fields[2] {
@@ -105,15 +105,15 @@
 		client.Group = fields[3]
 	}
 	switch {
-	case err1 != nil || at < 0:
+	case atErr != nil || at < 0:
 		err = fmt.Errorf("at_us %q: want a whole number of microseconds", fields[0])
 	case client.Type < 0:
 		err = fmt.Errorf("type %q is not a service type", fields[1])
 	case client.Zone < 0:
 		err = fmt.Errorf("zone %q: want one of %s", fields[2], strings.Join(s.Zones, ", "))
-	case err3 != nil:
-		err = err3
-	case err2 != nil || life < 0:
+	case loadsErr != nil:
+		err = loadsErr
+	case lifeErr != nil || life < 0:
 		err = fmt.Errorf("life_us %q: want a whole number of microseconds", fields[6])
 	}
 	return client, err
