--- a/rehearsal/fleet/discovery.go
+++ b/rehearsal/fleet/discovery.go
@@ -10,241 +10,256 @@
 	"coursewinch/rehearsal/record"
 )
 
-// change is one entry of discovery's journal.
-type change struct {
-	rev   int64
-	entry entry
+// journalRecord is one change in discovery's journal.
+type journalRecord struct {
+	revision int64
+	entry    hostEntry
 }
 
-// entry is what a list says of a host.
-type entry struct {
-	host  int
-	state string // ready, draining or gone
-	boot  int64
-	at    int64 // when it became true
+// hostEntry is the published state of a host.
+type hostEntry struct {
+	host     int    // index
+	state    string // ready, draining or gone; empty if it was never listed
+	bootedAt int64  // 0: long ago
+	since    int64  // when the host entered the state
 }
 
-// watch is one node's connection to discovery.
-type watch struct {
-	c      *Conn
-	asked  bool
-	after  int64 // the last version told
-	done   bool
-	spoke  int64
-	target string
+// subscription is one node's connection to discovery.
+type subscription struct {
+	conn         *Conn
+	answered     bool  // the response has started
+	sentRevision int64 // last revision that the node has, or is being sent; -1: none
+	closed       bool
+	lastSentAt   int64
+	target       string // address that the node has dialed
 }
 
-// discovery names the hosts, late, to those who watch.
+// discovery is the service that publishes the hosts, with a delay, to the nodes that subscribe.
 type discovery struct {
-	w       *World
-	chance  *rand.Rand
-	journal []change
-	now     []entry // by host; state "" before it ever was listed
-	watches []*watch
-	down    int
-	refuses float64
-	freeAt  int64 // when it has dealt with the calls that wait
-	addrs   map[string]bool
-}
-
-func (d *discovery) exists(addr string) bool { return d.down == 0 && d.addrs[addr] }
-
-// learn puts what became of a host into the journal, after the time that discovery takes to notice.
-func (d *discovery) learn(h *host) {
-	e := entry{h.no, h.listed, h.boot, d.w.now}
+	world         *World
+	random        *rand.Rand
+	journal       []journalRecord
+	entries       []hostEntry // current entry by host
+	subscriptions []*subscription
+	outages       int     // number of outages in force
+	refusalShare  float64 // share of calls refused because of faults
+	busyUntil     int64   // when it has answered the calls that wait
+	addresses     map[string]bool
+}
+
+// isListening reports whether discovery accepts connections at an address.
+func (d *discovery) isListening(addr string) bool { return d.outages == 0 && d.addresses[addr] }
+
+// scheduleUpdate adds the current state of a host to the journal after the time that discovery takes to notice it, which
+// varies by up to 40 %.
+func (d *discovery) scheduleUpdate(h *host) {
+	e := hostEntry{h.index, h.listed, h.bootedAt, d.world.now}
 	if h.listed == "" {
 		e.state = "gone"
 	}
-	wait := float64(d.w.s.Discovery.Notice) * (0.6 + 0.8*d.chance.Float64())
-	d.w.after(int64(wait), func() { d.note(e) })
+	wait := float64(d.world.script.Discovery.NoticeDelay) * (0.6 + 0.8*d.random.Float64())
+	d.world.after(int64(wait), func() { d.apply(e) })
 }
 
-func (d *discovery) note(e entry) {
-	if old := d.now[e.host]; e.at < old.at {
-		return // what is newer is known already
+// apply adds an entry to the journal.
+func (d *discovery) apply(e hostEntry) {
+	if old := d.entries[e.host]; e.since < old.since {
+		return // a newer entry is known already
 	}
-	d.now[e.host] = e
-	d.journal = append(d.journal, change{int64(len(d.journal) + 1), e})
+	d.entries[e.host] = e
+	d.journal = append(d.journal, journalRecord{int64(len(d.journal) + 1), e})
 }
 
+// accepted implements peer.
 func (d *discovery) accepted(c *Conn) {
-	d.w.nodes[c.Node].askedAt = d.w.now
-	t := &watch{c: c, target: c.Addr}
-	c.state = t
-	d.watches = append(d.watches, t)
+	d.world.nodes[c.Node].lastAskedAt = d.world.now
+	sub := &subscription{conn: c, target: c.Addr}
+	c.peerState = sub
+	d.subscriptions = append(d.subscriptions, sub)
 }
 
-func (d *discovery) up(*Conn) {}
+// connected implements peer.
+func (d *discovery) connected(*Conn) {}
 
-func (d *discovery) ended(c *Conn, _ bool) {
-	if t, ok := c.state.(*watch); ok {
-		d.forget(t)
+// closed implements peer.
+func (d *discovery) closed(c *Conn, _ bool) {
+	if sub, ok := c.peerState.(*subscription); ok {
+		d.forget(sub)
 	}
 }
 
-func (d *discovery) forget(t *watch) {
-	t.done = true
-	d.w.nodes[t.c.Node].askedAt = d.w.now
-	d.watches = slices.DeleteFunc(d.watches, func(o *watch) bool { return o == t })
+// forget removes a subscription.
+func (d *discovery) forget(sub *subscription) {
+	sub.closed = true
+	d.world.nodes[sub.conn.Node].lastAskedAt = d.world.now
+	d.subscriptions = slices.DeleteFunc(d.subscriptions, func(o *subscription) bool { return o == sub })
 }
 
-// line reads a request: its first line tells all.
-func (d *discovery) line(c *Conn, line []byte) {
-	t, ok := c.state.(*watch)
-	if !ok || t.done {
+// receiveLine implements peer. It reads an HTTP request, of which only the request line matters.
+func (d *discovery) receiveLine(c *Conn, line []byte) {
+	sub, ok := c.peerState.(*subscription)
+	if !ok || sub.closed {
 		return
 	}
 	text := string(line)
 	switch {
 	case strings.HasPrefix(text, "GET "):
-		t.after = -1
+		sub.sentRevision = -1
 		if _, v, ok := strings.Cut(text, "after="); ok {
 			v, _, _ = strings.Cut(v, " ")
 			if n, err := strconv.ParseInt(v, 10, 64); err == nil {
-				t.after = n
+				sub.sentRevision = n
 			}
 		}
 	case text == "":
-		d.call(t)
+		d.answerCall(sub)
 	}
 }
 
-// call deals with calls one after another.
-func (d *discovery) call(t *watch) {
-	s := d.w.s.Discovery
-	if d.chance.Float64() < s.Refuses+d.refuses {
-		d.w.say(t.c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", nil)
-		d.w.hang(t.c, false)
-		d.forget(t)
+// answerCall answers a call, or refuses it. Calls are answered one after another at the script's discovery.calls.
+func (d *discovery) answerCall(sub *subscription) {
+	settings := d.world.script.Discovery
+	if d.random.Float64() < settings.RefusalShare+d.refusalShare {
+		d.world.sendToNode(sub.conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", nil)
+		d.world.closePeerSide(sub.conn, false)
+		d.forget(sub)
 		return
 	}
-	wait := int64(1000)
-	if s.Calls > 0 {
-		d.freeAt = max(d.freeAt, d.w.now) + int64(1e6/s.Calls)
-		wait = d.freeAt - d.w.now
+	wait := int64(unlimitedCallTime)
+	if settings.CallRate > 0 {
+		d.busyUntil = max(d.busyUntil, d.world.now) + int64(1e6/settings.CallRate)
+		wait = d.busyUntil - d.world.now
 	}
-	d.w.after(wait, func() {
-		if t.done || d.down > 0 {
+	d.world.after(wait, func() {
+		if sub.closed || d.outages > 0 {
 			return
 		}
-		t.asked = true
-		all := t.after < 0 || t.after > int64(len(d.journal))
-		var told []entry
+		sub.answered = true
+		all := sub.sentRevision < 0 || sub.sentRevision > int64(len(d.journal))
+		var entries []hostEntry
 		if all {
-			for _, e := range d.now {
+			for _, e := range d.entries {
 				if e.state != "" && e.state != "gone" {
-					told = append(told, e)
+					entries = append(entries, e)
 				}
 			}
 		} else {
-			told = d.since(t.after)
+			entries = d.entriesSince(sub.sentRevision)
 		}
-		d.w.say(t.c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n", nil)
-		d.tell(t, told, all)
+		d.world.sendToNode(sub.conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n", nil)
+		d.sendList(sub, entries, all)
 	})
 }
 
-func (d *discovery) since(rev int64) (told []entry) {
-	for _, c := range d.journal[rev:] {
-		told = append(told, c.entry)
+// entriesSince returns the entries added to the journal after a revision.
+func (d *discovery) entriesSince(revision int64) (entries []hostEntry) {
+	for _, change := range d.journal[revision:] {
+		entries = append(entries, change.entry)
 	}
-	return told
+	return entries
 }
 
-// tell writes one list of a watch.
-func (d *discovery) tell(t *watch, told []entry, all bool) {
-	t.after, t.spoke = int64(len(d.journal)), d.w.now
-	text := d.w.list(t.c.Node, t.after, told, all) + "\n"
-	rev := t.after
-	d.w.say(t.c, fmt.Sprintf("%x\r\n%s\r\n", len(text), text), func() { d.w.told(t.c.Node, rev, told, all) })
+// sendList sends a list to a subscriber as one chunk: all entries or those that have changed.
+func (d *discovery) sendList(sub *subscription, entries []hostEntry, all bool) {
+	sub.sentRevision, sub.lastSentAt = int64(len(d.journal)), d.world.now
+	text := d.world.listJSON(sub.conn.Node, sub.sentRevision, entries, all) + "\n"
+	revision := sub.sentRevision
+	d.world.sendToNode(sub.conn, fmt.Sprintf("%x\r\n%s\r\n", len(text), text), func() { d.world.applyList(sub.conn.Node, revision, entries, all) })
 }
 
-// beat tells all who watch what has changed.
-func (d *discovery) beat() {
-	for _, t := range d.watches {
+// sendUpdates sends changes, or a heartbeat, to all subscribers.
+func (d *discovery) sendUpdates() {
+	for _, sub := range d.subscriptions {
 		switch {
-		case !t.asked:
-		case t.after < int64(len(d.journal)):
-			d.tell(t, d.since(t.after), false)
-		case d.w.now-t.spoke >= 2*second:
-			t.spoke = d.w.now
-			d.w.say(t.c, "1\r\n\n\r\n", nil)
+		case !sub.answered:
+		case sub.sentRevision < int64(len(d.journal)):
+			d.sendList(sub, d.entriesSince(sub.sentRevision), false)
+		case d.world.now-sub.lastSentAt >= heartbeatInterval:
+			sub.lastSentAt = d.world.now
+			d.world.sendToNode(sub.conn, "1\r\n\n\r\n", nil)
 		}
 	}
 }
 
-// fail ends all watches.
-func (d *discovery) fail() {
-	for _, t := range slices.Clone(d.watches) {
-		d.w.hang(t.c, true)
-		d.forget(t)
+// breakSubscriptions breaks the connections of all subscribers.
+func (d *discovery) breakSubscriptions() {
+	for _, sub := range slices.Clone(d.subscriptions) {
+		d.world.closePeerSide(sub.conn, true)
+		d.forget(sub)
 	}
 }
 
-const askWithin = 6 * second // what the nodes' settings say
+const (
+	unlimitedCallTime  = 1000       // microseconds to answer a call if the call rate is not limited
+	heartbeatInterval  = 2 * second // between messages on an idle subscription
+	askDiscoveryWithin = 6 * second // time within which nodes have to call discovery, as in their settings
+)
 
-// deem tells nodes that have neither watched nor asked for so long what they could have heard.
-func (w *World) deem() {
+// applyMissedUpdates treats the current entries as reported to nodes that have neither had a subscription nor called
+// discovery for askDiscoveryWithin, since they could have known them.
+func (w *World) applyMissedUpdates() {
 	watching := map[int]bool{}
-	for _, t := range w.disc.watches {
-		watching[t.c.Node] = true
+	for _, sub := range w.discovery.subscriptions {
+		watching[sub.conn.Node] = true
 	}
 	for _, n := range w.nodes {
-		if !n.running || watching[n.no] || w.now-n.askedAt < askWithin {
+		if !n.running || watching[n.index] || w.now-n.lastAskedAt < askDiscoveryWithin {
 			continue
 		}
-		for _, e := range w.disc.now {
-			if e.state != "" && e != n.view[e.host] {
-				w.tellOne(n, e, false)
+		for _, e := range w.discovery.entries {
+			if e.state != "" && e != n.hostView[e.host] {
+				w.applyEntry(n, e, false)
 			}
 		}
 	}
 }
 
-// list is a list in discovery's form, as one node sees it.
-func (w *World) list(node int, rev int64, told []entry, all bool) string {
+// listJSON returns a list in the format of discovery, with the addresses that a node uses.
+func (w *World) listJSON(node int, revision int64, entries []hostEntry, all bool) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, `{"rev":%d,"all":%t,"targets":[`, rev, all)
-	for i, e := range told {
+	fmt.Fprintf(&b, `{"rev":%d,"all":%t,"targets":[`, revision, all)
+	for i, e := range entries {
 		if i > 0 {
 			b.WriteByte(',')
 		}
 		h := w.hosts[e.host]
-		boot := int64(0)
-		if e.boot > 0 {
-			boot = (w.epoch + e.boot) / 1000
+		bootMs := int64(0)
+		if e.bootedAt > 0 {
+			bootMs = (w.epoch + e.bootedAt) / 1000
 		}
 		fmt.Fprintf(&b, `{"uid":%q,"endpoint":%q,"az":%q,"model":%q,"pod_group":%d,"state":%q,"capacity_hint":%.3f,"boot_ms":%d}`,
-			h.uid, w.endpoint(node, h), w.s.Zones[h.zone], h.kind, h.zone, e.state, h.cores*h.speed/w.meanSize, boot)
+			h.uid, w.endpoint(node, h), w.script.Zones[h.zone], h.model, h.zone, e.state, h.cores*h.speed/w.meanCapacity, bootMs)
 	}
 	b.WriteString("]}")
 	return b.String()
 }
 
-// told is that a node has a list: what it says counts from now on.
-func (w *World) told(node int, rev int64, told []entry, all bool) {
+// applyList records that a node has received a list.
+func (w *World) applyList(node int, revision int64, entries []hostEntry, all bool) {
 	n := w.nodes[node]
-	n.rev = rev
+	n.revision = revision
 	if all {
-		gone := slices.Clone(n.view)
-		for _, e := range told {
-			gone[e.host].state = ""
+		missing := slices.Clone(n.hostView)
+		for _, e := range entries {
+			missing[e.host].state = ""
 		}
-		for no, e := range gone {
+		for index, e := range missing {
 			if e.state != "" && e.state != "gone" {
-				w.tellOne(n, entry{no, "gone", e.boot, w.now}, false)
+				w.applyEntry(n, hostEntry{index, "gone", e.bootedAt, w.now}, false)
 			}
 		}
 	}
-	for _, e := range told {
-		w.tellOne(n, e, false)
+	for _, e := range entries {
+		w.applyEntry(n, e, false)
 	}
 }
 
-func (w *World) tellOne(n *nodeState, e entry, restart bool) {
-	old := n.view[e.host]
-	n.view[e.host] = e
+// applyEntry records that a node has received an entry, or has started with it. The record notes it if it says that the
+// host has become ready, or is so no longer, and at each restart.
+func (w *World) applyEntry(n *nodeState, e hostEntry, restart bool) {
+	old := n.hostView[e.host]
+	n.hostView[e.host] = e
 	if up := e.state == "ready"; restart || up != (old.state == "ready") {
-		w.run.Told = append(w.run.Told, record.Told{Node: n.no, Host: e.host, At: w.now, Up: up, Restart: restart})
+		w.run.Told = append(w.run.Told, record.Told{Node: n.index, Host: e.host, At: w.now, Up: up, Restart: restart})
 	}
 }
--- a/rehearsal/fleet/fleet_test.go
+++ b/rehearsal/fleet/fleet_test.go
@@ -7,27 +7,27 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// nobody is Nodes that do nothing.
-type nobody struct{ bytes []string }
+// idlePlayer is a NodePlayer whose nodes do nothing. It notes what the nodes receive.
+type idlePlayer struct{ received []string }
 
-func (n *nobody) Start(int, Conf)           {}
-func (n *nobody) Kill(int)                  {}
-func (n *nobody) Stop(int)                  {}
-func (n *nobody) Reload(int, Conf)          {}
-func (n *nobody) Starve(int, float64)       {}
-func (n *nobody) Arrive(*Conn) bool         { return true }
-func (n *nobody) Up(*Conn)                  {}
-func (n *nobody) Refused(*Conn)             {}
-func (n *nobody) Bytes(_ *Conn, b []byte)   { n.bytes = append(n.bytes, string(b)) }
-func (n *nobody) End(*Conn)                 {}
-func (n *nobody) Broken(*Conn)              { n.bytes = append(n.bytes, "broken") }
-func (n *nobody) Listening(int, bool)       {}
-func (n *nobody) Datagram(int, int, []byte) {}
-func (n *nobody) Pause(int, bool)           {}
-func (n *nobody) Twin(int, Conf, bool)      {}
-func (n *nobody) Clock(int, int64, float64) {}
+func (n *idlePlayer) Start(int, Conf)           {}
+func (n *idlePlayer) Kill(int)                  {}
+func (n *idlePlayer) Stop(int)                  {}
+func (n *idlePlayer) Reload(int, Conf)          {}
+func (n *idlePlayer) Starve(int, float64)       {}
+func (n *idlePlayer) Arrive(*Conn) bool         { return true }
+func (n *idlePlayer) Up(*Conn)                  {}
+func (n *idlePlayer) Refused(*Conn)             {}
+func (n *idlePlayer) Bytes(_ *Conn, b []byte)   { n.received = append(n.received, string(b)) }
+func (n *idlePlayer) End(*Conn)                 {}
+func (n *idlePlayer) Broken(*Conn)              { n.received = append(n.received, "broken") }
+func (n *idlePlayer) Listening(int, bool)       {}
+func (n *idlePlayer) Datagram(int, int, []byte) {}
+func (n *idlePlayer) Pause(int, bool)           {}
+func (n *idlePlayer) Twin(int, Conf, bool)      {}
+func (n *idlePlayer) Clock(int, int64, float64) {}
 
-const plain = `name = "plain"
+const plainScript = `name = "plain"
 zones = ["a", "b"]
 [network]
 jitter = 0.0
@@ -50,30 +50,33 @@
 message_target = "60ms"
 `
 
-func world(t *testing.T, more string) (*World, *host, *nobody) {
+// newWorld returns a world with a plain script, its first host and the player of its node, which runs.
+func newWorld(t *testing.T, more string) (*World, *host, *idlePlayer) {
 	t.Helper()
-	s, err := scenario.Parse("plain.toml", []byte(plain+more))
+	s, err := scenario.Parse("plain.toml", []byte(plainScript+more))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &nobody{}
-	w := New(s, 1, n, Places{Discovery: func(int, int) string { return "discovery" }})
-	w.nodes[0].running, w.nodes[0].run = true, 1
+	player := &idlePlayer{}
+	w := New(s, 1, player, Places{Discovery: func(int, int) string { return "discovery" }})
+	w.nodes[0].running, w.nodes[0].starts = true, 1
 	w.hosts[0].speed = 1
-	return w, w.hosts[0], n
+	return w, w.hosts[0], player
 }
 
-// work puts a set-up of so much work in and gives the time at which it is done.
-func work(w *World, h *host, us float64) *job {
-	h.play()
-	j := &job{work: us, gone: true, c: &hostConn{Conn: &Conn{}}}
-	h.push(j)
-	h.plan()
+// addSetup starts a set-up with some work, in microseconds, at a host.
+func addSetup(w *World, h *host, us float64) *setupJob {
+	h.advance()
+	j := &setupJob{work: us, abandoned: true, conn: &hostConn{Conn: &Conn{}}}
+	h.pushJob(j)
+	h.scheduleCompletion()
 	return j
 }
 
-func doneAt(w *World, h *host, left int) int64 {
-	for len(h.inWork) > left {
+// advanceUntilLeft advances the world until a host has only left active set-ups, and returns the time. It returns -1 if
+// nothing happens any more.
+func advanceUntilLeft(w *World, h *host, left int) int64 {
+	for len(h.activeSetups) > left {
 		next, ok := w.Next()
 		if !ok {
 			return -1
@@ -83,128 +86,135 @@
 	return w.now
 }
 
-func TestSharing(t *testing.T) {
+// TestHostSharesCores checks how long set-ups take that share the cores of a host with each other, with messages and with
+// other programs.
+func TestHostSharesCores(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		set   func(h *host)
 		works []float64
-		first int64 // when the first is done
+		first int64 // microseconds until the first is done
 		last  int64
 	}{
 		{"alone", func(*host) {}, []float64{10_000}, 10_000, 10_000},
 		{"two share one core", func(*host) {}, []float64{10_000, 20_000}, 20_000, 30_000},
 		{"two cores", func(h *host) { h.cores = 2 }, []float64{10_000, 20_000}, 10_000, 20_000},
-		{"a neighbour takes half", func(h *host) { h.taken = 0.5 }, []float64{10_000}, 20_000, 20_000},
-		{"four times slower", func(h *host) { h.slow = 4 }, []float64{10_000}, 40_000, 40_000},
+		{"a neighbour takes half", func(h *host) { h.neighbourShare = 0.5 }, []float64{10_000}, 20_000, 20_000},
+		{"four times slower", func(h *host) { h.slowdown = 4 }, []float64{10_000}, 40_000, 40_000},
 		{"messages take their part", func(h *host) { h.load = 1e6 }, []float64{10_000}, 20_000, 20_000},
-		{"cold", func(h *host) { h.boot = 1; h.w.now = 1; h.at = 1 }, []float64{1_200}, 10_000, 10_000},
+		{"cold", func(h *host) { h.bootedAt = 1; h.world.now = 1; h.updatedAt = 1 }, []float64{1_200}, 10_000, 10_000},
 	} {
-		w, h, _ := world(t, "")
+		w, h, _ := newWorld(t, "")
 		c.set(h)
 		from := w.now
 		for _, us := range c.works {
-			work(w, h, us)
+			addSetup(w, h, us)
 		}
-		first := doneAt(w, h, len(c.works)-1) - from
-		last := doneAt(w, h, 0) - from
+		first := advanceUntilLeft(w, h, len(c.works)-1) - from
+		last := advanceUntilLeft(w, h, 0) - from
 		if math.Abs(float64(first-c.first)) > 20 || math.Abs(float64(last-c.last)) > 20 {
 			t.Errorf("%s: done after %d and %d us, not %d and %d", c.name, first, last, c.first, c.last)
 		}
 	}
 }
 
-func TestPauseHoldsWork(t *testing.T) {
-	w, h, _ := world(t, "")
-	work(w, h, 10_000)
+// TestPauseSuspendsWork checks that a pause of a host delays a set-up by its duration.
+func TestPauseSuspendsWork(t *testing.T) {
+	w, h, _ := newWorld(t, "")
+	addSetup(w, h, 10_000)
 	w.Advance(5_000)
-	w.strikeHost(&scenario.Fault{Kind: "pause", For: 100_000}, h)
-	if at := doneAt(w, h, 0); at < 109_900 || at > 110_100 {
-		t.Errorf("done at %d us", at)
+	w.injectHostFault(&scenario.Fault{Kind: "pause", For: 100_000}, h)
+	if at := advanceUntilLeft(w, h, 0); at < 109_900 || at > 110_100 {
+		t.Errorf("set-up done at %d us, want about 110000 us", at)
 	}
 }
 
-func TestWarmUp(t *testing.T) {
-	w, h, _ := world(t, "")
-	h.boot = 1
+// TestColdHostWarmsUp checks the share of its capacity that a host has during its warm-up.
+func TestColdHostWarmsUp(t *testing.T) {
+	w, h, _ := newWorld(t, "")
+	h.bootedAt = 1
 	for _, c := range []struct {
 		at   int64
 		want float64
 	}{{1, 0.12}, {11_000_001, 0.56}, {22_000_001, 1}, {60_000_000, 1}} {
-		if got := h.warm(c.at); math.Abs(got-c.want) > 0.001 {
-			t.Errorf("after %d us warm %.3f, not %.3f", c.at, got, c.want)
+		if got := h.warmShare(c.at); math.Abs(got-c.want) > 0.001 {
+			t.Errorf("share of the capacity %.3f after %d us, want %.3f", got, c.at, c.want)
 		}
 	}
 	_ = w
 }
 
-// TestFallOver sends connects to a cold host at rates round the stated multiple of what it can do.
-func TestFallOver(t *testing.T) {
+// TestColdHostFallsOver sends connects to a cold host at rates below and above the multiple of what it can handle at which
+// it falls over, and checks that it stays down then.
+func TestColdHostFallsOver(t *testing.T) {
 	for _, c := range []struct {
 		times float64
 		falls bool
 	}{{0.5, false}, {2, false}, {6, true}} {
-		w, h, _ := world(t, "")
-		h.boot = 1
-		can := h.full() / w.meanLoad / w.s.Fleet.ColdTime.Seconds()
-		for at, owed := int64(1), 0.0; at < 15_000_000; at += 10_000 {
+		w, h, _ := newWorld(t, "")
+		h.bootedAt = 1
+		expectedRate := h.capacity() / w.meanLoad / w.script.Fleet.ColdTime.Seconds()
+		for at, pending := int64(1), 0.0; at < 15_000_000; at += 10_000 {
 			w.Advance(at)
-			if owed += can * h.warm(at) * c.times * 0.01; owed >= 1 && !h.fell {
-				owed--
-				h.burden()
+			if pending += expectedRate * h.warmShare(at) * c.times * 0.01; pending >= 1 && !h.fellOver {
+				pending--
+				h.countColdConnect()
 			}
 		}
-		if h.fell != c.falls {
-			t.Errorf("%.1f times what it can do: fell %t, at most %.2f times", c.times, h.fell, h.pushed)
+		if h.fellOver != c.falls {
+			t.Errorf("%.1f times what it can handle: fell over %t, highest ratio %.2f", c.times, h.fellOver, h.peakColdRatio)
 		}
-		if w.Advance(20_000_000); c.falls && (h.state != dead || w.run.Hosts[0].FellAt == 0) {
-			t.Error("it fell over and is not down")
+		if w.Advance(20_000_000); c.falls && (h.state != hostDead || w.run.Hosts[0].FellAt == 0) {
+			t.Error("the host fell over and is not down")
 		}
-		if w.rise(h); c.falls && h.state != dead {
-			t.Error("it did not stay down")
+		if w.startHost(h); c.falls && h.state != hostDead {
+			t.Error("the host fell over and did not stay down")
 		}
 	}
 }
 
-func TestGroupCostsOnce(t *testing.T) {
-	w, h, _ := world(t, "")
-	w.s.Fleet.GroupCost = 3
-	h.join("g", 1)
-	h.join("g", 1)
-	h.join("o", 1)
-	if want := 2 * 3 * w.usual(); h.load != want {
-		t.Errorf("load %f, not %f", h.load, want)
+// TestGroupCostIsCountedOnce checks that a group adds its cost to a host once, and that the cost goes with its last flow.
+func TestGroupCostIsCountedOnce(t *testing.T) {
+	w, h, _ := newWorld(t, "")
+	w.script.Fleet.GroupCost = 3
+	h.addToGroup("g", 1)
+	h.addToGroup("g", 1)
+	h.addToGroup("o", 1)
+	if want := 2 * 3 * w.unitLoadRate(); h.load != want {
+		t.Errorf("load %f, want %f", h.load, want)
 	}
-	h.join("g", -1)
-	h.join("g", -1)
-	h.join("o", -1)
-	if h.load != 0 || len(h.groups) != 0 {
-		t.Errorf("left over: load %f, %d groups", h.load, len(h.groups))
+	h.addToGroup("g", -1)
+	h.addToGroup("g", -1)
+	h.addToGroup("o", -1)
+	if h.load != 0 || len(h.flowsByGroup) != 0 {
+		t.Errorf("without flows the host has a load of %f and %d groups", h.load, len(h.flowsByGroup))
 	}
 }
 
-func TestQualityFalls(t *testing.T) {
-	w, h, _ := world(t, "")
+// TestMessageQualityFallsWithLoad checks that quality decreases with load, and is 0 when the backlog exceeds the target.
+func TestMessageQualityFallsWithLoad(t *testing.T) {
+	w, h, _ := newWorld(t, "")
 	last := 1.1
 	for _, load := range []float64{0, 0.5, 0.8, 0.95, 1.2} {
-		h.load, h.backlog = load*core, 0
+		h.load, h.backlog = load*coreWorkPerSecond, 0
 		if load > 1 {
-			h.backlog = 0.1 * core
+			h.backlog = 0.1 * coreWorkPerSecond
 		}
-		q := h.quality(60_000)
+		q := h.messageQuality(60_000)
 		if q >= last {
-			t.Errorf("at load %.2f quality %.3f, not under %.3f", load, q, last)
+			t.Errorf("quality %.3f at load %.2f, want less than %.3f", q, load, last)
 		}
 		last = q
 	}
 	if last != 0 {
-		t.Errorf("with more piled up than the target allows quality is %f", last)
+		t.Errorf("quality %f with a backlog above the target, want 0", last)
 	}
 	_ = w
 }
 
-// TestSameMoment guards the order of what happens in the same microsecond: that in which it was asked for.
-func TestSameMoment(t *testing.T) {
-	w, _, _ := world(t, "")
+// TestSimultaneousEventsKeepOrder checks that events of the same microsecond run in the order in which they were scheduled.
+func TestSimultaneousEventsKeepOrder(t *testing.T) {
+	w, _, _ := newWorld(t, "")
 	var got []int
 	for i := range 20 {
 		w.At(500, func() {
@@ -217,39 +227,40 @@
 	w.Advance(500)
 	for i := range 20 {
 		if got[i] != i {
-			t.Fatalf("order %v", got)
+			t.Fatalf("events ran in the order %v", got)
 		}
 	}
 	if got[20] != 100 {
-		t.Errorf("what was asked for last came at place %v", got)
+		t.Errorf("the event scheduled last is not the last of %v", got)
 	}
 }
 
-// TestCut holds what crosses a cut and lets it go after, in order.
-func TestCut(t *testing.T) {
-	w, h, n := world(t, "")
+// TestZoneCutHoldsTraffic checks that a cut holds what crosses it, and that this arrives in order after the cut.
+func TestZoneCutHoldsTraffic(t *testing.T) {
+	w, h, player := newWorld(t, "")
 	far := w.hosts[1]
-	near := &Conn{Node: 0, peer: h, way: way{0, h.zone}, run: 1, isUp: true}
-	over := &Conn{Node: 0, peer: far, way: way{0, far.zone}, run: 1, isUp: true}
-	w.strikeZone(&scenario.Fault{Kind: "cut", For: 3_000_000}, far.zone)
-	w.say(near, "near", nil)
-	w.say(over, "one", nil)
-	w.say(over, "two", nil)
-	if w.Advance(2_900_000); len(n.bytes) != 1 || n.bytes[0] != "near" {
-		t.Fatalf("during the cut came %v", n.bytes)
+	near := &Conn{Node: 0, peer: h, path: path{0, h.zone}, nodeStarts: 1, isUp: true}
+	over := &Conn{Node: 0, peer: far, path: path{0, far.zone}, nodeStarts: 1, isUp: true}
+	w.injectZoneFault(&scenario.Fault{Kind: "cut", For: 3_000_000}, far.zone)
+	w.sendToNode(near, "near", nil)
+	w.sendToNode(over, "one", nil)
+	w.sendToNode(over, "two", nil)
+	if w.Advance(2_900_000); len(player.received) != 1 || player.received[0] != "near" {
+		t.Fatalf("received %v during the cut, want what does not cross it", player.received)
 	}
-	w.hang(over, true)
+	w.closePeerSide(over, true)
 	w.Advance(4_000_000)
-	if len(n.bytes) != 4 || n.bytes[1] != "one" || n.bytes[2] != "two" || n.bytes[3] != "broken" {
-		t.Errorf("after it came %v", n.bytes)
+	if len(player.received) != 4 || player.received[1] != "one" || player.received[2] != "two" || player.received[3] != "broken" {
+		t.Errorf("received %v, want what crosses the cut in order after it", player.received)
 	}
 }
 
-func TestSameChancesForEveryPolicy(t *testing.T) {
-	// Guards paired comparison: the clients of a seed are the same whatever else draws from chance meanwhile.
-	first, second := keys(t, false), keys(t, true)
+// TestClientsDoNotDependOnOtherDraws guards paired comparisons of policies: a seed has to give the same clients, whatever
+// else draws random numbers in the meantime.
+func TestClientsDoNotDependOnOtherDraws(t *testing.T) {
+	first, second := clientKeys(t, false), clientKeys(t, true)
 	if len(first) == 0 || len(first) != len(second) {
-		t.Fatalf("%d and %d clients", len(first), len(second))
+		t.Fatalf("%d clients, and %d beside other draws", len(first), len(second))
 	}
 	for i := range first {
 		if first[i] != second[i] {
@@ -258,27 +269,28 @@
 	}
 }
 
-func keys(t *testing.T, disturb bool) (all []string) {
-	w, _, _ := world(t, "")
-	w.s.Demand.Rate = 20
-	w.plan()
+// clientKeys returns the keys of the clients that arrive within ten seconds.
+func clientKeys(t *testing.T, disturb bool) (all []string) {
+	w, _, _ := newWorld(t, "")
+	w.script.Demand.Rate = 20
+	w.scheduleDemand()
 	for at := int64(0); at < 10_000_000; at += 100_000 {
 		w.Advance(at)
 		if disturb {
-			w.netChance.Float64()
-			w.disc.chance.Float64()
+			w.networkRand.Float64()
+			w.discovery.random.Float64()
 		}
 	}
-	for _, p := range w.wishes {
-		all = append(all, p.key)
+	for _, cl := range w.clients {
+		all = append(all, cl.key)
 	}
 	return all
 }
 
-// Where hosts report, a probe learns the load asked over what the host can do.
-func TestReport(t *testing.T) {
-	_, h, _ := world(t, "")
-	if h.load = 0.62 * core; h.pong(true)+h.pong(false) != "PONG 0,0.620\r\nPONG\r\n" {
-		t.Fatal(h.pong(true), h.pong(false))
+// TestProbeReport checks that the report in the answer to a probe is the load divided by what the host can handle.
+func TestProbeReport(t *testing.T) {
+	_, h, _ := newWorld(t, "")
+	if h.load = 0.62 * coreWorkPerSecond; h.probeAnswer(true)+h.probeAnswer(false) != "PONG 0,0.620\r\nPONG\r\n" {
+		t.Fatalf("answers %q with and %q without a report", h.probeAnswer(true), h.probeAnswer(false))
 	}
 }
--- a/rehearsal/fleet/links.go
+++ b/rehearsal/fleet/links.go
@@ -7,133 +7,136 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// The links between nodes: datagrams, each on its own. What the network does to them is drawn from a source of its own.
+// The links between nodes carry datagrams, each independent of the others. What happens to them in the network is drawn
+// from a random source of its own.
 
-// linkFault is one fault of links in force.
+// linkFault is a fault of links in force.
 type linkFault struct {
 	*scenario.Fault
-	from, to []bool // by node; to is nil where both ways between those and the others are meant
-	part     []int  // by node, for a split
+	fromNodes, toNodes []bool // by node; toNodes is nil if the fault is about the links with all other nodes
+	parts              []int  // for a split, the part of each node
 }
 
 const (
-	mostSeen   = 4096 // datagrams kept to be sent again
-	againAfter = 4 * second
+	maxSeenDatagrams = 4096       // number of datagrams kept for replay
+	maxReplayDelay   = 4 * second // until a replayed datagram arrives
+	maxReorderDelay  = 2 * second // added to a datagram that others overtake
 )
 
-// seenDatagram is one that passed, for faults that send it again.
+// seenDatagram is a datagram that was delivered, kept for replay.
 type seenDatagram struct {
 	from, to int
-	p        []byte
+	payload  []byte
 }
 
-// strikes tells whether a fault is about what goes from one node to another.
-func (f *linkFault) strikes(from, to int) bool {
+// affects reports whether a fault is about datagrams from one node to another.
+func (f *linkFault) affects(from, to int) bool {
 	switch {
-	case f.part != nil:
-		return f.part[from] != f.part[to]
-	case f.to != nil:
-		return f.from[from] && f.to[to]
+	case f.parts != nil:
+		return f.parts[from] != f.parts[to]
+	case f.toNodes != nil:
+		return f.fromNodes[from] && f.toNodes[to]
 	case f.Kind == "link_mute", f.Kind == "link_liar":
-		return f.from[from]
+		return f.fromNodes[from]
 	case f.Kind == "link_cut":
-		return f.from[from] != f.from[to]
+		return f.fromNodes[from] != f.fromNodes[to]
 	}
-	return f.from[from] || f.from[to]
+	return f.fromNodes[from] || f.fromNodes[to]
 }
 
-// strikeLinks begins a fault of links.
-func (w *World) strikeLinks(f *scenario.Fault, nodes, to []int) {
-	l := &linkFault{Fault: f, from: make([]bool, len(w.nodes))}
+// injectLinkFault starts a fault of the links of some nodes, or of those between them and the nodes in to.
+func (w *World) injectLinkFault(fault *scenario.Fault, nodes, to []int) {
+	active := &linkFault{Fault: fault, fromNodes: make([]bool, len(w.nodes))}
 	for _, n := range nodes {
-		l.from[n] = true
+		active.fromNodes[n] = true
 	}
 	if len(to) > 0 {
-		l.to = make([]bool, len(w.nodes))
+		active.toNodes = make([]bool, len(w.nodes))
 		for _, n := range to {
-			l.to[n] = true
+			active.toNodes[n] = true
 		}
 	}
-	if f.Kind == "link_split" {
+	if fault.Kind == "link_split" {
 		for n := range w.nodes {
-			l.part = append(l.part, n%f.Parts)
+			active.parts = append(active.parts, n%fault.Parts)
 		}
 	}
-	w.linkFaults = append(w.linkFaults, l)
-	w.after(f.For.Us(), func() {
-		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == l })
+	w.linkFaults = append(w.linkFaults, active)
+	w.after(fault.For.Us(), func() {
+		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == active })
 	})
 }
 
-// Told is a datagram that a node sends another. It comes, or does not, or comes as something else.
-func (w *World) Told(from, to int, p []byte) {
+// Told sends a datagram from a node to another. Faults may lose, delay, duplicate or change it.
+func (w *World) Told(from, to int, payload []byte) {
 	w.run.Counts.Datagrams++
-	w.run.Counts.DatagramBytes += len(p)
-	chance := w.linkChance
-	a, b := w.nodes[from].zone, w.nodes[to].zone
-	if a != b && (w.links[a].cut > 0 || w.links[b].cut > 0) {
+	w.run.Counts.DatagramBytes += len(payload)
+	random := w.linkRand
+	fromZone, toZone := w.nodes[from].zone, w.nodes[to].zone
+	if fromZone != toZone && (w.zoneLinks[fromZone].cuts > 0 || w.zoneLinks[toZone].cuts > 0) {
 		return
 	}
-	base := w.s.Network.Same.Us()
-	if a != b {
-		base = w.s.Network.Cross.Us() + w.links[a].added + w.links[b].added
+	base := w.script.Network.SameZone.Us()
+	if fromZone != toZone {
+		base = w.script.Network.CrossZone.Us() + w.zoneLinks[fromZone].addedDelay + w.zoneLinks[toZone].addedDelay
 	}
-	j := w.s.Network.Jitter
-	copies, late := 1, int64(float64(base)*(1-j+2*j*chance.Float64()))
-	for _, f := range w.linkFaults {
-		if !f.strikes(from, to) {
+	jitter := w.script.Network.Jitter
+	copies, delay := 1, int64(float64(base)*(1-jitter+2*jitter*random.Float64()))
+	for _, fault := range w.linkFaults {
+		if !fault.affects(from, to) {
 			continue
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case "link_cut", "link_mute", "link_split":
 			return
 		case "link_loss":
-			if chance.Float64() < f.Size {
+			if random.Float64() < fault.Size {
 				return
 			}
 		case "link_delay":
-			late += int64(float64(f.Delay.Us()) * (1 - f.Size + 2*f.Size*chance.Float64()))
+			delay += int64(float64(fault.Delay.Us()) * (1 - fault.Size + 2*fault.Size*random.Float64()))
 		case "link_twice":
-			if chance.Float64() < f.Size {
+			if random.Float64() < fault.Size {
 				copies++
 			}
 		case "link_mixed":
-			if chance.Float64() < f.Size {
-				late += 2 * second * int64(chance.IntN(1000)) / 1000
+			if random.Float64() < fault.Size {
+				delay += maxReorderDelay * int64(random.IntN(1000)) / 1000
 			}
 		case "link_bent":
-			if chance.Float64() < f.Size {
-				p = slices.Clone(p)
-				p[chance.IntN(len(p))] ^= byte(1 + chance.IntN(255))
+			if random.Float64() < fault.Size {
+				payload = slices.Clone(payload)
+				payload[random.IntN(len(payload))] ^= byte(1 + random.IntN(255))
 			}
 		case "link_liar":
-			p = w.lie(p)
+			payload = w.falseReport(payload)
 		case "link_again":
-			w.replay(f, chance)
+			w.replayDatagram(fault, random)
 		}
 	}
-	if len(w.seen) < mostSeen {
-		w.seen = append(w.seen, seenDatagram{from, to, p})
+	if len(w.seenDatagrams) < maxSeenDatagrams {
+		w.seenDatagrams = append(w.seenDatagrams, seenDatagram{from, to, payload})
 	} else {
-		w.seen[chance.IntN(mostSeen)] = seenDatagram{from, to, p}
+		w.seenDatagrams[random.IntN(maxSeenDatagrams)] = seenDatagram{from, to, payload}
 	}
 	for range copies {
-		w.deliver(from, to, p, late)
+		w.deliverDatagram(from, to, payload, delay)
 	}
 }
 
-func (w *World) deliver(from, to int, p []byte, late int64) {
-	w.after(max(late, 1), func() {
+// deliverDatagram delivers a datagram after a delay, if the receiving node runs then.
+func (w *World) deliverDatagram(from, to int, payload []byte, delay int64) {
+	w.after(max(delay, 1), func() {
 		if w.nodes[to].running {
-			w.side.Datagram(to, from, p)
+			w.player.Datagram(to, from, payload)
 		}
 	})
 }
 
-// replay sends something that passed before once more, to the node that it was for.
-func (w *World) replay(f *linkFault, chance *rand.Rand) {
-	if len(w.seen) > 0 && chance.Float64() < f.Size {
-		d := w.seen[chance.IntN(len(w.seen))]
-		w.deliver(d.from, d.to, d.p, chance.Int64N(againAfter))
+// replayDatagram may send a datagram that was delivered before once more, to the same node.
+func (w *World) replayDatagram(fault *linkFault, random *rand.Rand) {
+	if len(w.seenDatagrams) > 0 && random.Float64() < fault.Size {
+		datagram := w.seenDatagrams[random.IntN(len(w.seenDatagrams))]
+		w.deliverDatagram(datagram.from, datagram.to, datagram.payload, random.Int64N(maxReplayDelay))
 	}
 }
--- a/rehearsal/scenario/flows.go
+++ b/rehearsal/scenario/flows.go
@@ -11,21 +11,22 @@
 	"strings"
 )
 
-const flowsHead = "# at_us type zone group key load,after_us:load... life_us"
+// flowsHeader is the first line of a file of flows and names its fields.
+const flowsHeader = "# at_us type zone group key load,after_us:load... life_us"
 
-// WriteFlows writes clients as a file that Demand.Flows can name: one a line, group - for none.
+// WriteFlows writes clients in the format of the file that Demand.Flows names: one per line, with - for no group.
 func WriteFlows(to io.Writer, s *Script, all []Recorded) error {
-	b := bufio.NewWriter(to)
-	fmt.Fprintln(b, flowsHead)
-	for _, r := range all {
-		group := cmp.Or(r.Group, "-")
-		fmt.Fprintf(b, "%d %s %s %s %s %s %d\n", r.At, s.Types[r.Type].Name, s.Zones[r.Zone], group, r.Key, steps(r.Loads), r.Life)
+	w := bufio.NewWriter(to)
+	fmt.Fprintln(w, flowsHeader)
+	for _, client := range all {
+		group := cmp.Or(client.Group, "-")
+		fmt.Fprintf(w, "%d %s %s %s %s %s %d\n", client.At, s.Types[client.Type].Name, s.Zones[client.Zone], group, client.Key, formatLoads(client.Loads), client.Life)
 	}
-	return b.Flush()
+	return w.Flush()
 }
 
-// readFlows reads the file that Demand.Flows names, beside the script.
-func (s *Script) readFlows(f *faults) {
+// readFlows reads the file that Demand.Flows names. A relative path is relative to the script.
+func (s *Script) readFlows(p *problems) {
 	path := s.Demand.Flows
 	if path == "" {
 		return
@@ -35,82 +36,85 @@
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		f.add("demand.flows", "%v", err)
+		p.add("demand.flows", "%v", err)
 		return
 	}
 	defer file.Close()
-	in := bufio.NewScanner(file)
-	for line := 1; in.Scan(); line++ {
-		text := strings.TrimSpace(in.Text())
+	scanner := bufio.NewScanner(file)
+	for line := 1; scanner.Scan(); line++ {
+		text := strings.TrimSpace(scanner.Text())
 		if text == "" || text[0] == '#' {
 			continue
 		}
-		r, err := s.recorded(strings.Fields(text))
+		client, err := s.parseRecorded(strings.Fields(text))
 		if err != nil {
-			f.all = append(f.all, place{f.lines["demand.flows"], "demand.flows", fmt.Sprintf("%s:%d: %v", path, line, err)})
-			return // the rest is likely to be wrong in the same way
+			p.all = append(p.all, problem{p.lines["demand.flows"], "demand.flows", fmt.Sprintf("%s:%d: %v", path, line, err)})
+			return // the other lines are likely to have the same problem
 		}
-		s.Recorded = append(s.Recorded, r)
+		s.Recorded = append(s.Recorded, client)
 	}
-	if err := in.Err(); err != nil {
-		f.add("demand.flows", "%v", err)
+	if err := scanner.Err(); err != nil {
+		p.add("demand.flows", "%v", err)
 	}
 }
 
-func steps(all []Step) string {
+// formatLoads formats the loads of a client: LOAD,AFTER:LOAD,... with times in microseconds.
+func formatLoads(all []Step) string {
 	var b strings.Builder
-	for i, l := range all {
+	for i, step := range all {
 		if i > 0 {
-			fmt.Fprintf(&b, ",%d:", l.After)
+			fmt.Fprintf(&b, ",%d:", step.After)
 		}
-		fmt.Fprintf(&b, "%.4f", l.Load)
+		fmt.Fprintf(&b, "%.4f", step.Load)
 	}
 	return b.String()
 }
 
-func readSteps(text string) (all []Step, err error) {
+// parseLoads is the inverse of formatLoads.
+func parseLoads(text string) (all []Step, err error) {
 	for i, part := range strings.Split(text, ",") {
 		after, load, ok := strings.Cut(part, ":")
 		if i == 0 {
 			after, load, ok = "0", part, true
 		}
-		at, err1 := strconv.ParseInt(after, 10, 64)
-		v, err2 := strconv.ParseFloat(load, 64)
-		if !ok || err1 != nil || err2 != nil || !(v > 0 && v < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
-			return nil, fmt.Errorf("load %q: a figure over 0, then times with figures, in order", text)
+		at, afterErr := strconv.ParseInt(after, 10, 64)
+		value, loadErr := strconv.ParseFloat(load, 64)
+		if !ok || afterErr != nil || loadErr != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
+			return nil, fmt.Errorf("load %q: want a number over 0, then times with numbers, in order of time", text)
 		}
-		all = append(all, Step{Span(at), v})
+		all = append(all, Step{Span(at), value})
 	}
 	return all, nil
 }
 
-func (s *Script) recorded(p []string) (r Recorded, err error) {
-	if len(p) != 7 {
-		return r, fmt.Errorf("%d fields, not the 7 of %q", len(p), flowsHead)
+// parseRecorded parses the fields of one client.
+func (s *Script) parseRecorded(fields []string) (client Recorded, err error) {
+	if len(fields) != 7 {
+		return client, fmt.Errorf("%d fields, want the 7 of %q", len(fields), flowsHeader)
 	}
-	at, err1 := strconv.ParseInt(p[0], 10, 64)
-	life, err2 := strconv.ParseInt(p[6], 10, 64)
-	loads, err3 := readSteps(p[5])
-	r = Recorded{At: Span(at), Type: s.TypeNo(p[1]), Key: p[4], Loads: loads, Life: Span(life), Zone: -1}
+	at, atErr := strconv.ParseInt(fields[0], 10, 64)
+	life, lifeErr := strconv.ParseInt(fields[6], 10, 64)
+	loads, loadsErr := parseLoads(fields[5])
+	client = Recorded{At: Span(at), Type: s.TypeNo(fields[1]), Key: fields[4], Loads: loads, Life: Span(life), Zone: -1}
 	for i, z := range s.Zones {
-		if z == p[2] {
-			r.Zone = i
+		if z == fields[2] {
+			client.Zone = i
 		}
 	}
-	if p[3] != "-" {
-		r.Group = p[3]
+	if fields[3] != "-" {
+		client.Group = fields[3]
 	}
 	switch {
-	case err1 != nil || at < 0:
-		err = fmt.Errorf("at_us %q: a whole number of microseconds", p[0])
-	case r.Type < 0:
-		err = fmt.Errorf("type %q is no service type", p[1])
-	case r.Zone < 0:
-		err = fmt.Errorf("zone %q: one of %s", p[2], strings.Join(s.Zones, ", "))
-	case err3 != nil:
-		err = err3
-	case err2 != nil || life < 0:
-		err = fmt.Errorf("life_us %q: a whole number of microseconds", p[6])
+	case atErr != nil || at < 0:
+		err = fmt.Errorf("at_us %q: want a whole number of microseconds", fields[0])
+	case client.Type < 0:
+		err = fmt.Errorf("type %q is not a service type", fields[1])
+	case client.Zone < 0:
+		err = fmt.Errorf("zone %q: want one of %s", fields[2], strings.Join(s.Zones, ", "))
+	case loadsErr != nil:
+		err = loadsErr
+	case lifeErr != nil || life < 0:
+		err = fmt.Errorf("life_us %q: want a whole number of microseconds", fields[6])
 	}
-	return r, err
+	return client, err
 }
--- a/rehearsal/scenario/scenario.go
+++ b/rehearsal/scenario/scenario.go
@@ -1,370 +1,271 @@
-// Package scenario reads scripts of a rehearsal: a fleet, its clients and a timeline of faults, as TOML. It decides
-// nothing and plays nothing; every fault of a script is told with its line and key.
+// Package scenario reads the scripts of rehearsals. A script describes, in TOML, a fleet, its clients and a timeline of
+// faults. The package only reads and checks scripts; every error names the line and the key.
 package scenario
 
-import (
-	"fmt"
-	"strings"
-	"time"
-)
-
-// Span is a length of time, written as "250ms" or "12s". Whole microseconds.
-type Span int64
-
-func (s *Span) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if err != nil {
-		return fmt.Errorf("%q is no time such as \"250ms\" or \"12s\"", text)
-	}
-	*s = Span(d.Microseconds())
-	return nil
-}
-
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-// Seconds is the span in seconds.
-func (s Span) Seconds() float64 { return float64(s) / 1e6 }
-func (s Span) String() string   { return (time.Duration(s) * time.Microsecond).String() }
-
-// Us is the span in microseconds.
-func (s Span) Us() int64 { return int64(s) }
-
-const (
-	ms     = Span(1000)
-	second = 1000 * ms
-)
-
-// Script is one rehearsal.
+// Script describes one rehearsal.
 type Script struct {
 	Name   string   `toml:"name"`
 	About  string   `toml:"about"`
-	Length Span     `toml:"length"` // until which clients come and benefit counts
+	Length Span     `toml:"length"` // time in which clients arrive and benefit counts
 	Seed   uint64   `toml:"seed"`
 	Zones  []string `toml:"zones"`
 
-	Network   Network   `toml:"network"`
-	Fleet     Fleet     `toml:"fleet"`
-	Hosts     []Hosts   `toml:"hosts"`
-	Nodes     []Nodes   `toml:"nodes"`
-	Node      Node      `toml:"node"`
-	Cluster   Cluster   `toml:"cluster"`
-	Discovery Discovery `toml:"discovery"`
-	Front     Front     `toml:"front"`
-	Store     Store     `toml:"store"`
-	Clients   Clients   `toml:"clients"`
-	Types     []Type    `toml:"types"`
-	Demand    Demand    `toml:"demand"`
-	Faults    []Fault   `toml:"faults"`
-
-	File     string     `toml:"-"` // where it was read
-	Recorded []Recorded `toml:"-"` // the flows of the file that Demand.Flows names
+	Network   Network       `toml:"network"`
+	Fleet     Fleet         `toml:"fleet"`
+	Hosts     []HostGroup   `toml:"hosts"`
+	Nodes     []NodeGroup   `toml:"nodes"`
+	Node      Node          `toml:"node"`
+	Cluster   Cluster       `toml:"cluster"`
+	Discovery Discovery     `toml:"discovery"`
+	FrontEnd  FrontEnd      `toml:"front"`
+	Store     Store         `toml:"store"`
+	Clients   Clients       `toml:"clients"`
+	Types     []ServiceType `toml:"types"`
+	Demand    Demand        `toml:"demand"`
+	Faults    []Fault       `toml:"faults"`
+
+	File     string     `toml:"-"` // file that it was read from
+	Recorded []Recorded `toml:"-"` // clients of the file that Demand.Flows names
 }
 
 // Recorded is one client of a capture.
 type Recorded struct {
-	At    Span
-	Type  int
-	Zone  int
-	Group string // empty without one
+	At    Span   // arrival, from the start of the run
+	Type  int    // index of the service type
+	Zone  int    // index of the zone
+	Group string // empty without a group
 	Key   string
-	Loads []Step // the first holds from the start on
-	Life  Span
+	Loads []Step // the first applies from the start
+	Life  Span   // how long the client wants a connection
 }
 
-// Step is a load from a moment of a client's life on.
+// Step is a load that applies from a time in a client's life on.
 type Step struct {
 	After Span
 	Load  float64
 }
 
-// Network is the ways between machines; one way each.
+// Network holds the one-way delays between machines.
 type Network struct {
-	Same   Span    `toml:"same"`   // within a zone
-	Cross  Span    `toml:"cross"`  // between zones
-	Client Span    `toml:"client"` // from a client to its node
-	Jitter float64 `toml:"jitter"` // share by which each delay varies
+	SameZone  Span    `toml:"same"`
+	CrossZone Span    `toml:"cross"`
+	Client    Span    `toml:"client"` // between a client and its node
+	Jitter    float64 `toml:"jitter"` // share by which each delay varies
 }
 
-// Fleet is what all hosts have in common.
+// Fleet holds what all hosts have in common. Work is time of a core of speed 1.
 type Fleet struct {
-	PerCore    float64 `toml:"flows_per_core"` // flows of load 1 that fill a core of speed 1
-	Cap        float64 `toml:"cap"`            // connections held at most, as a multiple of what fills the host
-	SetupWork  Span    `toml:"setup_work"`     // of a core of speed 1, for each set-up
-	ProbeWork  Span    `toml:"probe_work"`     // for each probe
-	Slots      float64 `toml:"slots_per_core"` // set-ups in work at once
-	Queue      float64 `toml:"queue_per_core"` // set-ups that wait
-	Cold       float64 `toml:"cold_from"`      // share of its capacity at which a host starts
-	ColdTime   Span    `toml:"cold_time"`      // until it has all of it
-	Multiple   float64 `toml:"fall_multiple"`  // sent more than this times what it can do ...
-	FallAfter  Span    `toml:"fall_after"`     // ... for so long, a cold host falls over and stays down;
-	FallRoots  float64 `toml:"fall_roots"`     // besides that much, so many times its root are put down to chance
-	GroupCost  float64 `toml:"group_cost"`     // flows' loads that a group costs each host that holds any of it
-	Groups     int     `toml:"groups"`         // how many groups there are; 0 for none
-	ErrorRate  float64 `toml:"error_rate"`     // share of set-ups answered ERR
-	Drain      string  `toml:"drain"`          // none, paced or at_once: how a draining host sends its clients away
-	Buffer     Span    `toml:"buffer"`         // work of messages piled up at most
-	Thrash     float64 `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
-	Sheds      string  `toml:"sheds"`          // none, newest or heaviest: whom a host drops when its buffer is full
-	Echo       string  `toml:"echo"`           // at_once or in_turn: whether lines come back before their work is done
-	TellsLoad  bool    `toml:"tells_load"`     // hosts send LOAD
-	LoadSpread float64 `toml:"load_spread"`    // sigma of flows' loads (log-normal)
-	Swing      float64 `toml:"swing"`          // sigma of its changes over a flow's life
-	Change     Span    `toml:"change"`         // a flow's load changes about so often
-	LifeSpread float64 `toml:"life_spread"`    // sigma of lives (log-normal)
+	PerCore            float64 `toml:"flows_per_core"` // flows of load 1 that saturate a core of speed 1
+	ConnectionCap      float64 `toml:"cap"`            // most connections of a host, as a multiple of its capacity
+	SetupWork          Span    `toml:"setup_work"`     // work of a set-up
+	ProbeWork          Span    `toml:"probe_work"`     // work of a probe
+	SlotsPerCore       float64 `toml:"slots_per_core"` // set-ups that are worked on at once
+	QueuePerCore       float64 `toml:"queue_per_core"` // set-ups that wait
+	ColdFrom           float64 `toml:"cold_from"`      // share of its capacity that a host has at its start
+	ColdTime           Span    `toml:"cold_time"`      // time from its start until it has its whole capacity
+	FallMultiple       float64 `toml:"fall_multiple"`  // a cold host falls over, and stays down, if it receives more than this multiple of what it can handle
+	FallAfter          Span    `toml:"fall_after"`     // time over which that is counted
+	FallRoots          float64 `toml:"fall_roots"`     // so many times the square root of the limit are allowed in addition, attributed to chance
+	GroupCost          float64 `toml:"group_cost"`     // load that a group costs each host with any of its flows
+	Groups             int     `toml:"groups"`         // number of groups; 0: none
+	ErrorRate          float64 `toml:"error_rate"`     // share of set-ups answered ERR
+	DrainMode          string  `toml:"drain"`          // how a draining host sends its clients away: none, paced or at_once
+	Buffer             Span    `toml:"buffer"`         // largest backlog of messages, as time of all cores
+	Thrash             float64 `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
+	ShedMode           string  `toml:"sheds"`          // flow that a host drops when its buffer is full: none, newest or heaviest
+	EchoMode           string  `toml:"echo"`           // at_once: lines are echoed before their work is done; in_turn: after it
+	SendsLoad          bool    `toml:"tells_load"`     // hosts send LOAD
+	LoadSpread         float64 `toml:"load_spread"`    // sigma of the flows' loads (log-normal)
+	LoadSwing          float64 `toml:"swing"`          // sigma of the changes of a flow's load (log-normal)
+	LoadChangeInterval Span    `toml:"change"`         // mean time between changes of a flow's load
+	LifeSpread         float64 `toml:"life_spread"`    // sigma of the lives of flows (log-normal)
 }
 
-// Hosts are some hosts alike.
-type Hosts struct {
-	Kind  string  `toml:"kind"`
-	Count int     `toml:"count"`
-	Cores float64 `toml:"cores"`
-	Speed float64 `toml:"speed"`
-	Zone  string  `toml:"zone"` // empty: spread over all zones
-	Boot  Span    `toml:"boot"` // when it starts; 0 for long ago
+// HostGroup describes hosts that are alike.
+type HostGroup struct {
+	Kind   string  `toml:"kind"`
+	Count  int     `toml:"count"`
+	Cores  float64 `toml:"cores"`
+	Speed  float64 `toml:"speed"`
+	Zone   string  `toml:"zone"` // empty: spread over all zones
+	BootAt Span    `toml:"boot"` // when the hosts start; 0: long before the run
 }
 
-// Nodes are the nodes of a zone.
-type Nodes struct {
+// NodeGroup describes the nodes of a zone.
+type NodeGroup struct {
 	Zone  string `toml:"zone"`
 	Count int    `toml:"count"`
 }
 
-// Node is what each node has.
+// Node holds the settings and resources of each node.
 type Node struct {
-	Sockets     int  `toml:"sockets"`
-	MemoryMB    int  `toml:"memory_mb"`
-	MaxConnects int  `toml:"max_connects"`
-	Probing     bool `toml:"probing"`
-	Reports     bool `toml:"reports"` // hosts tell their load to probes
-	DrainGrace  Span `toml:"drain_grace"`
-	MaxWait     Span `toml:"max_wait"` // that clients obey when told to come again later; 0: they are not told
-	Dial        Span `toml:"dial_timeout"`
-	Backlog     int  `toml:"backlog"` // connections that wait at the listener at the most
+	Sockets         int  `toml:"sockets"`
+	MemoryMB        int  `toml:"memory_mb"`
+	MaxConnects     int  `toml:"max_connects"` // connects for one flow
+	Probing         bool `toml:"probing"`
+	HostsReportLoad bool `toml:"reports"` // hosts report their load to probes
+	DrainGrace      Span `toml:"drain_grace"`
+	MaxRetryAfter   Span `toml:"max_wait"` // longest wait that clients are asked for in a rejection; 0: they are not asked to wait
+	DialTimeout     Span `toml:"dial_timeout"`
+	Backlog         int  `toml:"backlog"` // most connections that wait at the listener
 
 	Admission Admission `toml:"admission"`
 	Holding   Holding   `toml:"holding"`
 
-	// What the node's own core costs, for play in virtual time; all 0: it costs nothing.
-	Turn   Span `toml:"turn_cost"`   // each turn of its loop
-	Event  Span `toml:"event_cost"`  // each event taken in
-	Socket Span `toml:"socket_cost"` // each connection opened, taken or closed
+	// Cost of the node's own core, for play in virtual time. If all are 0 it costs nothing.
+	Turn   Span `toml:"turn_cost"`   // each loop iteration
+	Event  Span `toml:"event_cost"`  // each event handled
+	Socket Span `toml:"socket_cost"` // each connection opened, accepted or closed
 	KB     Span `toml:"kb_cost"`     // each 1024 bytes sent or received
 }
 
-// Cluster is whether nodes bound themselves by what all of them together may place, and whether they tell each other.
+// Cluster says whether nodes are bounded by what all of them together may place, and whether they report to each other.
 type Cluster struct {
 	On     bool `toml:"on"`
-	Strict bool `toml:"strict"` // a rate of node.admission is kept whatever fails; without, by who can be reached
-	Alone  bool `toml:"alone"`  // each goes by its own eyes: none has another's address
+	Strict bool `toml:"strict"` // a rate of node.admission is kept whatever fails; otherwise among the nodes that reach each other
+	Alone  bool `toml:"alone"`  // no node has another's address: each goes by its own observations
 
 	Limits []Limit `toml:"limits"` // kept by all nodes together
 }
 
-// Limit is one that the whole fleet keeps: a rate of new flows, or a number at once.
+// Limit is a limit that the whole fleet keeps: a rate of new flows, or a number at once.
 type Limit struct {
-	Over    string  `toml:"over"` // address, type, group or host
-	Of      string  `toml:"of"`   // one of these alone
-	Promise string  `toml:"promise"`
-	Rate    float64 `toml:"rate"`
+	Over    string  `toml:"over"`    // what is limited: address, type, group, host or cold
+	Of      string  `toml:"of"`      // the only one of these that is limited; empty: each
+	Promise string  `toml:"promise"` // strict or available
+	Rate    float64 `toml:"rate"`    // new flows per second
 	Burst   float64 `toml:"burst"`
 	AtOnce  int     `toml:"at_once"`
 }
 
-// Admission is what a node allows each client address; 0: anything.
+// Admission is what a node allows each client address. 0 means no limit.
 type Admission struct {
 	PerAddress int     `toml:"per_address"` // connections at once
-	Rate       float64 `toml:"rate"`        // new ones a second
-	Burst      float64 `toml:"burst"`       // of these in hand
-	Reserve    int     `toml:"reserve"`     // descriptors kept for known clients
+	Rate       float64 `toml:"rate"`        // new connections per second
+	Burst      float64 `toml:"burst"`       // new connections in addition
+	Reserve    int     `toml:"reserve"`     // descriptors reserved for known clients
 }
 
-// Holding is what a node may hold; 0: its own defaults, or no limit.
+// Holding is what a node may hold. 0 means the node's default or no limit.
 type Holding struct {
 	Buffers int  `toml:"buffers"`
 	Idle    Span `toml:"idle"`
 	Stalled Span `toml:"stalled"`
 }
 
-// Discovery is the service that names the hosts.
+// Discovery describes the service that publishes the hosts.
 type Discovery struct {
-	Notice  Span    `toml:"notice"`  // until it knows of what changed
-	Period  Span    `toml:"period"`  // it tells changes so often
-	Calls   float64 `toml:"calls"`   // calls a second that it can take; 0: any number
-	Refuses float64 `toml:"refuses"` // share of calls that it turns down
+	NoticeDelay  Span    `toml:"notice"`  // time until it notices a change
+	UpdatePeriod Span    `toml:"period"`  // time between updates
+	CallRate     float64 `toml:"calls"`   // calls per second that it can handle; 0: any number
+	RefusalShare float64 `toml:"refuses"` // share of calls that it refuses
 }
 
-// Front deals clients out among the nodes of their zone.
-type Front struct {
-	Notice Span `toml:"notice"` // it goes on sending to a dead node for so long
+// FrontEnd describes the front-end load balancer, which distributes clients over the nodes of their zone.
+type FrontEnd struct {
+	NoticeDelay Span `toml:"notice"` // time for which it keeps sending clients to a dead node
 }
 
-// Store is a service that each set-up needs.
+// Store describes a service that each set-up calls.
 type Store struct {
-	Rate float64 `toml:"rate"` // calls a second that it can take; 0: there is none
-	Time Span    `toml:"time"` // of a call
+	CallRate float64 `toml:"rate"` // calls per second that it can handle; 0: there is no store
+	CallTime Span    `toml:"time"` // duration of a call
 }
 
-// Clients is what all clients have in common.
+// Clients holds what all clients have in common.
 type Clients struct {
-	Retries int     `toml:"retries"`    // tries after the first
-	Wait    string  `toml:"wait"`       // none, at_once, fixed or exponential
-	Pause   Span    `toml:"pause"`      // the fixed wait, and the first of the exponential ones
-	GivesUp bool    `toml:"gives_up"`   // after these it is gone; else it comes again later, and waits ever longer
-	Honour  float64 `toml:"honour"`     // share of clients that wait as told
-	Back    [2]Span `toml:"back"`       // after a break a client comes again within
-	Moved   [2]Span `toml:"moved"`      // after MOVE
-	Every   Span    `toml:"line_every"` // a line of each established flow
+	Retries          int     `toml:"retries"`    // attempts after the first
+	RetryWait        string  `toml:"wait"`       // none, at_once, fixed or exponential
+	RetryPause       Span    `toml:"pause"`      // the fixed wait, or the first of the exponential ones
+	GivesUp          bool    `toml:"gives_up"`   // after these a client gives up; otherwise it starts over, after ever longer waits
+	HonourShare      float64 `toml:"honour"`     // share of requested waits that clients observe
+	ReturnAfterBreak [2]Span `toml:"back"`       // shortest and longest time after which a client connects again after a break
+	ReturnAfterMove  [2]Span `toml:"moved"`      // the same after MOVE
+	LineInterval     Span    `toml:"line_every"` // mean time between lines of an established flow
 }
 
-// Type is a service type.
-type Type struct {
-	Name    string  `toml:"name"`
-	Share   float64 `toml:"share"`
-	Load    float64 `toml:"load"`
-	Life    float64 `toml:"life"`
-	Target  Span    `toml:"setup_target"`
-	Timeout Span    `toml:"connect_timeout"`
-	Message Span    `toml:"message_target"`
-	Benefit float64 `toml:"benefit"`
-	Effect  string  `toml:"effect"` // repeatable, referenced or once-only
-	Scope   string  `toml:"scope"`  // all or zone: hosts that know a referenced flow again
-	Window  Span    `toml:"window"` // for so long
+// ServiceType describes a service type.
+type ServiceType struct {
+	Name           string  `toml:"name"`
+	Share          float64 `toml:"share"` // of new flows, relative to the other types
+	Load           float64 `toml:"load"`
+	Life           float64 `toml:"life"` // mean life of a flow, as a multiple of demand.life
+	SetupTarget    Span    `toml:"setup_target"`
+	ConnectTimeout Span    `toml:"connect_timeout"`
+	MessageTarget  Span    `toml:"message_target"`
+	Benefit        float64 `toml:"benefit"`
+	Effect         string  `toml:"effect"` // repeatable, referenced or once-only
+	Scope          string  `toml:"scope"`  // all or zone: hosts that recognize a referenced flow
+	Window         Span    `toml:"window"` // time for which they do
 }
 
-// Demand is who comes.
+// Demand describes the clients that arrive.
 type Demand struct {
-	Rate  float64            `toml:"rate"`          // new flows a second, over all zones
-	Life  Span               `toml:"life"`          // of a flow of life 1, on average
-	Skew  map[string]float64 `toml:"skew"`          // weight of a zone; 1 where none is given
-	Stand float64            `toml:"standing"`      // flows that stand at the start, as a share of the rate's mean number
-	Tilt  float64            `toml:"standing_tilt"` // sigma of their uneven spread over hosts (log-normal)
-	Waves []Wave             `toml:"waves"`
-	Flows string             `toml:"flows"` // a file of flows, in place of a rate
-	Loops []Loop             `toml:"loops"`
-	Bulk  []Bulk             `toml:"bulk"`
-	Bad   []Bad              `toml:"bad"`
+	Rate         float64            `toml:"rate"`          // new flows per second, over all zones
+	Life         Span               `toml:"life"`          // mean life of a flow of life 1
+	ZoneWeights  map[string]float64 `toml:"skew"`          // weight of each zone; 1 for zones without one
+	Standing     float64            `toml:"standing"`      // flows established at the start, as a share of the mean number that the rate gives
+	StandingTilt float64            `toml:"standing_tilt"` // sigma of their distribution over hosts (log-normal)
+	Waves        []Wave             `toml:"waves"`
+	Flows        string             `toml:"flows"` // file of flows that replaces the rate
+	Loops        []LoopingClients   `toml:"loops"`
+	Bulk         []BulkClients      `toml:"bulk"`
+	BadClients   []BadClients       `toml:"bad"`
 }
 
-// Wave says by how much the rate is multiplied from a moment on; in between it changes evenly.
+// Wave is a factor of the rate that applies at a time. Between waves it is interpolated.
 type Wave struct {
-	At    Span    `toml:"at"`
-	Times float64 `toml:"times"`
+	At             Span    `toml:"at"`
+	RateMultiplier float64 `toml:"times"`
 }
 
-// Loop is clients that open, and close as soon as they are established, again and again.
-type Loop struct {
+// LoopingClients are clients that connect, disconnect as soon as they are established, and connect again.
+type LoopingClients struct {
 	At    Span   `toml:"at"`
-	For   Span   `toml:"for"`
+	For   Span   `toml:"for"` // 0: until the end
 	Count int    `toml:"count"`
 	Type  string `toml:"type"`
 	Zone  string `toml:"zone"`
 
-	OneAddress bool `toml:"one_address"` // all come from one address
+	OneAddress bool `toml:"one_address"` // all connect from the same address
 }
 
-// Bulk is clients that send lines as fast as they come back.
-type Bulk struct {
+// BulkClients are clients that send lines as fast as these are echoed.
+type BulkClients struct {
 	At     Span   `toml:"at"`
-	For    Span   `toml:"for"`
+	For    Span   `toml:"for"` // 0: until the end
 	Count  int    `toml:"count"`
 	Type   string `toml:"type"`
 	Zone   string `toml:"zone"`
-	Window int    `toml:"window"` // bytes on their way at once
+	Window int    `toml:"window"` // bytes in flight
 }
 
-// Bad is clients that keep no protocol, new ones so many a second.
-type Bad struct {
+// BadClients are clients that violate the protocol. New ones arrive at a rate.
+type BadClients struct {
 	At   Span    `toml:"at"`
-	For  Span    `toml:"for"`
-	Rate float64 `toml:"rate"`
-	Kind string  `toml:"kind"`
-	Zone string  `toml:"zone"`
+	For  Span    `toml:"for"`  // 0: until the end
+	Rate float64 `toml:"rate"` // new clients per second
+	Kind string  `toml:"kind"` // one of BadClientKinds
+	Zone string  `toml:"zone"` // empty: random
 }
 
-// BadKinds are the ways to keep no protocol.
-var BadKinds = []string{"garbage", "endless", "mute", "half", "no_type", "no_time", "many", "early", "huge"}
+// BadClientKinds are the ways in which clients violate the protocol.
+var BadClientKinds = []string{"garbage", "endless", "mute", "half", "no_type", "no_time", "many", "early", "huge"}
 
-// Fault is one thing that happens.
+// Fault is one fault of the timeline.
 type Fault struct {
-	At    Span     `toml:"at"`
-	Kind  string   `toml:"kind"`
-	Hosts []string `toml:"hosts"` // names, such as "h-3"; else Count or Share of them by chance
-	Nodes []string `toml:"nodes"`
-	Zone  string   `toml:"zone"`
-	Count int      `toml:"count"`
-	Share float64  `toml:"share"`
-	For   Span     `toml:"for"`
-	Size  float64  `toml:"size"`  // see the kinds
-	Delay Span     `toml:"delay"` // added to a link
-	On    Span     `toml:"on"`    // a neighbour is on and off for so long; hosts are listed again so often
-	Step  Span     `toml:"step"`  // between the members of a roll
-	To    []string `toml:"to"`    // nodes at the other end; empty: all others
-	Parts int      `toml:"parts"` // into which a fleet is cut
-}
-
-// target is what a kind of fault strikes.
-type target uint8
-
-const (
-	nothing target = iota
-	hosts
-	nodes
-	zone
-	links // between nodes
-)
-
-type faultKind struct {
-	strikes  target
-	size     string // what Size is; empty where it means nothing
-	low, top float64
-	needsFor bool
-}
-
-// faultKinds are the faults there are.
-var faultKinds = map[string]faultKind{
-	"crash":        {hosts, "", 0, 0, false}, // the process dies and, after for, comes back cold
-	"silent":       {hosts, "", 0, 0, true},  // the machine says nothing for so long, then comes back cold
-	"pause":        {hosts, "", 0, 0, true},  // stands still for so long
-	"slow":         {hosts, "times slower", 1, 1000, true},
-	"neighbour":    {hosts, "share of the machine taken", 0.01, 0.99, true},
-	"errors":       {hosts, "share of set-ups answered ERR", 0.001, 1, true},
-	"drain":        {hosts, "", 0, 0, true}, // drains for so long, then leaves
-	"restart":      {hosts, "", 0, 0, true}, // drains for so long, then comes back cold, one each step
-	"join":         {hosts, "", 0, 0, false},
-	"node_kill":    {nodes, "", 0, 0, true}, // down for so long
-	"node_stop":    {nodes, "", 0, 0, true}, // SIGTERM, down for so long after its end
-	"node_reload":  {nodes, "", 0, 0, false},
-	"node_starve":  {nodes, "share of its core taken", 0.01, 0.999, true},
-	"cut":          {zone, "", 0, 0, true}, // nothing passes between this zone and the others
-	"delay":        {zone, "", 0, 0, true}, // of what passes between this zone and the others
-	"breaks":       {zone, "share of its connections broken", 0.001, 1, false},
-	"store_slow":   {nothing, "times slower", 1, 1000, true},
-	"discovery":    {nothing, "", 0, 0, true}, // down for so long
-	"reconnect":    {nothing, "share of clients that drop and come again", 0.001, 1, true},
-	"vanish":       {nothing, "share of clients that vanish without a close and come again", 0.001, 1, true},
-	"relist":       {hosts, "", 0, 0, true}, // each on, discovery tells of them again, for so long
-	"discovery_no": {nothing, "share of calls refused", 0.001, 1, true},
-	"node_pause":   {nodes, "", 0, 0, true},                                          // stopped for so long; then it goes on with what it believed
-	"node_twin":    {nodes, "", 0, 0, true},                                          // a second process under the same name, for so long; it serves nobody
-	"node_clock":   {nodes, "seconds that its clock jumps by", -86400, 86400, false}, // in virtual time only
-	"node_rate":    {nodes, "times as fast that its clock runs", 0.5, 2, true},       // in virtual time only
-	"link_loss":    {links, "share of datagrams lost", 0.001, 1, true},               // between these nodes and the others, both ways
-	"link_delay":   {links, "share by which the delay varies", 0, 1, true},
-	"link_twice":   {links, "share of datagrams that come twice", 0.001, 1, true},
-	"link_mixed":   {links, "share of datagrams that are overtaken", 0.001, 1, true},
-	"link_bent":    {links, "share of datagrams with a byte changed", 0.001, 1, true},
-	"link_again":   {links, "share of datagrams sent again later, from what was seen before", 0.001, 1, true},
-	"link_mute":    {links, "", 0, 0, true},   // what these nodes send reaches nobody; they hear
-	"link_cut":     {links, "", 0, 0, true},   // nothing passes between these nodes and the others
-	"link_split":   {nothing, "", 0, 0, true}, // the fleet's links are cut into parts, by node number
-	"link_liar":    {links, "", 0, 0, true},   // what these nodes tell is whole, and nonsense: a million flows everywhere
-}
-
-// FaultKinds names them, in order.
-func FaultKinds() string {
-	var names []string
-	for k := range faultKinds {
-		names = append(names, k)
-	}
-	return strings.Join(sorted(names), ", ")
+	At       Span     `toml:"at"`
+	Kind     string   `toml:"kind"`
+	Hosts    []string `toml:"hosts"` // names, such as "h-3"; without names, Count or Share of them at random
+	Nodes    []string `toml:"nodes"` // names, such as "n-3"; likewise
+	Zone     string   `toml:"zone"`
+	Count    int      `toml:"count"`
+	Share    float64  `toml:"share"`
+	For      Span     `toml:"for"`
+	Size     float64  `toml:"size"`  // its meaning depends on the kind
+	Delay    Span     `toml:"delay"` // added to the delay of a network link
+	Interval Span     `toml:"on"`    // a neighbour alternates, and hosts are published again, at this interval
+	Step     Span     `toml:"step"`  // time between one member and the next
+	To       []string `toml:"to"`    // nodes at the other end of links; empty: all others
+	Parts    int      `toml:"parts"` // number of parts into which the fleet is split
 }
