--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -133,7 +133,7 @@
 	rests.CloseWrite()
 	asked.CloseWrite()
 	n.until("done", n.Done)
-	n.loop.TurnAway(turnAway)
+	n.loop.RefuseQueued(turnAway)
 	all(t, rests, "BUSY\r\n")
 	all(t, asked, "BUSY\r\n")
 	if n.Count.Taken != 0 || n.Count.Connects != 0 {
@@ -157,7 +157,7 @@
 	}
 	n.turn(1_100_000)
 	arrives(t, idle, fmt.Sprintf(opens, 3))
-	n.loop.SetMost(n.loop.Most() - n.loop.Room()) // none is left
+	n.loop.SetMaxSockets(n.loop.MaxSockets() - n.loop.Room()) // none is left
 	n.now += 1000
 	n.Turn(n.now, func() { n.Spare() }) // room for one more client; what has come is not read in this turn
 	if n.Count.Shed != 2 {
--- a/cmd/coursewinch/handover.go
+++ b/cmd/coursewinch/handover.go
@@ -113,15 +113,15 @@
 		return false
 	}
 	for _, id := range conns {
-		o.s.loop.Release(id)
+		o.s.loop.Unregister(id)
 	}
-	o.s.loop.SetMost(o.s.loop.Most() - len(fds)) // the right to hold them goes along
+	o.s.loop.SetMaxSockets(o.s.loop.MaxSockets() - len(fds)) // the right to hold them goes along
 	return true
 }
 
 // Take is called in the new process once it takes connections.
 func (o *other) Take() {
-	o.s.loop.Accepting(true)
+	o.s.loop.SetAccepting(true)
 	o.Tell(&handover.Message{Take: true})
 	o.s.own()
 }
@@ -140,7 +140,7 @@
 	s.do(func() {
 		if state, ok = s.n.Heir(o); ok {
 			give := s.loop.Room() * 3 / 4
-			s.loop.SetMost(s.loop.Most() - give)
+			s.loop.SetMaxSockets(s.loop.MaxSockets() - give)
 			state.Room = max(give-s.apart, keepsRoom)
 			s.share(2)
 		}
@@ -150,10 +150,10 @@
 		return
 	}
 	defer s.post(func() {
-		s.loop.SetMost(s.most)
+		s.loop.SetMaxSockets(s.most)
 		s.share(1)
 		if s.n.OtherGone() {
-			s.loop.Accepting(true)
+			s.loop.SetAccepting(true)
 			s.own()
 		}
 	})
@@ -165,7 +165,7 @@
 	for i, m := range parts {
 		var fds []int
 		if i == len(parts)-1 {
-			fds = []int{s.loop.Listener()}
+			fds = []int{s.loop.ListenerFD()}
 		}
 		if err := link.SendWait(m, fds...); err != nil {
 			log.Printf("msg=handover_failed why=%q", err)
@@ -187,9 +187,9 @@
 		case m.Take:
 			link.Within(0)
 			s.post(func() {
-				s.loop.Accepting(false)
+				s.loop.SetAccepting(false)
 				room := max(s.loop.Room()-keepsRoom, 0)
-				s.loop.SetMost(s.loop.Most() - room)
+				s.loop.SetMaxSockets(s.loop.MaxSockets() - room)
 				o.Tell(&handover.Message{Yield: &handover.Yield{Room: room, IDs: s.n.Yield()}})
 			})
 		case m.Drains != nil:
@@ -256,7 +256,7 @@
 // inherit tells the node what came, and hears the old process until it ends.
 func (s *succession) inherit(link *handover.Link, state *handover.State) {
 	o := &other{s, link}
-	s.loop.SetMost(state.Room)
+	s.loop.SetMaxSockets(state.Room)
 	s.share(2)
 	s.n.Inherit(o, state)
 	go func() {
@@ -269,10 +269,10 @@
 			s.post(func() { s.heard(m, fds) })
 		}
 		s.post(func() {
-			s.loop.SetMost(s.most)
+			s.loop.SetMaxSockets(s.most)
 			s.share(1)
 			if s.n.OtherGone() {
-				s.loop.Accepting(true)
+				s.loop.SetAccepting(true)
 				s.own()
 			}
 		})
@@ -280,21 +280,21 @@
 }
 
 func (s *succession) heard(m *handover.Message, fds []int) {
-	s.loop.SetMost(s.loop.Most() + len(fds))
+	s.loop.SetMaxSockets(s.loop.MaxSockets() + len(fds))
 	switch {
 	case m.Yield != nil:
-		s.loop.SetMost(s.loop.Most() + m.Yield.Room)
+		s.loop.SetMaxSockets(s.loop.MaxSockets() + m.Yield.Room)
 		s.n.TakeIDs(m.Yield.IDs)
 	case m.Leave:
 		s.n.OldLeaves()
 	case m.Drains != nil:
 		s.n.HearDrains(m.Drains)
 	case m.Client != nil:
-		s.put(s.n.TakeClient(m.Client, epoll.Peer(fds[0])), fds[0])
+		s.put(s.n.TakeClient(m.Client, epoll.PeerAddress(fds[0])), fds[0])
 	case m.Flow != nil:
-		client, link := s.n.TakeFlow(m.Flow, epoll.Peer(fds[0]))
-		s.loop.Take(client.ID, fds[0], client.In, client.Out)
-		s.loop.Take(link.ID, fds[1], link.In, link.Out)
+		client, link := s.n.TakeFlow(m.Flow, epoll.PeerAddress(fds[0]))
+		s.loop.AddConnected(client.ID, fds[0], client.In, client.Out)
+		s.loop.AddConnected(link.ID, fds[1], link.In, link.Out)
 		s.n.Resumed(client.ID)
 	default:
 		closeAll(fds)
@@ -302,7 +302,7 @@
 }
 
 func (s *succession) put(a node.Adopted, fd int) {
-	s.loop.Take(a.ID, fd, a.In, a.Out)
+	s.loop.AddConnected(a.ID, fd, a.In, a.Out)
 	s.n.Resumed(a.ID)
 }
 
@@ -317,7 +317,7 @@
 	link, state, fd, err := s.call()
 	if err == nil {
 		at := netip.AddrPort{}
-		if at, err = s.loop.Adopt(fd); err == nil {
+		if at, err = s.loop.AdoptListener(fd); err == nil {
 			s.inherit(link, state)
 			return at, nil
 		}
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -329,13 +329,13 @@
 	if len(c.peers) > 0 {
 		conf.Tell = func(p []byte) {
 			for _, at := range c.peers {
-				loop.Tell(at, p)
+				loop.SendDatagram(at, p)
 			}
 		}
 	}
 	if c.Cluster.On {
 		conf.Cluster = node.Cluster{On: true, Name: c.Name, Process: process(), Others: len(c.links), Limits: c.kept,
-			Send: func(to int, p []byte) { loop.Tell(c.links[to], p) }}
+			Send: func(to int, p []byte) { loop.SendDatagram(c.links[to], p) }}
 	}
 	if c.Capture.File != "" {
 		w, err := capture.Create(c.Capture.File, cmp.Or(c.Capture.MB, captureMB)<<20,
@@ -366,7 +366,7 @@
 	start := time.Now()
 	base := start.UnixMicro() // the wall clock, so that hosts' start times need no turning
 	clock := func() int64 { return base + time.Since(start).Microseconds() }
-	s.n, s.loop, s.most, s.apart = d.Node, loop, loop.Most(), apart
+	s.n, s.loop, s.most, s.apart = d.Node, loop, loop.MaxSockets(), apart
 	admin, at := "off", netip.AddrPort{}
 	if c.Admin != "" {
 		bound, err := loop.ListenAdmin(c.Admin)
@@ -386,7 +386,7 @@
 	heard := "off"
 	if len(c.peers) > 0 {
 		// Guards against datagrams of others: an address that the file doesn't name is not heard.
-		bound, err := loop.Datagrams(c.Peers.Listen, false, func(from netip.AddrPort, p []byte) {
+		bound, err := loop.ListenDatagrams(c.Peers.Listen, false, func(from netip.AddrPort, p []byte) {
 			if slices.Contains(c.peers, from) {
 				d.Heard(p)
 			}
@@ -401,10 +401,10 @@
 	// version waits for the old one to give it up.
 	var retry int64
 	listen := func() error {
-		bound, err := loop.Datagrams(c.Cluster.Listen, len(c.kept) > 0, func(from netip.AddrPort, p []byte) {
+		bound, err := loop.ListenDatagrams(c.Cluster.Listen, len(c.kept) > 0, func(from netip.AddrPort, p []byte) {
 			d.HeardFrom(slices.Index(c.links, from), p)
 		})
-		if errors.Is(err, epoll.ErrTaken) && c.Admin != "" {
+		if errors.Is(err, epoll.ErrAddressTaken) && c.Admin != "" {
 			cluster, retry = "waiting", clock()+rebindEvery
 			return nil
 		}
@@ -443,11 +443,11 @@
 		if len(c.kept) > 0 && d.Yielded() {
 			loop.CloseDatagrams()
 		}
-		d.Late(lag.Woke(asleep, now, wait, loop.Full()))
+		d.Late(lag.WaitEnded(asleep, now, wait, loop.EventsFull()))
 		d.Turn(now, loop.Dispatch)
 	}
 	if !d.HandedOver() {
-		loop.TurnAway(turnAway)
+		loop.RefuseQueued(turnAway)
 	}
 	log.Printf("msg=stopped %s", d.CountersText())
 	return nil
--- a/epoll/lag_test.go
+++ b/epoll/lag_test.go
@@ -20,7 +20,7 @@
 		var l Lag
 		var late, turn int64
 		for i, w := range c.waits {
-			late, turn = l.Woke(w[0], w[1], w[2], c.full[i])
+			late, turn = l.WaitEnded(w[0], w[1], w[2], c.full[i])
 		}
 		if late != c.late || turn != c.turn {
 			t.Errorf("%s: late by %d after a turn of %d, not %d and %d", c.name, late, turn, c.late, c.turn)
--- a/epoll/loop.go
+++ b/epoll/loop.go
@@ -30,53 +30,53 @@
 }
 
 const (
-	listenNo = -1
-	wakeNo   = -2
-	callNo   = -3
-	peerNo   = -4
-	partNo   = -5
-	atOnce   = 128 // new connections a turn
-	calls    = 32  // of operators
+	clientListenerTag  = -1
+	wakeTag            = -2
+	adminListenerTag   = -3
+	datagramTag        = -4
+	closingTag         = -5
+	maxClientAccepts   = 128 // new connections a turn
+	maxOperatorAccepts = 32  // of operators
 )
 
-type sock struct {
-	id      uint64
-	fd      int
-	in, out *lines.Ring
-	armed   uint32 // events asked for
-	dialing bool
-	eof     bool // the other side sends no more
-	shut    bool // no more to send once the ring is empty
-	quiet   bool // taken out of the poll after its end
-	broken  bool // a write failed: nothing more is sent, and what the ring holds stays
-	apart   bool // an operator's, not counted
+type socket struct {
+	id           uint64
+	fd           int
+	in, out      *lines.Ring
+	interest     uint32 // events asked for
+	connecting   bool
+	eof          bool // the other side sends no more
+	closeWrite   bool // no more to send once the ring is empty
+	unregistered bool // taken out of the poll after its end
+	writeFailed  bool // a write failed: nothing more is sent, and what the ring holds stays
+	operator     bool // an operator's, not counted
 }
 
 // Loop holds the sockets of one program.
 type Loop struct {
-	poll, wake      int
+	epollFD, wakeFD int
 	clients, admins listener
-	most            int // sockets at once
-	count           int
-	h               Handler
-	socks           []*sock
-	ready           [256]unix.EpollEvent
-	came            int
+	maxSockets      int // sockets at once
+	openSockets     int
+	handler         Handler
+	sockets         []*socket
+	events          [256]unix.EpollEvent
+	eventCount      int
 	scratch         [lines.RingSize]byte
-	failed          []failure // told in the next turn
-	woken           func()
-	peers           int // the socket for datagrams; under 0 for none
-	told            func(from netip.AddrPort, p []byte)
-	parting         []parted // the oldest first
-	again           int64    // when the listener is tried again that found no descriptor; 0 where none did
+	failures        []failure // told in the next turn
+	onWake          func()
+	datagramFD      int // the socket for datagrams; under 0 for none
+	onDatagram      func(from netip.AddrPort, p []byte)
+	closing         []closingSocket // the oldest first
+	acceptRetryAt   int64           // when the listener is tried again that found no descriptor; 0 where none did
 }
 
 // listener is a socket that takes connections. It is in the poll while they can be served.
 type listener struct {
-	fd  int // under 0: none
-	no  int32
-	on  bool
-	off bool // on is not to be: another process takes its connections
+	fd        int // under 0: none
+	tag       int32
+	accepting bool
+	disabled  bool // on is not to be: another process takes its connections
 }
 
 type failure struct {
@@ -85,24 +85,24 @@
 }
 
 // New makes a loop that holds at most so many sockets; woken is called in the turn after Wake.
-func New(most int, h Handler, woken func()) (*Loop, error) {
-	poll, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
+func New(maxSockets int, handler Handler, onWake func()) (*Loop, error) {
+	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	wake, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
+	wakeFD, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{poll: poll, wake: wake, clients: listener{fd: -1, no: listenNo}, admins: listener{fd: -1, no: callNo}, peers: -1, most: most, h: h, woken: woken}
-	return l, l.control(unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN, wakeNo, 0)
+	l := &Loop{epollFD: epollFD, wakeFD: wakeFD, clients: listener{fd: -1, tag: clientListenerTag}, admins: listener{fd: -1, tag: adminListenerTag}, datagramFD: -1, maxSockets: maxSockets, handler: handler, onWake: onWake}
+	return l, l.epollCtl(unix.EPOLL_CTL_ADD, wakeFD, unix.EPOLLIN, wakeTag, 0)
 }
 
-func (l *Loop) control(op, fd int, events uint32, no, gen int32) error {
-	return unix.EpollCtl(l.poll, op, fd, &unix.EpollEvent{Events: events, Fd: no, Pad: gen})
+func (l *Loop) epollCtl(op, fd int, events uint32, tag, generation int32) error {
+	return unix.EpollCtl(l.epollFD, op, fd, &unix.EpollEvent{Events: events, Fd: tag, Pad: generation})
 }
 
-func address(text string) (unix.Sockaddr, int, error) {
+func parseAddress(text string) (unix.Sockaddr, int, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
 		return nil, 0, err
@@ -114,8 +114,8 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: ip.As16()}, unix.AF_INET6, nil
 }
 
-func open(text string) (fd int, to unix.Sockaddr, err error) {
-	to, family, err := address(text)
+func openStream(text string) (fd int, to unix.Sockaddr, err error) {
+	to, family, err := parseAddress(text)
 	if err != nil {
 		return -1, nil, err
 	}
@@ -126,16 +126,16 @@
 // Listen takes clients' connections at an address and returns the one it got. Shared, another process of this user
 // may listen there as well.
 func (l *Loop) Listen(text string, shared bool) (netip.AddrPort, error) {
-	return l.bind(&l.clients, text, shared)
+	return l.listenOn(&l.clients, text, shared)
 }
 
 // ListenAdmin takes operators' connections.
 func (l *Loop) ListenAdmin(text string) (netip.AddrPort, error) {
-	return l.bind(&l.admins, text, false)
+	return l.listenOn(&l.admins, text, false)
 }
 
-func (l *Loop) bind(at *listener, text string, shared bool) (netip.AddrPort, error) {
-	fd, to, err := open(text)
+func (l *Loop) listenOn(listener *listener, text string, shared bool) (netip.AddrPort, error) {
+	fd, to, err := openStream(text)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("listen %q: %w", text, err)
 	}
@@ -147,14 +147,14 @@
 		unix.Close(fd)
 		return netip.AddrPort{}, fmt.Errorf("listen %q: %w", text, err)
 	}
-	at.fd, at.on = fd, true
-	if err := l.control(unix.EPOLL_CTL_ADD, fd, unix.EPOLLIN, at.no, 0); err != nil {
+	listener.fd, listener.accepting = fd, true
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, fd, unix.EPOLLIN, listener.tag, 0); err != nil {
 		return netip.AddrPort{}, fmt.Errorf("listen: %w", err)
 	}
-	return bound(fd)
+	return localAddress(fd)
 }
 
-func bound(fd int) (netip.AddrPort, error) {
+func localAddress(fd int) (netip.AddrPort, error) {
 	got, err := unix.Getsockname(fd)
 	if err != nil {
 		return netip.AddrPort{}, fmt.Errorf("listen: %w", err)
@@ -166,40 +166,40 @@
 	return at, nil
 }
 
-// Adopt takes over a listener that another process made. It takes connections from Accepting on.
-func (l *Loop) Adopt(fd int) (netip.AddrPort, error) {
+// AdoptListener takes over a listener that another process made. It takes connections from Accepting on.
+func (l *Loop) AdoptListener(fd int) (netip.AddrPort, error) {
 	if on, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil || on != 1 {
 		return netip.AddrPort{}, errors.New("listen: what was handed over does not listen")
 	}
 	unix.SetNonblock(fd, true)
-	l.clients.fd, l.clients.on, l.clients.off = fd, false, true
-	if err := l.control(unix.EPOLL_CTL_ADD, fd, 0, l.clients.no, 0); err != nil {
+	l.clients.fd, l.clients.accepting, l.clients.disabled = fd, false, true
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, fd, 0, l.clients.tag, 0); err != nil {
 		return netip.AddrPort{}, fmt.Errorf("listen: %w", err)
 	}
-	return bound(fd)
+	return localAddress(fd)
 }
 
-// Accepting says whether clients' connections are taken here; they queue all the same.
-func (l *Loop) Accepting(on bool) {
-	l.clients.off = !on
-	l.listen(&l.clients, on && l.Room() > 0)
+// SetAccepting says whether clients' connections are taken here; they queue all the same.
+func (l *Loop) SetAccepting(on bool) {
+	l.clients.disabled = !on
+	l.updateListener(&l.clients, on && l.Room() > 0)
 }
 
-// Listener is the descriptor of the clients' listener.
-func (l *Loop) Listener() int { return l.clients.fd }
+// ListenerFD is the descriptor of the clients' listener.
+func (l *Loop) ListenerFD() int { return l.clients.fd }
 
-// TurnAway answers all that queue for the listener that they are to come again, for the end of a process whose queue
+// RefuseQueued answers all that queue for the listener that they are to come again, for the end of a process whose queue
 // dies with it. It stays until all who were told so have gone, at most so many microseconds.
-func (l *Loop) TurnAway(most int64) {
-	l.failed = nil
-	for _, s := range l.socks {
+func (l *Loop) RefuseQueued(timeout int64) {
+	l.failures = nil
+	for _, s := range l.sockets {
 		if s != nil && s.fd >= 0 {
-			l.mute(s) // nobody hears of them any more
+			l.unregister(s) // nobody hears of them any more
 		}
 	}
-	for end := clock() + most; ; {
-		for range calls * calls {
-			l.cede()
+	for end := monotonicMicros() + timeout; ; {
+		for range maxOperatorAccepts * maxOperatorAccepts {
+			l.makeRoom()
 			fd, _, err := unix.Accept4(l.clients.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err == unix.EINTR || err == unix.ECONNABORTED {
 				continue
@@ -208,40 +208,40 @@
 			}
 			l.refuse(fd)
 		}
-		left := end - clock()
-		if len(l.parting) == 0 || left <= 0 || l.Wait(left) != nil {
+		left := end - monotonicMicros()
+		if len(l.closing) == 0 || left <= 0 || l.Wait(left) != nil {
 			return
 		}
-		l.expire()
-		for _, e := range l.ready[:l.came] {
-			if e.Fd == partNo {
-				l.drain(int(e.Pad))
+		l.runTimers()
+		for _, e := range l.events[:l.eventCount] {
+			if e.Fd == closingTag {
+				l.drainClosing(int(e.Pad))
 			}
 		}
 	}
 }
 
-// SetMost changes how many sockets may be open at once; what is open stays.
-func (l *Loop) SetMost(most int) {
-	for l.most = most; len(l.parting) > 0 && l.count+len(l.parting) > most; {
-		l.drop(0)
+// SetMaxSockets changes how many sockets may be open at once; what is open stays.
+func (l *Loop) SetMaxSockets(maxSockets int) {
+	for l.maxSockets = maxSockets; len(l.closing) > 0 && l.openSockets+len(l.closing) > maxSockets; {
+		l.dropClosing(0)
 	}
-	l.listen(&l.clients, l.Room() > 0)
+	l.updateListener(&l.clients, l.Room() > 0)
 }
 
-// Most is how many sockets may be open at once.
-func (l *Loop) Most() int { return l.most }
+// MaxSockets is how many sockets may be open at once.
+func (l *Loop) MaxSockets() int { return l.maxSockets }
 
 // FD is the descriptor of a connected socket; under 0 without one.
 func (l *Loop) FD(id uint64) int {
-	if s := l.get(id); s != nil && !s.dialing && !s.shut {
+	if s := l.lookup(id); s != nil && !s.connecting && !s.closeWrite {
 		return s.fd
 	}
 	return -1
 }
 
-// Peer is the address of a connected socket's other side; invalid without one.
-func Peer(fd int) netip.AddrPort {
+// PeerAddress is the address of a connected socket's other side; invalid without one.
+func PeerAddress(fd int) netip.AddrPort {
 	a, err := unix.Getpeername(fd)
 	if err != nil {
 		return netip.AddrPort{}
@@ -249,25 +249,25 @@
 	return addrPort(a)
 }
 
-// Release takes a socket that another process holds as well out of the poll, before its Close: the poll would go on
+// Unregister takes a socket that another process holds as well out of the poll, before its Close: the poll would go on
 // telling of it, as the close of one of two descriptors doesn't end it there.
-func (l *Loop) Release(id uint64) {
-	if s := l.get(id); s != nil {
-		l.mute(s)
+func (l *Loop) Unregister(id uint64) {
+	if s := l.lookup(id); s != nil {
+		l.unregister(s)
 	}
 }
 
-// Take puts a connected socket of another process into the loop.
-func (l *Loop) Take(id uint64, fd int, in, out *lines.Ring) {
+// AddConnected puts a connected socket of another process into the loop.
+func (l *Loop) AddConnected(id uint64, fd int, in, out *lines.Ring) {
 	unix.SetNonblock(fd, true)
-	l.arm(l.add(id, fd, in, out))
+	l.updateInterest(l.add(id, fd, in, out))
 }
 
 // Wake ends a Wait from another goroutine.
-func (l *Loop) Wake() { unix.Write(l.wake, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
+func (l *Loop) Wake() { unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
 
 // Room is how many more sockets may be opened.
-func (l *Loop) Room() int { return l.most - l.count }
+func (l *Loop) Room() int { return l.maxSockets - l.openSockets }
 
 // Wait waits for events, at most so many microseconds; under 0 without end.
 func (l *Loop) Wait(us int64) error {
@@ -275,121 +275,121 @@
 	if us >= 0 {
 		ms = int(min((us+999)/1000, 60_000))
 	}
-	if next := l.next(); next > 0 {
-		left := int((next - clock() + 999) / 1000)
+	if next := l.nextDeadline(); next > 0 {
+		left := int((next - monotonicMicros() + 999) / 1000)
 		if ms = max(left, 0); us >= 0 {
 			ms = min(ms, int((us+999)/1000))
 		}
 	}
-	if len(l.failed) > 0 {
+	if len(l.failures) > 0 {
 		ms = 0
 	}
-	n, err := unix.EpollWait(l.poll, l.ready[:], ms)
+	n, err := unix.EpollWait(l.epollFD, l.events[:], ms)
 	if err == unix.EINTR {
 		n, err = 0, nil
 	}
-	l.came = max(n, 0)
+	l.eventCount = max(n, 0)
 	return err
 }
 
 // Dispatch tells the handler what Wait brought, and what failed since.
 func (l *Loop) Dispatch() {
-	l.expire()
-	failed := l.failed
-	l.failed = nil
+	l.runTimers()
+	failed := l.failures
+	l.failures = nil
 	for _, f := range failed {
-		l.fail(f)
+		l.reportFailure(f)
 	}
-	for _, e := range l.ready[:l.came] {
+	for _, e := range l.events[:l.eventCount] {
 		switch e.Fd {
-		case listenNo:
+		case clientListenerTag:
 			l.accept()
-		case callNo:
-			l.acceptCalls()
-		case peerNo:
-			l.receive()
-		case partNo:
-			l.drain(int(e.Pad))
-		case wakeNo:
+		case adminListenerTag:
+			l.acceptOperators()
+		case datagramTag:
+			l.receiveDatagrams()
+		case closingTag:
+			l.drainClosing(int(e.Pad))
+		case wakeTag:
 			var b [8]byte
-			unix.Read(l.wake, b[:])
-			l.woken()
+			unix.Read(l.wakeFD, b[:])
+			l.onWake()
 		default:
 			// The id guards a new socket in the same place against an event meant for the old one.
-			if s := l.get(uint64(uint32(e.Pad))<<32 | uint64(uint32(e.Fd))); s != nil && !s.quiet {
-				l.event(s, e.Events)
+			if s := l.lookup(uint64(uint32(e.Pad))<<32 | uint64(uint32(e.Fd))); s != nil && !s.unregistered {
+				l.handleEvent(s, e.Events)
 			}
 		}
 	}
-	l.came = 0
+	l.eventCount = 0
 }
 
-// fail tells of a failure. What the other side said before comes first: of a host that turns a flow away and closes, the
+// reportFailure tells of a failure. What the other side said before comes first: of a host that turns a flow away and closes, the
 // answer counts and not that the rest of the line found nobody.
-func (l *Loop) fail(f failure) {
-	s := l.get(f.id)
+func (l *Loop) reportFailure(f failure) {
+	s := l.lookup(f.id)
 	if s == nil {
 		return
 	}
-	if s.fd >= 0 && !s.dialing && !s.quiet {
-		l.read(s, 0)
+	if s.fd >= 0 && !s.connecting && !s.unregistered {
+		l.receive(s, 0)
 	}
-	if l.get(f.id) == s && (s.fd < 0 || !s.quiet) {
-		l.mute(s)
-		l.h.Ended(f.id, f.err)
+	if l.lookup(f.id) == s && (s.fd < 0 || !s.unregistered) {
+		l.unregister(s)
+		l.handler.Ended(f.id, f.err)
 	}
 }
 
-func (l *Loop) get(id uint64) *sock {
-	if no := int(uint32(id)); no < len(l.socks) && l.socks[no] != nil && l.socks[no].id == id {
-		return l.socks[no]
+func (l *Loop) lookup(id uint64) *socket {
+	if no := int(uint32(id)); no < len(l.sockets) && l.sockets[no] != nil && l.sockets[no].id == id {
+		return l.sockets[no]
 	}
 	return nil
 }
 
 func (l *Loop) accept() {
-	take, refuse := l.h.Quota()
-	for i := range min(take+refuse, atOnce) {
-		l.cede()
+	take, refuse := l.handler.Quota()
+	for i := range min(take+refuse, maxClientAccepts) {
+		l.makeRoom()
 		if i >= take {
 			fd, _, err := unix.Accept4(l.clients.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err != nil {
 				return
 			}
 			l.refuse(fd)
-			l.h.Refused()
+			l.handler.Refused()
 			continue
 		}
-		if !l.h.Spare() || l.Room() < 1 {
-			l.listen(&l.clients, false) // guards against spinning on a queue that can't be served
+		if !l.handler.Spare() || l.Room() < 1 {
+			l.updateListener(&l.clients, false) // guards against spinning on a queue that can't be served
 			return
 		}
 		fd, from, err := unix.Accept4(l.clients.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
 		case unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM:
-			l.listen(&l.clients, false)
-			l.again = clock() + acceptAgain
+			l.updateListener(&l.clients, false)
+			l.acceptRetryAt = monotonicMicros() + acceptRetryDelay
 			return
 		case unix.ECONNABORTED, unix.EINTR:
 			continue
 		default:
 			return
 		}
-		id, in, out, ok := l.h.Accept(addrPort(from))
+		id, in, out, ok := l.handler.Accept(addrPort(from))
 		if !ok {
 			l.refuse(fd)
 			continue
 		}
 		s := l.add(id, fd, in, out)
-		l.arm(s)
+		l.updateInterest(s)
 	}
 }
 
-// acceptCalls takes operators' connections; none waits for clients'.
-func (l *Loop) acceptCalls() {
-	for range calls {
-		l.cede()
+// acceptOperators takes operators' connections; none waits for clients'.
+func (l *Loop) acceptOperators() {
+	for range maxOperatorAccepts {
+		l.makeRoom()
 		fd, _, err := unix.Accept4(l.admins.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
@@ -398,18 +398,18 @@
 		case unix.EAGAIN:
 			return
 		default:
-			l.listen(&l.admins, false)
+			l.updateListener(&l.admins, false)
 			return
 		}
-		id, in, out, ok := l.h.Call()
+		id, in, out, ok := l.handler.Call()
 		if !ok {
 			unix.Close(fd)
 			continue
 		}
 		s := l.add(id, fd, in, out)
-		s.apart = true
-		l.count--
-		l.arm(s)
+		s.operator = true
+		l.openSockets--
+		l.updateInterest(s)
 	}
 }
 
@@ -422,7 +422,7 @@
 		unix.Close(fd)
 		return
 	}
-	l.part(fd, unix.EPOLL_CTL_ADD)
+	l.closeGracefully(fd, unix.EPOLL_CTL_ADD)
 }
 
 var busyLine = []byte("BUSY\r\n")
@@ -437,109 +437,109 @@
 	return netip.AddrPort{}
 }
 
-// listen takes a listener into the poll or out of it; its queue stays as it is.
-func (l *Loop) listen(at *listener, on bool) {
-	if on = on && !at.off; at.fd < 0 || at.on == on {
+// updateListener takes a listener into the poll or out of it; its queue stays as it is.
+func (l *Loop) updateListener(listener *listener, accepting bool) {
+	if accepting = accepting && !listener.disabled; listener.fd < 0 || listener.accepting == accepting {
 		return
 	}
-	at.on = on
+	listener.accepting = accepting
 	events := uint32(0)
-	if on {
+	if accepting {
 		events = unix.EPOLLIN
 	}
-	l.control(unix.EPOLL_CTL_MOD, at.fd, events, at.no, 0)
+	l.epollCtl(unix.EPOLL_CTL_MOD, listener.fd, events, listener.tag, 0)
 }
 
-func (l *Loop) add(id uint64, fd int, in, out *lines.Ring) *sock {
+func (l *Loop) add(id uint64, fd int, in, out *lines.Ring) *socket {
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	s := &sock{id: id, fd: fd, in: in, out: out}
-	for len(l.socks) <= int(uint32(id)) {
-		l.socks = append(l.socks, nil)
+	s := &socket{id: id, fd: fd, in: in, out: out}
+	for len(l.sockets) <= int(uint32(id)) {
+		l.sockets = append(l.sockets, nil)
 	}
-	l.socks[uint32(id)] = s
-	l.count++
-	if err := l.control(unix.EPOLL_CTL_ADD, fd, 0, int32(uint32(id)), int32(id>>32)); err != nil {
-		l.failed = append(l.failed, failure{id, err})
+	l.sockets[uint32(id)] = s
+	l.openSockets++
+	if err := l.epollCtl(unix.EPOLL_CTL_ADD, fd, 0, int32(uint32(id)), int32(id>>32)); err != nil {
+		l.failures = append(l.failures, failure{id, err})
 	}
 	return s
 }
 
-// arm asks for the events that the state of the socket calls for.
-func (l *Loop) arm(s *sock) {
-	want := uint32(0)
-	if s.dialing || s.out.Len() > 0 && !s.broken {
-		want |= unix.EPOLLOUT
+// updateInterest asks for the events that the state of the socket calls for.
+func (l *Loop) updateInterest(s *socket) {
+	interest := uint32(0)
+	if s.connecting || s.out.Len() > 0 && !s.writeFailed {
+		interest |= unix.EPOLLOUT
 	}
-	if !s.dialing && !s.eof && s.in.Free() > 0 {
-		want |= unix.EPOLLIN
+	if !s.connecting && !s.eof && s.in.Free() > 0 {
+		interest |= unix.EPOLLIN
 	}
-	if want != s.armed && !s.quiet {
-		s.armed = want
-		l.control(unix.EPOLL_CTL_MOD, s.fd, want, int32(uint32(s.id)), int32(s.id>>32))
+	if interest != s.interest && !s.unregistered {
+		s.interest = interest
+		l.epollCtl(unix.EPOLL_CTL_MOD, s.fd, interest, int32(uint32(s.id)), int32(s.id>>32))
 	}
 }
 
 // Dial opens a connection. Whatever comes of it is told in a later turn.
 func (l *Loop) Dial(id uint64, to string, in, out *lines.Ring) {
 	fd, at, err := -1, unix.Sockaddr(nil), error(unix.EMFILE)
-	if l.cede(); l.Room() > 0 {
-		fd, at, err = open(to)
+	if l.makeRoom(); l.Room() > 0 {
+		fd, at, err = openStream(to)
 	}
 	if err == nil {
 		if err = unix.Connect(fd, at); err == unix.EINPROGRESS || err == nil {
 			s := l.add(id, fd, in, out)
-			s.dialing = true
-			l.arm(s)
+			s.connecting = true
+			l.updateInterest(s)
 			return
 		}
 		unix.Close(fd)
 	}
 	// No socket, but the id needs a place for its failure to be told.
-	for len(l.socks) <= int(uint32(id)) {
-		l.socks = append(l.socks, nil)
+	for len(l.sockets) <= int(uint32(id)) {
+		l.sockets = append(l.sockets, nil)
 	}
-	l.socks[uint32(id)] = &sock{id: id, fd: -1, in: in, out: out, quiet: true}
-	l.failed = append(l.failed, failure{id, err})
+	l.sockets[uint32(id)] = &socket{id: id, fd: -1, in: in, out: out, unregistered: true}
+	l.failures = append(l.failures, failure{id, err})
 }
 
-func (l *Loop) event(s *sock, events uint32) {
-	if s.dialing {
+func (l *Loop) handleEvent(s *socket, events uint32) {
+	if s.connecting {
 		code, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err == nil && code != 0 {
 			err = unix.Errno(code)
 		}
 		if err != nil {
-			l.mute(s)
-			l.h.Ended(s.id, err)
+			l.unregister(s)
+			l.handler.Ended(s.id, err)
 			return
 		}
-		s.dialing = false
-		l.h.Connected(s.id)
-		if l.get(s.id) == s {
-			l.arm(s)
+		s.connecting = false
+		l.handler.Connected(s.id)
+		if l.lookup(s.id) == s {
+			l.updateInterest(s)
 		}
 		return
 	}
 	if events&unix.EPOLLOUT != 0 && s.out.Len() > 0 {
-		if l.write(s) {
-			l.h.Sent(s.id)
+		if l.flush(s) {
+			l.handler.Sent(s.id)
 		}
-		if l.get(s.id) != s {
+		if l.lookup(s.id) != s {
 			return
 		}
 	}
 	if events&(unix.EPOLLIN|unix.EPOLLHUP|unix.EPOLLERR) != 0 {
-		l.read(s, events)
+		l.receive(s, events)
 	}
-	if l.get(s.id) == s {
-		l.arm(s)
+	if l.lookup(s.id) == s {
+		l.updateInterest(s)
 	}
 }
 
-func (l *Loop) read(s *sock, events uint32) {
-	var end error
-	got := false
-	for !s.eof && end == nil {
+func (l *Loop) receive(s *socket, events uint32) {
+	var failure error
+	received := false
+	for !s.eof && failure == nil {
 		space := s.in.Space()
 		if len(space) == 0 {
 			break
@@ -547,7 +547,7 @@
 		n, err := unix.Read(s.fd, space)
 		if n > 0 {
 			s.in.Grow(n)
-			got = true
+			received = true
 			if n < len(space) {
 				break // that was all; an end is told by the poll
 			}
@@ -558,87 +558,87 @@
 		} else if err == unix.EAGAIN {
 			break
 		} else if err != nil && err != unix.EINTR {
-			end = err
+			failure = err
 		}
 	}
-	if end == nil && events&unix.EPOLLERR != 0 || end == nil && events&unix.EPOLLHUP != 0 && (s.eof || !got) {
+	if failure == nil && events&unix.EPOLLERR != 0 || failure == nil && events&unix.EPOLLHUP != 0 && (s.eof || !received) {
 		if code, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && code != 0 {
-			end = unix.Errno(code)
+			failure = unix.Errno(code)
 		} else if !s.eof {
-			end = unix.ECONNRESET
+			failure = unix.ECONNRESET
 		}
-		l.mute(s) // guards against spinning: these events can't be turned off
+		l.unregister(s) // guards against spinning: these events can't be turned off
 	}
 	s.in.Drop(0)
 	id, eof := s.id, s.eof
-	if got {
-		l.h.Received(id)
+	if received {
+		l.handler.Received(id)
 	}
-	if end != nil && l.get(id) == s {
-		l.mute(s)
-		l.h.Ended(id, end)
-	} else if eof && l.get(id) == s {
-		l.h.Ended(id, nil)
+	if failure != nil && l.lookup(id) == s {
+		l.unregister(s)
+		l.handler.Ended(id, failure)
+	} else if eof && l.lookup(id) == s {
+		l.handler.Ended(id, nil)
 	}
 }
 
-func (l *Loop) mute(s *sock) {
-	if !s.quiet {
-		s.quiet = true
-		l.control(unix.EPOLL_CTL_DEL, s.fd, 0, 0, 0)
+func (l *Loop) unregister(s *socket) {
+	if !s.unregistered {
+		s.unregistered = true
+		l.epollCtl(unix.EPOLL_CTL_DEL, s.fd, 0, 0, 0)
 	}
 }
 
-// write sends what the ring holds and tells whether any of it went.
-func (l *Loop) write(s *sock) (went bool) {
-	for s.out.Len() > 0 && !s.broken {
+// flush sends what the ring holds and tells whether any of it went.
+func (l *Loop) flush(s *socket) (sent bool) {
+	for s.out.Len() > 0 && !s.writeFailed {
 		n, err := unix.Write(s.fd, s.out.Head())
 		if n > 0 {
 			s.out.Drop(n)
-			went = true
+			sent = true
 		} else if err == unix.EINTR {
 			continue
 		} else {
 			if err != nil && err != unix.EAGAIN {
-				s.broken = true
-				l.failed = append(l.failed, failure{s.id, err})
+				s.writeFailed = true
+				l.failures = append(l.failures, failure{s.id, err})
 			}
 			break
 		}
 	}
-	if s.shut && s.out.Len() == 0 {
+	if s.closeWrite && s.out.Len() == 0 {
 		unix.Shutdown(s.fd, unix.SHUT_WR)
 	}
-	return went
+	return sent
 }
 
 // Touch says that the rings of a socket have changed: what can be sent is sent, and reading goes on.
 func (l *Loop) Touch(id uint64) {
-	if s := l.get(id); s != nil && !s.dialing && s.fd >= 0 {
+	if s := l.lookup(id); s != nil && !s.connecting && s.fd >= 0 {
 		if s.out.Len() > 0 {
-			l.write(s)
+			l.flush(s)
 		}
-		l.arm(s)
+		l.updateInterest(s)
 	}
 }
 
 // Shut ends the sending on a socket once its ring is empty.
 func (l *Loop) Shut(id uint64) {
-	if s := l.get(id); s != nil && !s.dialing && s.fd >= 0 && !s.shut {
-		s.shut = true
-		l.write(s)
-		l.arm(s)
+	if s := l.lookup(id); s != nil && !s.connecting && s.fd >= 0 && !s.closeWrite {
+		s.closeWrite = true
+		l.flush(s)
+		l.updateInterest(s)
 	}
 }
 
 // Gone tells whether the other side of a connection has ended, or broken it, also where that has not been told yet: it
 // may lie behind other events, or behind bytes that nobody has read.
 func (l *Loop) Gone(id uint64) bool {
-	s := l.get(id)
-	if s == nil || s.eof || s.quiet {
+	s := l.lookup(id)
+	if s == nil || s.eof || s.unregistered {
 		return true
 	}
-	if s.dialing {
+	if s.connecting {
 		return false
 	}
 	p := []unix.PollFd{{Fd: int32(s.fd), Events: unix.POLLRDHUP}}
@@ -649,84 +649,84 @@
 // Part ends a socket in order without its handler, who forgets it: what its ring holds is sent, and what still comes is
 // read and dropped until the other side ends.
 func (l *Loop) Part(id uint64) {
-	s := l.get(id)
-	if s == nil || s.fd < 0 || s.dialing || s.quiet || s.apart {
+	s := l.lookup(id)
+	if s == nil || s.fd < 0 || s.connecting || s.unregistered || s.operator {
 		l.Close(id)
 		return
 	}
-	l.write(s)
-	l.socks[uint32(id)] = nil
-	l.count--
-	l.part(s.fd, unix.EPOLL_CTL_MOD)
-	l.listen(&l.clients, l.Room() > 0)
-	l.listen(&l.admins, true)
+	l.flush(s)
+	l.sockets[uint32(id)] = nil
+	l.openSockets--
+	l.closeGracefully(s.fd, unix.EPOLL_CTL_MOD)
+	l.updateListener(&l.clients, l.Room() > 0)
+	l.updateListener(&l.admins, true)
 }
 
-// parted is a connection that has its last word and waits for its other side to end. Nobody counts it: it goes as soon as
+// closingSocket is a connection that has its last word and waits for its other side to end. Nobody counts it: it goes as soon as
 // its place is needed.
-type parted struct {
-	fd    int
-	until int64
-	read  int
+type closingSocket struct {
+	fd       int
+	deadline int64
+	received int
 }
 
 const (
-	partTime  = 200_000  // microseconds, for the other side to take the last word and end
-	mostAfter = 64 << 10 // bytes that it may send until then
+	closeTimeout            = 200_000  // microseconds, for the other side to take the last word and end
+	maxReceivedWhileClosing = 64 << 10 // bytes that it may send until then
 
-	acceptAgain = 100_000 // after the system had no descriptor left: others may have given some back
+	acceptRetryDelay = 100_000 // after the system had no descriptor left: others may have given some back
 )
 
-func clock() int64 {
+func monotonicMicros() int64 {
 	var t unix.Timespec
 	unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
 	return t.Nano() / 1000
 }
 
-// part ends the sending on a socket and waits for the other side to end as well.
-func (l *Loop) part(fd, op int) {
+// closeGracefully ends the sending on a socket and waits for the other side to end as well.
+func (l *Loop) closeGracefully(fd, op int) {
 	unix.Shutdown(fd, unix.SHUT_WR)
-	if err := l.control(op, fd, unix.EPOLLIN, partNo, int32(fd)); err != nil {
+	if err := l.epollCtl(op, fd, unix.EPOLLIN, closingTag, int32(fd)); err != nil {
 		unix.Close(fd)
 		return
 	}
-	l.parting = append(l.parting, parted{fd: fd, until: clock() + partTime})
+	l.closing = append(l.closing, closingSocket{fd: fd, deadline: monotonicMicros() + closeTimeout})
 }
 
-// cede makes place for one more descriptor, if a connection that waits for its end holds it.
-func (l *Loop) cede() {
-	for len(l.parting) > 0 && l.count+len(l.parting) >= l.most {
-		l.drop(0)
+// makeRoom makes place for one more descriptor, if a connection that waits for its end holds it.
+func (l *Loop) makeRoom() {
+	for len(l.closing) > 0 && l.openSockets+len(l.closing) >= l.maxSockets {
+		l.dropClosing(0)
 	}
 }
 
-// next is when something of the loop's own is due; 0 for nothing.
-func (l *Loop) next() int64 {
-	if len(l.parting) == 0 || l.again > 0 && l.again < l.parting[0].until {
-		return l.again
+// nextDeadline is when something of the loop's own is due; 0 for nothing.
+func (l *Loop) nextDeadline() int64 {
+	if len(l.closing) == 0 || l.acceptRetryAt > 0 && l.acceptRetryAt < l.closing[0].deadline {
+		return l.acceptRetryAt
 	}
-	return l.parting[0].until
+	return l.closing[0].deadline
 }
 
-// expire closes those whose other side has not ended in time, and has the listener tried again.
-func (l *Loop) expire() {
-	if l.again > 0 && l.again <= clock() {
-		l.again = 0
-		l.listen(&l.clients, l.Room() > 0)
+// runTimers closes those whose other side has not ended in time, and has the listener tried again.
+func (l *Loop) runTimers() {
+	if l.acceptRetryAt > 0 && l.acceptRetryAt <= monotonicMicros() {
+		l.acceptRetryAt = 0
+		l.updateListener(&l.clients, l.Room() > 0)
 	}
-	for len(l.parting) > 0 && l.parting[0].until <= clock() {
-		l.drop(0)
+	for len(l.closing) > 0 && l.closing[0].deadline <= monotonicMicros() {
+		l.dropClosing(0)
 	}
 }
 
-func (l *Loop) drop(i int) {
-	unix.Close(l.parting[i].fd)
-	l.parting = slices.Delete(l.parting, i, i+1)
+func (l *Loop) dropClosing(i int) {
+	unix.Close(l.closing[i].fd)
+	l.closing = slices.Delete(l.closing, i, i+1)
 }
 
-// drain reads what the other side of such a connection still sends.
-func (l *Loop) drain(fd int) {
-	i := slices.IndexFunc(l.parting, func(p parted) bool { return p.fd == fd })
+// drainClosing reads what the other side of such a connection still sends.
+func (l *Loop) drainClosing(fd int) {
+	i := slices.IndexFunc(l.closing, func(p closingSocket) bool { return p.fd == fd })
 	if i < 0 {
 		return
 	}
@@ -734,32 +734,32 @@
 	if err == unix.EAGAIN || err == unix.EINTR {
 		return
 	}
-	if l.parting[i].read += max(n, 0); err != nil || n == 0 || l.parting[i].read > mostAfter {
-		l.drop(i)
+	if l.closing[i].received += max(n, 0); err != nil || n == 0 || l.closing[i].received > maxReceivedWhileClosing {
+		l.dropClosing(i)
 	}
 }
 
 // Close ends a socket at once.
 func (l *Loop) Close(id uint64) {
-	s := l.get(id)
+	s := l.lookup(id)
 	if s == nil {
 		return
 	}
-	l.socks[uint32(id)] = nil
+	l.sockets[uint32(id)] = nil
 	if s.fd < 0 {
 		return
 	}
 	unix.Close(s.fd)
-	if !s.apart {
-		l.count--
+	if !s.operator {
+		l.openSockets--
 	}
-	l.listen(&l.clients, l.Room() > 0)
-	l.listen(&l.admins, true)
+	l.updateListener(&l.clients, l.Room() > 0)
+	l.updateListener(&l.admins, true)
 }
 
 // Reset ends a socket the way a broken one ends.
 func (l *Loop) Reset(id uint64) {
-	if s := l.get(id); s != nil && s.fd >= 0 {
+	if s := l.lookup(id); s != nil && s.fd >= 0 {
 		unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 	l.Close(id)
--- a/epoll/loop_test.go
+++ b/epoll/loop_test.go
@@ -9,10 +9,10 @@
 	"coursewinch/lines"
 )
 
-type heard struct{ ended []uint64 }
+type heard struct{ closed []uint64 }
 
 func (h *heard) Spare() bool       { return true }
-func (h *heard) Quota() (int, int) { return atOnce, 0 }
+func (h *heard) Quota() (int, int) { return maxClientAccepts, 0 }
 func (h *heard) Refused()          {}
 func (h *heard) Call() (uint64, *lines.Ring, *lines.Ring, bool) {
 	return 0, nil, nil, false
@@ -23,31 +23,31 @@
 func (h *heard) Connected(uint64)           {}
 func (h *heard) Received(uint64)            {}
 func (h *heard) Sent(uint64)                {}
-func (h *heard) Ended(id uint64, err error) { h.ended = append(h.ended, id) }
+func (h *heard) Ended(id uint64, err error) { h.closed = append(h.closed, id) }
 
 // Guards a new socket against an event meant for the one that had its place before.
-func TestStaleEventsReachNobody(t *testing.T) {
+func TestStaleEventsAreIgnored(t *testing.T) {
 	h := &heard{}
 	l, err := New(10, h, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const id = 2 << 32
-	l.socks = []*sock{{id: id, fd: -1, in: new(lines.Ring), out: new(lines.Ring)}}
-	for _, gen := range []int32{1, 2} {
-		l.ready[0], l.came = unix.EpollEvent{Events: unix.EPOLLIN, Fd: 0, Pad: gen}, 1
+	l.sockets = []*socket{{id: id, fd: -1, in: new(lines.Ring), out: new(lines.Ring)}}
+	for _, generation := range []int32{1, 2} {
+		l.events[0], l.eventCount = unix.EpollEvent{Events: unix.EPOLLIN, Fd: 0, Pad: generation}, 1
 		l.Dispatch()
-		if gen == 1 && len(h.ended) != 0 {
+		if generation == 1 && len(h.closed) != 0 {
 			t.Fatal("told of the old socket's event")
 		}
 	}
-	if len(h.ended) != 1 || h.ended[0] != id {
-		t.Fatal(h.ended)
+	if len(h.closed) != 1 || h.closed[0] != id {
+		t.Fatal(h.closed)
 	}
 }
 
 // Guards a connect that fails at once against being told within the call that asked for it.
-func TestFailuresAreToldInTheNextTurn(t *testing.T) {
+func TestDialFailureIsReportedInNextIteration(t *testing.T) {
 	h := &heard{}
 	l, err := New(10, h, nil)
 	if err != nil {
@@ -55,19 +55,19 @@
 	}
 	const id = 1 << 32
 	l.Dial(id, "no address", new(lines.Ring), new(lines.Ring))
-	if len(h.ended) != 0 || l.Room() != 10 {
-		t.Fatal(h.ended, l.Room())
+	if len(h.closed) != 0 || l.Room() != 10 {
+		t.Fatal(h.closed, l.Room())
 	}
 	if err := l.Wait(-1); err != nil {
 		t.Fatal(err)
 	}
-	if l.Dispatch(); len(h.ended) != 1 {
-		t.Fatal(h.ended)
+	if l.Dispatch(); len(h.closed) != 1 {
+		t.Fatal(h.closed)
 	}
 }
 
 // Guards a process that has handed a socket on against being told of it without end: both hold it.
-func TestASocketHandedOnIsNotHeardOfAgain(t *testing.T) {
+func TestUnregisteredSocketReportsNoEvents(t *testing.T) {
 	l, err := New(10, &heard{}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -78,21 +78,21 @@
 	}
 	other, _ := unix.Dup(pair[0]) // as the other process has it
 	defer unix.Close(other)
-	l.Take(1<<32, pair[0], new(lines.Ring), new(lines.Ring))
-	l.Release(1 << 32)
+	l.AddConnected(1<<32, pair[0], new(lines.Ring), new(lines.Ring))
+	l.Unregister(1 << 32)
 	l.Close(1 << 32)
 	unix.Write(pair[1], []byte("x"))
-	if err := l.Wait(0); err != nil || l.came != 0 {
-		t.Fatal(err, l.came)
+	if err := l.Wait(0); err != nil || l.eventCount != 0 {
+		t.Fatal(err, l.eventCount)
 	}
 }
 
 // Two loops on loopback: what one sends reaches the other in a turn, with the address that it listens at.
-func TestDatagramsReachTheOtherLoop(t *testing.T) {
+func TestDatagramsReachOtherLoop(t *testing.T) {
 	got := ""
 	loop := func() (*Loop, netip.AddrPort) {
 		l, _ := New(10, &heard{}, nil)
-		at, err := l.Datagrams("127.0.0.1:0", false, func(from netip.AddrPort, p []byte) { got += from.String() + string(p) })
+		at, err := l.ListenDatagrams("127.0.0.1:0", false, func(from netip.AddrPort, p []byte) { got += from.String() + string(p) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 	}
 	one, at := loop()
 	two, from := loop()
-	two.Tell(at, []byte("a"))
+	two.SendDatagram(at, []byte("a"))
 	for i := 0; i < 100 && got == ""; i++ {
 		one.Wait(100_000)
 		one.Dispatch()
--- a/simwire/door.go
+++ b/simwire/door.go
@@ -18,7 +18,7 @@
 	"coursewinch/settings"
 )
 
-var outcomes = map[string]balance.Outcome{
+var outcomesByName = map[string]balance.Outcome{
 	"completed": balance.Completed, "errored": balance.Errored, "saturated": balance.Saturated,
 	"overdue": balance.Overdue, "refused_conn": balance.Unreachable, "severed": balance.Severed,
 	"recalled": balance.Recalled, "superseded": balance.Superseded,
@@ -26,50 +26,50 @@
 
 const alarmToken = 1
 
-// ref is what a flow carries for the door: its wire id, and where its connects went.
-type ref struct {
-	id    string
-	tries []*balance.Server
-	out   int // connects without an outcome
-	over  bool
+// flowState is what a flow carries for the door: its wire id, and where its connects went.
+type flowState struct {
+	id       string
+	connects []*balance.Server
+	pending  int // connects without an outcome
+	finished bool
 }
 
-// node is one instance: its module and the ids it knows.
-type node struct {
-	b       *balance.Balancer
-	set     *settings.Settings
-	flows   map[string]*balance.Flow
-	servers map[string]*balance.Server
-	groups  map[string]*balance.Group
-	short   map[uint32]*balance.Server // by what peers call them
-	told    map[uint32]*balance.Group  // also those that peers alone have named
+// instance is one instance: its module and the ids it knows.
+type instance struct {
+	balancer           *balance.Balancer
+	settings           *settings.Settings
+	flows              map[string]*balance.Flow
+	servers            map[string]*balance.Server
+	groups             map[string]*balance.Group
+	serversByShortHash map[uint32]*balance.Server // by what peers call them
+	groupsByShortHash  map[uint32]*balance.Group  // also those that peers alone have named
 }
 
 // Door reads batches and writes replies.
 type Door struct {
-	in    *bufio.Reader
-	out   *bufio.Writer
-	nodes map[int64]*node
-	line  line
-	long  []byte
-	num   []byte
+	in        *bufio.Reader
+	out       *bufio.Writer
+	instances map[int64]*instance
+	line      line
+	longLine  []byte
+	digits    []byte
 
-	now  int64
-	at   int64
-	cur  *node
-	said int64 // the instance that the reply names now
-	err  error
+	now        int64
+	instanceID int64
+	current    *instance
+	repliedID  int64 // the instance that the reply names now
+	err        error
 }
 
 func New(in io.Reader, out io.Writer) *Door {
 	return &Door{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<18),
-		nodes: map[int64]*node{}}
+		instances: map[int64]*instance{}}
 }
 
 // Run answers batches until the input ends.
 func (d *Door) Run() error {
 	for {
-		if err := d.batch(); err == io.EOF {
+		if err := d.handleBatch(); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
@@ -80,181 +80,181 @@
 	}
 }
 
-// read cuts the next line into its parts.
-func (d *Door) read() error {
+// readLine cuts the next line into its parts.
+func (d *Door) readLine() error {
 	raw, err := d.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		d.long = append(d.long[:0], raw...)
+		d.longLine = append(d.longLine[:0], raw...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			raw, err = d.in.ReadSlice('\n')
-			d.long = append(d.long, raw...)
+			d.longLine = append(d.longLine, raw...)
 		}
-		raw = d.long
+		raw = d.longLine
 	}
 	if err != nil && len(raw) == 0 {
 		return err
 	}
-	d.line.no++
+	d.line.number++
 	if err != nil {
-		return fmt.Errorf("line %d: cut short", d.line.no)
+		return fmt.Errorf("line %d: cut short", d.line.number)
 	}
-	d.line.cut(raw[:len(raw)-1])
+	d.line.split(raw[:len(raw)-1])
 	return nil
 }
 
-func (d *Door) batch() error {
-	if err := d.read(); err != nil {
+func (d *Door) handleBatch() error {
+	if err := d.readLine(); err != nil {
 		return err
 	}
 	l := &d.line
 	if string(l.name) != "mark" {
-		return fmt.Errorf("line %d: a batch begins with mark, not %q", l.no, l.name)
+		return fmt.Errorf("line %d: a batch begins with mark, not %q", l.number, l.name)
 	}
-	d.now = l.time("TMs")
-	if err := l.end(); err != nil {
+	d.now = l.takeMicros("TMs")
+	if err := l.endOfLine(); err != nil {
 		return err
 	}
-	d.said, d.err = -1, nil
+	d.repliedID, d.err = -1, nil
 	more := true
-	if err := d.next(); err != nil {
+	if err := d.nextLine(); err != nil {
 		return err
 	}
 	for more {
 		switch string(l.name) {
 		case "over_to_you":
 			more = false
-			if err := l.end(); err != nil {
+			if err := l.endOfLine(); err != nil {
 				return err
 			}
 		case "at":
-			d.at = l.count("Node", false)
-			if err := l.end(); err != nil {
+			d.instanceID = l.takeCount("Node", false)
+			if err := l.endOfLine(); err != nil {
 				return err
 			}
-			d.cur = d.nodes[d.at]
-			if err := d.round(); err != nil {
+			d.current = d.instances[d.instanceID]
+			if err := d.handleInstance(); err != nil {
 				return err
 			}
 		default:
-			return fmt.Errorf("line %d: %q comes before at", l.no, l.name)
+			return fmt.Errorf("line %d: %q comes before at", l.number, l.name)
 		}
 	}
 	d.out.WriteString("finished\n")
 	return nil
 }
 
-func (d *Door) next() error {
-	if err := d.read(); err != nil {
-		return d.midway(err)
+func (d *Door) nextLine() error {
+	if err := d.readLine(); err != nil {
+		return d.endWithinBatch(err)
 	}
 	return nil
 }
 
-func (d *Door) midway(err error) error {
+func (d *Door) endWithinBatch(err error) error {
 	if err == io.EOF {
-		return fmt.Errorf("line %d: the input ends within a batch", d.line.no+1)
+		return fmt.Errorf("line %d: the input ends within a batch", d.line.number+1)
 	}
 	return err
 }
 
-// round plays the events of one instance; a panic in the module goes out with its cause.
-func (d *Door) round() error {
-	if err := d.next(); err != nil {
+// handleInstance plays the events of one instance; a panic in the module goes out with its cause.
+func (d *Door) handleInstance() error {
+	if err := d.nextLine(); err != nil {
 		return err
 	}
 	for {
-		for d.lifecycle() {
+		for d.handleLifecycle() {
 			if d.err != nil {
 				return d.err
 			}
-			if err := d.next(); err != nil {
+			if err := d.nextLine(); err != nil {
 				return err
 			}
 		}
 		if d.err != nil {
 			return d.err
 		}
-		if d.boundary() {
+		if d.atBoundary() {
 			return nil
 		}
-		if d.cur == nil {
-			return fmt.Errorf("line %d: %s for instance %d, which has no settings", d.line.no, d.line.name, d.at)
+		if d.current == nil {
+			return fmt.Errorf("line %d: %s for instance %d, which has no settings", d.line.number, d.line.name, d.instanceID)
 		}
-		d.play()
+		d.runRound()
 		if d.err != nil {
 			return d.err
 		}
-		if d.boundary() {
+		if d.atBoundary() {
 			return nil
 		}
 	}
 }
 
-func (d *Door) boundary() bool {
+func (d *Door) atBoundary() bool {
 	return string(d.line.name) == "at" || string(d.line.name) == "over_to_you"
 }
 
-func (d *Door) play() {
+func (d *Door) runRound() {
 	defer func() {
 		if p := recover(); p != nil {
-			d.say("bail_out", fmt.Sprintf("panic: %v", p))
-			d.end()
-			d.err = d.skip()
+			d.writeCall("bail_out", fmt.Sprintf("panic: %v", p))
+			d.endLine()
+			d.err = d.skipInstance()
 		}
 	}()
-	d.cur.b.Round(d.now, d.events, d)
+	d.current.balancer.Round(d.now, d.handleEvents, d)
 }
 
-// skip reads on to the end of the instance's events.
-func (d *Door) skip() error {
-	for !d.boundary() {
-		if err := d.next(); err != nil {
+// skipInstance reads on to the end of the instance's events.
+func (d *Door) skipInstance() error {
+	for !d.atBoundary() {
+		if err := d.nextLine(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// lifecycle handles the lines that start and stop an instance.
-func (d *Door) lifecycle() bool {
+// handleLifecycle handles the lines that start and stop an instance.
+func (d *Door) handleLifecycle() bool {
 	l := &d.line
 	switch string(l.name) {
 	case "configure":
-		seed := l.count("Entropy", false)
+		seed := l.takeCount("Entropy", false)
 		if l.err != nil {
 			d.err = l.err
 			return true
 		}
-		set, err := settings.Pairs(l.parts[l.next:])
+		set, err := settings.Pairs(l.fields[l.next:])
 		if err != nil {
-			d.err = fmt.Errorf("line %d: configure: %w", l.no, err)
+			d.err = fmt.Errorf("line %d: configure: %w", l.number, err)
 			return true
 		}
-		d.cur = &node{b: balance.New(&set.Settings, seed), set: set, flows: map[string]*balance.Flow{},
-			servers: map[string]*balance.Server{}, groups: map[string]*balance.Group{}, short: map[uint32]*balance.Server{}, told: map[uint32]*balance.Group{}}
-		d.nodes[d.at] = d.cur
+		d.current = &instance{balancer: balance.New(&set.Settings, seed), settings: set, flows: map[string]*balance.Flow{},
+			servers: map[string]*balance.Server{}, groups: map[string]*balance.Group{}, serversByShortHash: map[uint32]*balance.Server{}, groupsByShortHash: map[uint32]*balance.Group{}}
+		d.instances[d.instanceID] = d.current
 		return true
 	case "stop":
-		d.err = l.end()
-		delete(d.nodes, d.at)
-		d.cur = nil
+		d.err = l.endOfLine()
+		delete(d.instances, d.instanceID)
+		d.current = nil
 		return true
 	}
 	return false
 }
 
-// events makes the calls for the lines of one instance, up to the next boundary or a new start.
-func (d *Door) events(b *balance.Balancer) {
-	for !d.boundary() {
+// handleEvents makes the calls for the lines of one instance, up to the next boundary or a new start.
+func (d *Door) handleEvents(b *balance.Balancer) {
+	for !d.atBoundary() {
 		if name := string(d.line.name); name == "configure" || name == "stop" {
 			return
 		}
-		d.event(b)
+		d.handleEvent(b)
 		if d.err == nil {
-			d.err = d.line.end()
+			d.err = d.line.endOfLine()
 		}
 		if d.err == nil {
-			d.err = d.next()
+			d.err = d.nextLine()
 		}
 		if d.err != nil {
 			return
@@ -262,54 +262,54 @@
 	}
 }
 
-func (d *Door) event(b *balance.Balancer) {
-	l, n := &d.line, d.cur
+func (d *Door) handleEvent(b *balance.Balancer) {
+	l, n := &d.line, d.current
 	switch string(l.name) {
 	case "demand":
-		id, flags := string(l.text("Ref")), l.count("Flags", false)
-		f := d.flow(id, l.index("Priority", len(n.set.Types), false))
-		l.count("Team", true)
-		f.Hash = key(l.take("Object"))
+		id, flags := string(l.takeText("Ref")), l.takeCount("Flags", false)
+		f := d.newFlow(id, l.takeIndex("Priority", len(n.settings.Types), false))
+		l.takeCount("Team", true)
+		f.Hash = keyHash(l.takeAny("Object"))
 		f.Again = flags&(2|16) != 0
-		f.Hint = hint(flags, l.number("PredictedMs"))
-		f.Group = n.group(l.take("Channel"))
-		left := l.time("LeftMs")
-		if l.end() != nil {
+		f.Hint = loadHint(flags, l.takeNumber("PredictedMs"))
+		f.Group = n.groupByName(l.takeAny("Channel"))
+		left := l.takeMicros("LeftMs")
+		if l.endOfLine() != nil {
 			return
 		}
 		f.Deadline = d.now + left
 		n.flows[id] = f
 		b.Demand(f)
 	case "handover":
-		id := string(l.text("Ref"))
-		l.time("LeftMs")
-		s := d.server(l.text("Host"))
-		kind := l.index("Priority", len(n.set.Types), false)
-		predicted := l.number("PredictedMs")
-		l.count("Team", true)
-		flags := l.count("Flags", false)
-		group, object := l.take("Channel"), l.take("Object")
-		if l.end() != nil || d.err != nil {
+		id := string(l.takeText("Ref"))
+		l.takeMicros("LeftMs")
+		s := d.serverByName(l.takeText("Host"))
+		kind := l.takeIndex("Priority", len(n.settings.Types), false)
+		predicted := l.takeNumber("PredictedMs")
+		l.takeCount("Team", true)
+		flags := l.takeCount("Flags", false)
+		group, object := l.takeAny("Channel"), l.takeAny("Object")
+		if l.endOfLine() != nil || d.err != nil {
 			return
 		}
-		f := d.flow(id, kind)
-		f.Hint, f.Group, f.Hash = hint(flags, predicted), n.group(group), key(object)
-		r := f.Ref.(*ref)
-		r.tries, r.out = append(r.tries, s), 1
+		f := d.newFlow(id, kind)
+		f.Hint, f.Group, f.Hash = loadHint(flags, predicted), n.groupByName(group), keyHash(object)
+		r := f.Ref.(*flowState)
+		r.connects, r.pending = append(r.connects, s), 1
 		n.flows[id] = f
 		b.Opened(f, s)
 	case "established":
-		f, _ := d.connect()
-		took := l.time("DelaySeenMs")
-		l.text("Host")
-		if f != nil && l.end() == nil {
+		f, _ := d.takeConnect()
+		took := l.takeMicros("DelaySeenMs")
+		l.takeText("Host")
+		if f != nil && l.endOfLine() == nil {
 			b.Established(f, took)
 		}
 	case "signal":
-		f, _ := d.connect()
-		s := d.server(l.text("Host"))
-		topic, amount := l.count("Topic", false), l.number("Amount")
-		if l.end() != nil || d.err != nil {
+		f, _ := d.takeConnect()
+		s := d.serverByName(l.takeText("Host"))
+		topic, amount := l.takeCount("Topic", false), l.takeNumber("Amount")
+		if l.endOfLine() != nil || d.err != nil {
 			return
 		}
 		if topic == 1 && f != nil {
@@ -318,102 +318,102 @@
 			b.Slow(s, int64(amount*1000))
 		}
 	case "response":
-		d.response(b)
+		d.handleResponse(b)
 	case "expired":
-		if id := l.text("Ref"); l.end() == nil {
+		if id := l.takeText("Ref"); l.endOfLine() == nil {
 			if f := n.flows[string(id)]; f != nil {
-				r := f.Ref.(*ref)
-				r.over = true
-				if r.out == 0 {
+				r := f.Ref.(*flowState)
+				r.finished = true
+				if r.pending == 0 {
 					delete(n.flows, r.id)
 				}
 			}
 		}
 	case "probed":
-		s, end := d.server(l.text("Host")), d.outcome()
-		took := l.time("DelaySeenMs")
-		busy, told := d.usage()
-		if l.end() == nil && d.err == nil {
+		s, end := d.serverByName(l.takeText("Host")), d.takeOutcome()
+		took := l.takeMicros("DelaySeenMs")
+		busy, told := d.loadReport()
+		if l.endOfLine() == nil && d.err == nil {
 			if told {
 				b.Reported(s, busy, true)
 			}
 			b.Probed(s, end, took)
 		}
 	case "tick_due":
-		l.count("Ref", false)
-		if l.end() == nil {
+		l.takeCount("Ref", false)
+		if l.endOfLine() == nil {
 			b.Tick()
 		}
 	case "announce":
-		d.announce(b)
+		d.handleAnnounce(b)
 	case "whisper":
-		l.count("SrcPeer", false)
-		told := l.take("Payload")
-		if l.end() == nil {
-			n.heard(b, told)
+		l.takeCount("SrcPeer", false)
+		told := l.takeAny("Payload")
+		if l.endOfLine() == nil {
+			n.handlePeerMessage(b, told)
 		}
 	default:
-		d.err = fmt.Errorf("line %d: unknown message %q", l.no, l.name)
+		d.err = fmt.Errorf("line %d: unknown message %q", l.number, l.name)
 	}
 }
 
-// usage takes a load report's figure for the load. A report that makes no sense is left out, as other nodes' words are.
-func (d *Door) usage() (busy float64, told bool) {
-	return lines.Figures(bytes.Split(d.line.take("Usage"), []byte(","))).At(d.cur.set.Report)
+// loadReport takes a load report's figure for the load. A report that makes no sense is left out, as other nodes' words are.
+func (d *Door) loadReport() (load float64, reported bool) {
+	return lines.Figures(bytes.Split(d.line.takeAny("Usage"), []byte(","))).At(d.current.settings.Report)
 }
 
-// heard takes what another node tells; what makes no sense is dropped.
-func (n *node) heard(b *balance.Balancer, told []byte) {
-	raw, err := base64.StdEncoding.DecodeString(string(told))
+// handlePeerMessage takes what another node tells; what makes no sense is dropped.
+func (n *instance) handlePeerMessage(b *balance.Balancer, payload []byte) {
+	raw, err := base64.StdEncoding.DecodeString(string(payload))
 	if err != nil {
 		return
 	}
-	peers.Read(raw, func(hash uint32, busy float64) {
-		if s := n.short[hash]; s != nil {
-			b.Reported(s, busy, false)
+	peers.Read(raw, func(hash uint32, load float64) {
+		if s := n.serversByShortHash[hash]; s != nil {
+			b.Reported(s, load, false)
 		}
 	}, func(group, hash uint32) {
-		if s := n.short[hash]; s != nil {
-			b.Held(n.known(group), s)
+		if s := n.serversByShortHash[hash]; s != nil {
+			b.Held(n.groupByShortHash(group), s)
 		}
 	})
 }
 
-func hint(flags int64, ms float64) float64 {
+func loadHint(flags int64, ms float64) float64 {
 	if flags&1 == 0 {
 		return 0
 	}
 	return ms * 1000
 }
 
-func (d *Door) flow(id string, kind int) *balance.Flow {
-	kind = min(max(kind, 0), len(d.cur.set.Types)-1)
-	return &balance.Flow{Type: &d.cur.set.Types[kind], TypeNo: kind, Passed: d.cur.set.Passes, Ref: &ref{id: id}}
+func (d *Door) newFlow(id string, kind int) *balance.Flow {
+	kind = min(max(kind, 0), len(d.current.settings.Types)-1)
+	return &balance.Flow{Type: &d.current.settings.Types[kind], TypeNo: kind, Passed: d.current.settings.Passes, Ref: &flowState{id: id}}
 }
 
-// known is the group that peers call so, a new one where nobody has named it yet.
-func (n *node) known(short uint32) *balance.Group {
-	if n.told[short] == nil {
-		n.told[short] = &balance.Group{Hash: uint64(short)}
+// groupByShortHash is the group that peers call so, a new one where nobody has named it yet.
+func (n *instance) groupByShortHash(short uint32) *balance.Group {
+	if n.groupsByShortHash[short] == nil {
+		n.groupsByShortHash[short] = &balance.Group{Hash: uint64(short)}
 	}
-	return n.told[short]
+	return n.groupsByShortHash[short]
 }
 
-func (n *node) group(p []byte) *balance.Group {
+func (n *instance) groupByName(p []byte) *balance.Group {
 	if len(p) == 0 || len(p) == 1 && p[0] == '-' {
 		return nil
 	}
 	g := n.groups[string(p)]
 	if g == nil {
-		h := hash(p)
-		g = n.known(peers.Short(h))
+		h := hashOf(p)
+		g = n.groupByShortHash(peers.Short(h))
 		g.Hash, n.groups[string(p)] = h, g
 	}
 	return g
 }
 
-func (d *Door) server(p []byte) *balance.Server {
-	s := d.cur.servers[string(p)]
+func (d *Door) serverByName(p []byte) *balance.Server {
+	s := d.current.servers[string(p)]
 	if s == nil {
 		if d.line.err == nil {
 			d.line.fail("Host", fmt.Sprintf("is not on any list: %q", p))
@@ -423,91 +423,91 @@
 	return s
 }
 
-func (d *Door) outcome() balance.Outcome {
-	p := d.line.text("Disposition")
-	end, ok := outcomes[string(p)]
+func (d *Door) takeOutcome() balance.Outcome {
+	p := d.line.takeText("Disposition")
+	outcome, ok := outcomesByName[string(p)]
 	if !ok {
 		d.line.fail("Disposition", fmt.Sprintf("is no outcome: %q", p))
 	}
-	return end
+	return outcome
 }
 
-// connect takes the id and number of a connect; the flow is nil when its id has been dropped.
-func (d *Door) connect() (*balance.Flow, *balance.Server) {
+// takeConnect takes the id and number of a connect; the flow is nil when its id has been dropped.
+func (d *Door) takeConnect() (*balance.Flow, *balance.Server) {
 	l := &d.line
-	id, shot := l.text("Ref"), l.count("Shot", false)
-	f := d.cur.flows[string(id)]
+	id, index := l.takeText("Ref"), l.takeCount("Shot", false)
+	f := d.current.flows[string(id)]
 	if f == nil || l.err != nil {
 		return nil, nil
 	}
-	tries := f.Ref.(*ref).tries
-	if shot >= int64(len(tries)) {
-		l.fail("Shot", fmt.Sprintf("is %d of %d connects made", shot, len(tries)))
+	connects := f.Ref.(*flowState).connects
+	if index >= int64(len(connects)) {
+		l.fail("Shot", fmt.Sprintf("is %d of %d connects made", index, len(connects)))
 		return nil, nil
 	}
-	return f, tries[shot]
+	return f, connects[index]
 }
 
-func (d *Door) response(b *balance.Balancer) {
+func (d *Door) handleResponse(b *balance.Balancer) {
 	l := &d.line
-	f, s := d.connect()
-	l.text("Host")
-	end, took, over := d.outcome(), l.time("DelaySeenMs"), l.flag("Over")
-	busy, told := d.usage()
-	if f == nil || l.end() != nil {
+	f, s := d.takeConnect()
+	l.takeText("Host")
+	outcome, took, finished := d.takeOutcome(), l.takeMicros("DelaySeenMs"), l.takeFlag("Over")
+	load, reported := d.loadReport()
+	if f == nil || l.endOfLine() != nil {
 		return
 	}
-	if told {
-		b.Reported(s, busy, true)
+	if reported {
+		b.Reported(s, load, true)
 	}
-	r := f.Ref.(*ref)
-	r.out--
-	r.over = r.over || over
-	b.Ended(f, s, end, took, r.over)
-	if r.over && r.out == 0 {
-		delete(d.cur.flows, r.id)
+	state := f.Ref.(*flowState)
+	state.pending--
+	state.finished = state.finished || finished
+	b.Ended(f, s, outcome, took, state.finished)
+	if state.finished && state.pending == 0 {
+		delete(d.current.flows, state.id)
 	}
 }
 
-func (d *Door) announce(b *balance.Balancer) {
-	l, n := &d.line, d.cur
+func (d *Door) handleAnnounce(b *balance.Balancer) {
+	l, n := &d.line, d.current
 	kinds := []string{"changes", "all", "remembered", "refused"}
-	word := l.text("Scope")
+	word := l.takeText("Scope")
 	kind := balance.ListKind(max(slices.Index(kinds, string(word)), 0))
 	if l.err == nil && !slices.Contains(kinds, string(word)) {
 		l.fail("Scope", fmt.Sprintf("is no kind of list: %q", word))
 	}
-	l.count("Rev", true)
-	items := l.count("Records", true)
-	if l.end() != nil {
+	l.takeCount("Rev", true)
+	items := l.takeCount("Records", true)
+	if l.endOfLine() != nil {
 		return
 	}
 	b.List(kind)
 	for range items {
-		if d.err = d.next(); d.err != nil {
+		if d.err = d.nextLine(); d.err != nil {
 			return
 		}
 		if string(l.name) != "item" {
-			d.err = fmt.Errorf("line %d: %s where an item of announce is due", l.no, l.name)
+			d.err = fmt.Errorf("line %d: %s where an item of announce is due", l.number, l.name)
 			return
 		}
-		host := l.text("Host")
-		zone, _, cell := l.count("Site", false), l.count("Sku", false), l.count("Cohort", false)
+		host := l.takeText("Host")
+		zone, _, cell := l.takeCount("Site", false), l.takeCount("Sku", false), l.takeCount("Cohort", false)
 		states := []string{"up", "draining", "removed"}
-		word := l.text("Availability")
+		word := l.takeText("Availability")
 		state := balance.State(max(slices.Index(states, string(word)), 0))
 		if l.err == nil && !slices.Contains(states, string(word)) {
 			l.fail("Availability", fmt.Sprintf("is no state: %q", word))
 		}
-		size, ready := l.number("Scale"), l.time("ReadyAtMs")
-		if d.err = l.end(); d.err != nil {
+		size, ready := l.takeNumber("Scale"), l.takeMicros("ReadyAtMs")
+		if d.err = l.endOfLine(); d.err != nil {
 			return
 		}
 		s := n.servers[string(host)]
 		if s == nil {
-			s = &balance.Server{Name: string(host), Hash: hash(host)}
+			s = &balance.Server{Name: string(host), Hash: hashOf(host)}
 			n.servers[s.Name] = s
-			n.short[peers.Short(s.Hash)] = s
+			n.serversByShortHash[peers.Short(s.Hash)] = s
 		}
 		s.Zone, s.Cell = int(zone), int(cell)
 		if size <= 0 {
@@ -520,12 +520,12 @@
 
 // The Writer of the module.
 
-func (d *Door) say(name string, parts ...string) {
-	if d.said != d.at {
-		d.said = d.at
+func (d *Door) writeCall(name string, parts ...string) {
+	if d.repliedID != d.instanceID {
+		d.repliedID = d.instanceID
 		d.out.WriteString("as\t")
-		d.count(d.at)
-		d.end()
+		d.writeInt(d.instanceID)
+		d.endLine()
 	}
 	d.out.WriteString(name)
 	for _, p := range parts {
@@ -534,85 +534,85 @@
 	}
 }
 
-func (d *Door) end() { d.out.WriteByte('\n') }
+func (d *Door) endLine() { d.out.WriteByte('\n') }
 
-func (d *Door) count(n int64) {
-	d.num = strconv.AppendInt(d.num[:0], n, 10)
-	d.out.Write(d.num)
+func (d *Door) writeInt(n int64) {
+	d.digits = strconv.AppendInt(d.digits[:0], n, 10)
+	d.out.Write(d.digits)
 }
 
-// ms writes a time as milliseconds.
-func (d *Door) ms(us int64) {
-	d.num = append(d.num[:0], '\t')
-	d.num = strconv.AppendInt(d.num, us/1000, 10)
+// writeMillis writes a time as milliseconds.
+func (d *Door) writeMillis(us int64) {
+	d.digits = append(d.digits[:0], '\t')
+	d.digits = strconv.AppendInt(d.digits, us/1000, 10)
 	if rest := us % 1000; rest != 0 {
-		d.num = append(d.num, '.', byte('0'+rest/100), byte('0'+rest/10%10), byte('0'+rest%10))
+		d.digits = append(d.digits, '.', byte('0'+rest/100), byte('0'+rest/10%10), byte('0'+rest%10))
 	}
-	d.out.Write(d.num)
+	d.out.Write(d.digits)
 }
 
 func (d *Door) Connect(f *balance.Flow, s *balance.Server, timeout int64) {
-	r := f.Ref.(*ref)
-	r.tries = append(r.tries, s)
-	r.out++
-	d.say("issue", r.id, s.Name)
-	d.ms(timeout)
-	d.end()
+	state := f.Ref.(*flowState)
+	state.connects = append(state.connects, s)
+	state.pending++
+	d.writeCall("issue", state.id, s.Name)
+	d.writeMillis(timeout)
+	d.endLine()
 }
 
-func (d *Door) Reject(f *balance.Flow, wait int64) {
-	r := f.Ref.(*ref)
-	d.say("overload_reply", r.id)
-	d.ms(wait)
-	d.end()
-	d.answered(r)
+func (d *Door) Reject(f *balance.Flow, retryAfter int64) {
+	state := f.Ref.(*flowState)
+	d.writeCall("overload_reply", state.id)
+	d.writeMillis(retryAfter)
+	d.endLine()
+	d.finish(state)
 }
 
 func (d *Door) Abort(f *balance.Flow) {
-	r := f.Ref.(*ref)
-	d.say("abort", r.id)
-	d.end()
-	d.answered(r)
+	state := f.Ref.(*flowState)
+	d.writeCall("abort", state.id)
+	d.endLine()
+	d.finish(state)
 }
 
-func (d *Door) answered(r *ref) {
-	r.over = true
-	if r.out == 0 {
-		delete(d.cur.flows, r.id)
+func (d *Door) finish(state *flowState) {
+	state.finished = true
+	if state.pending == 0 {
+		delete(d.current.flows, state.id)
 	}
 }
 
 func (d *Door) Move(f *balance.Flow) {
-	r := f.Ref.(*ref)
-	r.over = true
-	d.say("transfer", r.id)
-	d.end()
+	state := f.Ref.(*flowState)
+	state.finished = true
+	d.writeCall("transfer", state.id)
+	d.endLine()
 }
 
 func (d *Door) Probe(s *balance.Server) {
-	d.say("ping", s.Name)
-	d.end()
+	d.writeCall("ping", s.Name)
+	d.endLine()
 }
 
-func (d *Door) Tell(servers []*balance.Server, homes []balance.Home) {
-	peers.Write(servers, homes, func(memo []byte) {
-		d.say("memo_to", "*", base64.StdEncoding.EncodeToString(memo))
-		d.end()
+func (d *Door) Tell(servers []*balance.Server, placements []balance.Home) {
+	peers.Write(servers, placements, func(message []byte) {
+		d.writeCall("memo_to", "*", base64.StdEncoding.EncodeToString(message))
+		d.endLine()
 	})
 }
 
 func (d *Door) Watch() {
-	d.say("tail", "1")
-	d.end()
+	d.writeCall("tail", "1")
+	d.endLine()
 }
 
 func (d *Door) Alarm(at int64) {
-	d.say("set_alarm", strconv.Itoa(alarmToken))
-	d.ms(at)
-	d.end()
+	d.writeCall("set_alarm", strconv.Itoa(alarmToken))
+	d.writeMillis(at)
+	d.endLine()
 }
 
 func (d *Door) Trace(text string) {
-	d.say("trace", text)
-	d.end()
+	d.writeCall("trace", text)
+	d.endLine()
 }
--- a/simwire/door_test.go
+++ b/simwire/door_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-const oneType = "Balancers=1\tIndex=0\tDiscovery=on_request\tLimits.MaxConnects=3\tLimits.MaxRetryAfterMs=1000.0\t" +
+const settingsFields = "Balancers=1\tIndex=0\tDiscovery=on_request\tLimits.MaxConnects=3\tLimits.MaxRetryAfterMs=1000.0\t" +
 	"Limits.Probing=false\tLimits.RetryAfter=true\tMyZone=0\tObligations.AskWithinMs=10000.0\t" +
 	"Obligations.ColdFrom=0.1\tObligations.ColdMs=20000.0\tObligations.FallMs=3000.0\t" +
 	"Obligations.FallMultiple=3.0\tServiceTypes.count=1\tServiceTypes.0.Benefit=1.0\t" +
 	"ServiceTypes.0.Effect=safe\tServiceTypes.0.SetupTargetMs=300.0\tUnheardOf=1"
 
-const begin = "mark\t1000.0\nat\t2\nconfigure\t7\t" + oneType +
+const configuredBatch = "mark\t1000.0\nat\t2\nconfigure\t7\t" + settingsFields +
 	"\nannounce\tremembered\t1\t1\nitem\t10.0.0.1:70\t0\t0\t0\tup\t1\t-\nover_to_you\n"
 
-func run(t *testing.T, in string) (string, error) {
+func runAdapter(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := New(strings.NewReader(in), &out).Run()
@@ -23,7 +23,7 @@
 }
 
 func TestWholeBatches(t *testing.T) {
-	out, err := run(t, begin+
+	out, err := runAdapter(t, configuredBatch+
 		"mark\t1004.5\nat\t2\ndemand\tt/x\t0\t0\t-\t-\t-\t-\t240.25\nexpired\tt/gone\nover_to_you\n"+
 		"mark\t1010.0\nat\t2\nestablished\tt/x\t0\t5.5\t10.0.0.1:70\n"+
 		"signal\tt/x\t0\t10.0.0.1:70\t1\t500.5\nover_to_you\n"+
@@ -40,7 +40,7 @@
 }
 
 func TestEmptyBatch(t *testing.T) {
-	if out, err := run(t, "mark\t8412.25\nover_to_you\n"); out != "finished\n" || err != nil {
+	if out, err := runAdapter(t, "mark\t8412.25\nover_to_you\n"); out != "finished\n" || err != nil {
 		t.Fatal(out, err)
 	}
 }
@@ -52,35 +52,35 @@
 		{"mark\t10\n", "line 2: the input ends within a batch"},
 		{"mark\t10\nat\t1\ntick_due\t1\nover_to_you\n", "has no settings"},
 		{"mark\t10\nat\t1\nconfigure\t1\tBalancers=0\nover_to_you\n", "line 3: configure: setting"},
-		{begin + "mark\t11\nat\t2\ndemand\tt/x\t0\t0\n", "line 9: demand: field Team is missing"},
-		{begin + "mark\t11\nat\t2\ntick_due\t1\t2\n", "line 9: tick_due: 1 parts too many"},
-		{begin + "mark\t11\nat\t2\ndemand\tt/x\t0\t4\t-\t-\t-\t-\t2\n", "field Priority is 4, out of 1"},
-		{begin + "mark\t11\nat\t2\nprobed\t9.9.9.9:1\tcompleted\t1\t-\n", "field Host is not on any list"},
-		{begin + "mark\t11\nat\t2\nnonsense\t1\n", "line 9: unknown message"},
+		{configuredBatch + "mark\t11\nat\t2\ndemand\tt/x\t0\t0\n", "line 9: demand: field Team is missing"},
+		{configuredBatch + "mark\t11\nat\t2\ntick_due\t1\t2\n", "line 9: tick_due: 1 parts too many"},
+		{configuredBatch + "mark\t11\nat\t2\ndemand\tt/x\t0\t4\t-\t-\t-\t-\t2\n", "field Priority is 4, out of 1"},
+		{configuredBatch + "mark\t11\nat\t2\nprobed\t9.9.9.9:1\tcompleted\t1\t-\n", "field Host is not on any list"},
+		{configuredBatch + "mark\t11\nat\t2\nnonsense\t1\n", "line 9: unknown message"},
 	} {
-		if _, err := run(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := runAdapter(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("got %v, want %s", err, c.want)
 		}
 	}
 }
 
 // Reports and messages that make no sense are left out, never believed, never fatal: only full hosts are told on.
-func TestReportsAndMessagesWithoutSense(t *testing.T) {
-	talking := strings.Replace(begin, "UnheardOf=1", "LoadReport.How=pull\tLoadReport.Names=waiting,x0\tLimits.Peers=true", 1)
-	for usage, told := range map[string]bool{"3,.95": true, "3,1e9": true, "3,.5": false, "3": false, "-": false, "3,-2": false, "3,NaN": false} {
-		in := talking + "mark\t1200\nat\t2\nprobed\t10.0.0.1:70\tcompleted\t1\t" + usage + "\n"
+func TestInvalidReportsAndMessagesAreIgnored(t *testing.T) {
+	peerMessages := strings.Replace(configuredBatch, "UnheardOf=1", "LoadReport.How=pull\tLoadReport.Names=waiting,x0\tLimits.Peers=true", 1)
+	for usage, published := range map[string]bool{"3,.95": true, "3,1e9": true, "3,.5": false, "3": false, "-": false, "3,-2": false, "3,NaN": false} {
+		in := peerMessages + "mark\t1200\nat\t2\nprobed\t10.0.0.1:70\tcompleted\t1\t" + usage + "\n"
 		for _, memo := range []string{"-", "!", "AQ==", "/////w==", strings.Repeat("AQEB", 100), strings.Repeat("AQEB", 4)} {
 			in += "whisper\t99\t" + memo + "\n"
 		}
-		out, err := run(t, in+"over_to_you\nmark\t3200\nat\t2\ntick_due\t1\nover_to_you\n")
-		if err != nil || strings.Contains(out, "memo_to\t*\t") != told {
+		out, err := runAdapter(t, in+"over_to_you\nmark\t3200\nat\t2\ntick_due\t1\nover_to_you\n")
+		if err != nil || strings.Contains(out, "memo_to\t*\t") != published {
 			t.Errorf("%q: %v %q", usage, err, out)
 		}
 	}
 }
 
 func TestMissingSettingIsNamed(t *testing.T) {
-	_, err := run(t, strings.Replace(begin, "Limits.MaxConnects=3\t", "", 1))
+	_, err := runAdapter(t, strings.Replace(configuredBatch, "Limits.MaxConnects=3\t", "", 1))
 	if err == nil || !strings.Contains(err.Error(), "setting Limits.MaxConnects is missing") {
 		t.Fatal(err)
 	}
--- a/simwire/parse.go
+++ b/simwire/parse.go
@@ -8,63 +8,63 @@
 
 // line is one message, cut into parts; take reads them in order.
 type line struct {
-	no    int
-	name  []byte
-	parts [][]byte
-	next  int
-	err   error
+	number int
+	name   []byte
+	fields [][]byte
+	next   int
+	err    error
 }
 
-func (l *line) cut(raw []byte) {
-	l.parts, l.next, l.err = l.parts[:0], 0, nil
+func (l *line) split(raw []byte) {
+	l.fields, l.next, l.err = l.fields[:0], 0, nil
 	for {
 		i := bytes.IndexByte(raw, '\t')
 		if i < 0 {
 			break
 		}
-		l.parts = append(l.parts, raw[:i])
+		l.fields = append(l.fields, raw[:i])
 		raw = raw[i+1:]
 	}
-	l.parts = append(l.parts, raw)
-	l.name, l.parts = l.parts[0], l.parts[1:]
+	l.fields = append(l.fields, raw)
+	l.name, l.fields = l.fields[0], l.fields[1:]
 }
 
 func (l *line) fail(field, what string) {
 	if l.err == nil {
-		l.err = fmt.Errorf("line %d: %s: field %s %s", l.no, l.name, field, what)
+		l.err = fmt.Errorf("line %d: %s: field %s %s", l.number, l.name, field, what)
 	}
 }
 
-func (l *line) take(field string) []byte {
-	if l.next >= len(l.parts) {
+func (l *line) takeAny(field string) []byte {
+	if l.next >= len(l.fields) {
 		l.fail(field, "is missing")
 		return nil
 	}
 	l.next++
-	return l.parts[l.next-1]
+	return l.fields[l.next-1]
 }
 
-// text takes a part that must be there.
-func (l *line) text(field string) []byte {
-	p := l.take(field)
+// takeText takes a part that must be there.
+func (l *line) takeText(field string) []byte {
+	p := l.takeAny(field)
 	if l.err == nil && (len(p) == 0 || len(p) == 1 && p[0] == '-') {
 		l.fail(field, "is absent")
 	}
 	return p
 }
 
-// end reports parts left over.
-func (l *line) end() error {
-	if l.err == nil && l.next < len(l.parts) {
-		l.err = fmt.Errorf("line %d: %s: %d parts too many", l.no, l.name, len(l.parts)-l.next)
+// endOfLine reports parts left over.
+func (l *line) endOfLine() error {
+	if l.err == nil && l.next < len(l.fields) {
+		l.err = fmt.Errorf("line %d: %s: %d parts too many", l.number, l.name, len(l.fields)-l.next)
 	}
 	return l.err
 }
 
-// count takes a whole number from 0; an absent one is 0 where that is allowed.
-func (l *line) count(field string, absent bool) int64 {
-	p := l.take(field)
-	if absent && len(p) == 1 && p[0] == '-' {
+// takeCount takes a whole number from 0; an absent one is 0 where that is allowed.
+func (l *line) takeCount(field string, optional bool) int64 {
+	p := l.takeAny(field)
+	if optional && len(p) == 1 && p[0] == '-' {
 		return 0
 	}
 	n, err := strconv.ParseInt(string(p), 10, 64)
@@ -74,20 +74,20 @@
 	return n
 }
 
-// index takes a whole number below most.
-func (l *line) index(field string, most int, absent bool) int {
-	n := l.count(field, absent)
-	if l.err == nil && n >= int64(most) {
-		l.fail(field, fmt.Sprintf("is %d, out of %d", n, most))
+// takeIndex takes a whole number below most.
+func (l *line) takeIndex(field string, limit int, optional bool) int {
+	n := l.takeCount(field, optional)
+	if l.err == nil && n >= int64(limit) {
+		l.fail(field, fmt.Sprintf("is %d, out of %d", n, limit))
 	}
 	return int(n)
 }
 
-func (l *line) flag(field string) bool { return l.index(field, 2, false) == 1 }
+func (l *line) takeFlag(field string) bool { return l.takeIndex(field, 2, false) == 1 }
 
-// number takes a plain number; an absent one is 0.
-func (l *line) number(field string) float64 {
-	p := l.take(field)
+// takeNumber takes a plain number; an absent one is 0.
+func (l *line) takeNumber(field string) float64 {
+	p := l.takeAny(field)
 	if len(p) == 1 && p[0] == '-' {
 		return 0
 	}
@@ -98,29 +98,29 @@
 	return n
 }
 
-// time takes milliseconds and gives whole microseconds; an absent one is 0.
-func (l *line) time(field string) int64 {
-	p := l.take(field)
+// takeMicros takes milliseconds and gives whole microseconds; an absent one is 0.
+func (l *line) takeMicros(field string) int64 {
+	p := l.takeAny(field)
 	if len(p) == 1 && p[0] == '-' {
 		return 0
 	}
-	whole, frac, digits := int64(0), int64(0), 0
+	whole, thousandths, digits := int64(0), int64(0), 0
 	i := 0
 	for ; i < len(p) && p[i] >= '0' && p[i] <= '9' && i < 15; i++ {
 		whole = whole*10 + int64(p[i]-'0')
 	}
-	plain := i > 0
+	hasDigits := i > 0
 	if i < len(p) && p[i] == '.' {
 		for i++; i < len(p) && p[i] >= '0' && p[i] <= '9' && digits < 3; i++ {
-			frac = frac*10 + int64(p[i]-'0')
+			thousandths = thousandths*10 + int64(p[i]-'0')
 			digits++
 		}
 		for ; digits < 3; digits++ {
-			frac *= 10
+			thousandths *= 10
 		}
 	}
-	if plain && i == len(p) {
-		return whole*1000 + frac
+	if hasDigits && i == len(p) {
+		return whole*1000 + thousandths
 	}
 	n, err := strconv.ParseFloat(string(p), 64)
 	if err != nil || !(n > -1e12 && n < 1e12) {
@@ -129,7 +129,7 @@
 	return int64(n*1000 + 0.5)
 }
 
-func hash(p []byte) uint64 {
+func hashOf(p []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, c := range p {
 		h = (h ^ uint64(c)) * 1099511628211
@@ -137,10 +137,10 @@
 	return h
 }
 
-// key is the hash of a flow's key, 0 where it has none.
-func key(p []byte) uint64 {
+// keyHash is the hash of a flow's key, 0 where it has none.
+func keyHash(p []byte) uint64 {
 	if len(p) == 0 || len(p) == 1 && p[0] == '-' {
 		return 0
 	}
-	return hash(p)
+	return hashOf(p)
 }
