--- a/citest/known_red_test.go
+++ b/citest/known_red_test.go
@@ -33,12 +33,12 @@
 		if err := os.WriteFile(list, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var told strings.Builder
+		var stderr strings.Builder
 		c := exec.Command("../known-red.sh", list, "..")
-		c.Stderr = &told
+		c.Stderr = &stderr
 		out, err := c.Output()
-		if got := string(out); want == "fails" && (err == nil || !strings.Contains(told.String(), "\n")) || want != "fails" && (err != nil || got != want) {
-			t.Errorf("%q: got %q, %v, told %q", text, got, err, told.String())
+		if got := string(out); want == "fails" && (err == nil || !strings.Contains(stderr.String(), "\n")) || want != "fails" && (err != nil || got != want) {
+			t.Errorf("%q: got %q, %v, told %q", text, got, err, stderr.String())
 		}
 	}
 	if out, err := exec.Command("../known-red.sh", "no such list", "..").Output(); err != nil || len(out) > 0 {
--- a/cmd/coursewinch/bench_test.go
+++ b/cmd/coursewinch/bench_test.go
@@ -56,13 +56,13 @@
 }
 
 const (
-	bulkChunk = 64 << 10
-	bulkLine  = 128
-	bulkFlows = 8
+	bulkChunkBytes = 64 << 10
+	bulkLineBytes  = 128
+	bulkFlows      = 8
 )
 
-// sink is a host that takes bulk and says a line now and then; got hears how much came.
-func sink(b *testing.B, got func(int)) net.Listener {
+// startSink is a host that takes bulk and says a line now and then; got hears how much came.
+func startSink(b *testing.B, received func(int)) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -89,7 +89,7 @@
 				for {
 					n, err := r.Read(buf)
 					if n > 0 {
-						got(n)
+						received(n)
 						if since += n; since > 1<<20 {
 							io.WriteString(c, "ok\r\n")
 							since = 0
@@ -105,19 +105,19 @@
 	return l
 }
 
-func startNode(b *testing.B, host string) (addr string) {
+func startBenchNode(b *testing.B, host string) (addr string) {
 	d := newDiscoveryFor(b, `{"rev":1,"all":true,"targets":[{"uid":"s-0","endpoint":"`+host+
 		`","az":"a","model":"m","pod_group":1,"state":"ready","capacity_hint":1.0,"boot_ms":0}]}`)
 	dir := b.TempDir()
 	path := dir + "/config.json"
-	if err := os.WriteFile(path, []byte(configText(d, d.first, 1024)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(configText(d, d.firstList, 1024)), 0o600); err != nil {
 		b.Fatal(err)
 	}
-	return startSelf(b, "COURSEWINCH_MAIN=1", "GW_CONFIG="+path)
+	return startRole(b, "COURSEWINCH_MAIN=1", "GW_CONFIG="+path)
 }
 
-// startSelf starts this binary in another role and gives the address that it listens on.
-func startSelf(b *testing.B, env ...string) string {
+// startRole starts this binary in another role and gives the address that it listens on.
+func startRole(b *testing.B, env ...string) string {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), env...)
 	out, err := c.StderrPipe()
@@ -127,7 +127,7 @@
 	if err := c.Start(); err != nil {
 		b.Fatal(err)
 	}
-	selfPid = c.Process.Pid
+	lastPID = c.Process.Pid
 	b.Cleanup(func() { c.Process.Kill(); c.Wait() })
 	r := bufio.NewReader(out)
 	for {
@@ -148,8 +148,8 @@
 	for _, who := range []string{"node", "relay"} {
 		b.Run(who, func(b *testing.B) {
 			var mu sync.Mutex
-			total, want, done := 0, bulkChunk*b.N, make(chan struct{})
-			host := sink(b, func(n int) {
+			total, want, done := 0, bulkChunkBytes*b.N, make(chan struct{})
+			host := startSink(b, func(n int) {
 				mu.Lock()
 				defer mu.Unlock()
 				if total += n; total >= want && total-n < want {
@@ -158,11 +158,11 @@
 			}).Addr().String()
 			var addr string
 			if who == "node" {
-				addr = startNode(b, host)
+				addr = startBenchNode(b, host)
 			} else {
-				addr = startSelf(b, "COURSEWINCH_RELAY="+host)
+				addr = startRole(b, "COURSEWINCH_RELAY="+host)
 			}
-			chunk := bytes.Repeat([]byte(strings.Repeat("x", bulkLine-2)+"\r\n"), bulkChunk/bulkLine)
+			chunk := bytes.Repeat([]byte(strings.Repeat("x", bulkLineBytes-2)+"\r\n"), bulkChunkBytes/bulkLineBytes)
 			var conns []net.Conn
 			for i := range bulkFlows {
 				conns = append(conns, openFlow(b, addr, i))
@@ -172,7 +172,7 @@
 				work <- struct{}{}
 			}
 			close(work)
-			b.SetBytes(bulkChunk)
+			b.SetBytes(bulkChunkBytes)
 			b.ResetTimer()
 			for _, c := range conns {
 				go io.Copy(io.Discard, c)
@@ -214,12 +214,12 @@
 func BenchmarkSetUps(b *testing.B) {
 	for _, who := range []string{"node", "relay"} {
 		b.Run(who, func(b *testing.B) {
-			host := sink(b, func(int) {}).Addr().String()
+			host := startSink(b, func(int) {}).Addr().String()
 			var addr string
 			if who == "node" {
-				addr = startNode(b, host)
+				addr = startBenchNode(b, host)
 			} else {
-				addr = startSelf(b, "COURSEWINCH_RELAY="+host)
+				addr = startRole(b, "COURSEWINCH_RELAY="+host)
 			}
 			work, refused := make(chan int, b.N), 0
 			for i := range b.N {
@@ -255,8 +255,8 @@
 	}
 }
 
-// rss is what a process has in memory, in bytes.
-func rss(b *testing.B, pid int) int {
+// residentBytes is what a process has in memory, in bytes.
+func residentBytes(b *testing.B, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		b.Skip(err)
@@ -270,18 +270,18 @@
 // BenchmarkIdleFlow measures what an established flow costs that says nothing: 450 of them, as 1,024 descriptors allow.
 func BenchmarkIdleFlow(b *testing.B) {
 	const flows = 450
-	host := sink(b, func(int) {}).Addr().String()
-	addr := startNode(b, host)
+	host := startSink(b, func(int) {}).Addr().String()
+	addr := startBenchNode(b, host)
 	var before int
 	for i := range flows + 50 {
 		if i == 50 { // the first ones warm the program up
-			before = rss(b, selfPid)
+			before = residentBytes(b, lastPID)
 		}
 		c := openFlow(b, addr, i)
 		defer c.Close()
 	}
-	b.ReportMetric(float64(rss(b, selfPid)-before)/flows, "B/flow")
+	b.ReportMetric(float64(residentBytes(b, lastPID)-before)/flows, "B/flow")
 	b.ReportMetric(0, "ns/op")
 }
 
-var selfPid int // of the process that startSelf started last
+var lastPID int // of the process that startSelf started last
--- a/cmd/coursewinch/handover.go
+++ b/cmd/coursewinch/handover.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	helloTime   = time.Second // for each message until the new process knows all
-	callTime    = 300 * time.Millisecond
-	takeTime    = 3 * time.Second // a new process joins for half of that
-	refusedTime = 4 * time.Second // another new version may be at it
-	refusedStep = 100 * time.Millisecond
-	keepsRoom   = 32 // descriptors that the old process keeps once it takes no more
+	stateTimeout         = time.Second // for each message until the new process knows all
+	connectTimeout       = 300 * time.Millisecond
+	takeoverTimeout      = 3 * time.Second // a new process joins for half of that
+	refusedRetryTime     = 4 * time.Second // another new version may be at it
+	refusedRetryInterval = 100 * time.Millisecond
+	minKeptSockets       = 32 // descriptors that the old process keeps once it takes no more
 )
 
-// succession is the link between two processes of this node, as far as it needs sockets. What it hears is carried out in
+// handoverManager is the link between two processes of this node, as far as it needs sockets. What it hears is carried out in
 // the loop.
-type succession struct {
-	path, name, listen string
-	n                  *node.Node
-	loop               *epoll.Loop
-	most               int   // sockets of this process when it is the only one
-	apart              int   // its other descriptors
-	memory             int64 // bytes of the node; 0 for no limit
-	calls              chan func()
-	l                  *handover.Listener
+type handoverManager struct {
+	socketPath, name, listen string
+	node                     *node.Node
+	loop                     *epoll.Loop
+	maxSockets               int   // sockets of this process when it is the only one
+	reservedDescriptors      int   // its other descriptors
+	memoryLimit              int64 // bytes of the node; 0 for no limit
+	posted                   chan func()
+	listener                 *handover.Listener
 }
 
-// do runs something in the loop and waits for it.
-func (s *succession) do(f func()) {
+// runInLoop runs something in the loop and waits for it.
+func (s *handoverManager) runInLoop(f func()) {
 	done := make(chan bool)
 	s.post(func() {
 		defer close(done)
@@ -48,16 +48,16 @@
 	<-done
 }
 
-func (s *succession) post(f func()) {
-	s.calls <- f
+func (s *handoverManager) post(f func()) {
+	s.posted <- f
 	s.loop.Wake()
 }
 
-// woken carries out what was posted, within a turn.
-func (s *succession) woken() {
+// runPosted carries out what was posted, within a turn.
+func (s *handoverManager) runPosted() {
 	for {
 		select {
-		case f := <-s.calls:
+		case f := <-s.posted:
 			f()
 		default:
 			return
@@ -65,39 +65,39 @@
 	}
 }
 
-// share sets the memory for one process of so many.
-func (s *succession) share(processes int64) {
-	if s.memory > 0 {
-		debug.SetMemoryLimit(s.memory * 3 / 4 / processes)
+// setMemoryShare sets the memory for one process of so many.
+func (s *handoverManager) setMemoryShare(processes int64) {
+	if s.memoryLimit > 0 {
+		debug.SetMemoryLimit(s.memoryLimit * 3 / 4 / processes)
 	}
 }
 
-// own takes the socket's name, where the next new version calls.
-func (s *succession) own() {
-	if s.l != nil {
-		s.l.Close()
+// listenForSuccessor takes the socket's name, where the next new version calls.
+func (s *handoverManager) listenForSuccessor() {
+	if s.listener != nil {
+		s.listener.Close()
 	}
-	l, err := handover.Listen(s.path)
+	l, err := handover.Listen(s.socketPath)
 	if err != nil {
 		log.Printf("msg=handover_off why=%q", err)
 		return
 	}
-	s.l = l
+	s.listener = l
 	go func() {
 		for {
 			link, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go s.serve(link)
+			go s.serveSuccessor(link)
 		}
 	}()
 }
 
 // other is the other process behind its link.
 type other struct {
-	s    *succession
-	link *handover.Link
+	manager *handoverManager
+	link    *handover.Link
 }
 
 func (o *other) Tell(m *handover.Message) { o.link.Send(m) }
@@ -105,7 +105,7 @@
 func (o *other) Give(m *handover.Message, conns ...uint64) bool {
 	fds := make([]int, len(conns))
 	for i, id := range conns {
-		if fds[i] = o.s.loop.FD(id); fds[i] < 0 {
+		if fds[i] = o.manager.loop.FD(id); fds[i] < 0 {
 			return false
 		}
 	}
@@ -113,36 +113,36 @@
 		return false
 	}
 	for _, id := range conns {
-		o.s.loop.Unregister(id)
+		o.manager.loop.Unregister(id)
 	}
-	o.s.loop.SetMaxSockets(o.s.loop.MaxSockets() - len(fds)) // the right to hold them goes along
+	o.manager.loop.SetMaxSockets(o.manager.loop.MaxSockets() - len(fds)) // the right to hold them goes along
 	return true
 }
 
 // Take is called in the new process once it takes connections.
 func (o *other) Take() {
-	o.s.loop.SetAccepting(true)
+	o.manager.loop.SetAccepting(true)
 	o.Tell(&handover.Message{Take: true})
-	o.s.own()
+	o.manager.listenForSuccessor()
 }
 
-// serve tells a new process what this one knows and hears it until either ends.
-func (s *succession) serve(link *handover.Link) {
+// serveSuccessor tells a new process what this one knows and hears it until either ends.
+func (s *handoverManager) serveSuccessor(link *handover.Link) {
 	defer link.Close()
-	link.Within(helloTime)
+	link.Within(stateTimeout)
 	m, _, err := link.Receive()
 	if err != nil || m.Hello == nil || m.Hello.Name != s.name || m.Hello.Listen != s.listen {
 		return
 	}
-	o := &other{s, link}
+	successor := &other{s, link}
 	var state *handover.State
 	ok := false
-	s.do(func() {
-		if state, ok = s.n.Heir(o); ok {
-			give := s.loop.Room() * 3 / 4
-			s.loop.SetMaxSockets(s.loop.MaxSockets() - give)
-			state.Room = max(give-s.apart, keepsRoom)
-			s.share(2)
+	s.runInLoop(func() {
+		if state, ok = s.node.Heir(successor); ok {
+			givenRoom := s.loop.Room() * 3 / 4
+			s.loop.SetMaxSockets(s.loop.MaxSockets() - givenRoom)
+			state.Room = max(givenRoom-s.reservedDescriptors, minKeptSockets)
+			s.setMemoryShare(2)
 		}
 	})
 	if !ok {
@@ -150,11 +150,11 @@
 		return
 	}
 	defer s.post(func() {
-		s.loop.SetMaxSockets(s.most)
-		s.share(1)
-		if s.n.OtherGone() {
+		s.loop.SetMaxSockets(s.maxSockets)
+		s.setMemoryShare(1)
+		if s.node.OtherGone() {
 			s.loop.SetAccepting(true)
-			s.own()
+			s.listenForSuccessor()
 		}
 	})
 	parts, err := state.Parts()
@@ -172,8 +172,8 @@
 			return
 		}
 	}
-	s.post(s.n.HeirKnows)
-	link.Within(takeTime) // guards this process, which has given room away, against one that hangs
+	s.post(s.node.HeirKnows)
+	link.Within(takeoverTimeout) // guards this process, which has given room away, against one that hangs
 	for {
 		m, fds, err := link.Receive()
 		if err != nil {
@@ -188,12 +188,12 @@
 			link.Within(0)
 			s.post(func() {
 				s.loop.SetAccepting(false)
-				room := max(s.loop.Room()-keepsRoom, 0)
+				room := max(s.loop.Room()-minKeptSockets, 0)
 				s.loop.SetMaxSockets(s.loop.MaxSockets() - room)
-				o.Tell(&handover.Message{Yield: &handover.Yield{Room: room, IDs: s.n.Yield()}})
+				successor.Tell(&handover.Message{Yield: &handover.Yield{Room: room, IDs: s.node.Yield()}})
 			})
 		case m.Drains != nil:
-			s.post(func() { s.n.HearDrains(m.Drains) })
+			s.post(func() { s.node.HearDrains(m.Drains) })
 		}
 	}
 }
@@ -206,30 +206,30 @@
 
 var errRefused = errors.New("refused")
 
-// call asks the process that runs for what it knows and its listener.
-func (s *succession) call() (*handover.Link, *handover.State, int, error) {
-	for from := time.Now(); ; time.Sleep(refusedStep) {
-		link, err := handover.Dial(s.path, callTime)
+// callPredecessor asks the process that runs for what it knows and its listener.
+func (s *handoverManager) callPredecessor() (*handover.Link, *handover.State, int, error) {
+	for from := time.Now(); ; time.Sleep(refusedRetryInterval) {
+		link, err := handover.Dial(s.socketPath, connectTimeout)
 		if err != nil {
 			return nil, nil, -1, err
 		}
-		state, fd, err := s.ask(link)
+		state, fd, err := s.requestState(link)
 		if err == nil {
 			return link, state, fd, nil
 		}
 		link.Close()
-		if !errors.Is(err, errRefused) || time.Since(from) > refusedTime {
+		if !errors.Is(err, errRefused) || time.Since(from) > refusedRetryTime {
 			return nil, nil, -1, err
 		}
 	}
 }
 
-func (s *succession) ask(link *handover.Link) (*handover.State, int, error) {
-	link.Within(helloTime)
+func (s *handoverManager) requestState(link *handover.Link) (*handover.State, int, error) {
+	link.Within(stateTimeout)
 	if err := link.SendWait(&handover.Message{Hello: &handover.Hello{Name: s.name, Listen: s.listen}}); err != nil {
 		return nil, -1, err
 	}
-	var parts handover.Assembly
+	var assembler handover.Assembly
 	for {
 		m, fds, err := link.Receive()
 		switch {
@@ -241,7 +241,7 @@
 			closeAll(fds)
 			return nil, -1, errors.New("no state came")
 		}
-		state, err := parts.Add(m.State)
+		state, err := assembler.Add(m.State)
 		if err != nil {
 			closeAll(fds)
 			return nil, -1, err
@@ -253,12 +253,12 @@
 	}
 }
 
-// inherit tells the node what came, and hears the old process until it ends.
-func (s *succession) inherit(link *handover.Link, state *handover.State) {
-	o := &other{s, link}
+// inheritFrom tells the node what came, and hears the old process until it ends.
+func (s *handoverManager) inheritFrom(link *handover.Link, state *handover.State) {
+	predecessor := &other{s, link}
 	s.loop.SetMaxSockets(state.Room)
-	s.share(2)
-	s.n.Inherit(o, state)
+	s.setMemoryShare(2)
+	s.node.Inherit(predecessor, state)
 	go func() {
 		defer link.Close()
 		for {
@@ -266,59 +266,59 @@
 			if err != nil {
 				break
 			}
-			s.post(func() { s.heard(m, fds) })
+			s.post(func() { s.handleMessage(m, fds) })
 		}
 		s.post(func() {
-			s.loop.SetMaxSockets(s.most)
-			s.share(1)
-			if s.n.OtherGone() {
+			s.loop.SetMaxSockets(s.maxSockets)
+			s.setMemoryShare(1)
+			if s.node.OtherGone() {
 				s.loop.SetAccepting(true)
-				s.own()
+				s.listenForSuccessor()
 			}
 		})
 	}()
 }
 
-func (s *succession) heard(m *handover.Message, fds []int) {
+func (s *handoverManager) handleMessage(m *handover.Message, fds []int) {
 	s.loop.SetMaxSockets(s.loop.MaxSockets() + len(fds))
 	switch {
 	case m.Yield != nil:
 		s.loop.SetMaxSockets(s.loop.MaxSockets() + m.Yield.Room)
-		s.n.TakeIDs(m.Yield.IDs)
+		s.node.TakeIDs(m.Yield.IDs)
 	case m.Leave:
-		s.n.OldLeaves()
+		s.node.OldLeaves()
 	case m.Drains != nil:
-		s.n.HearDrains(m.Drains)
+		s.node.HearDrains(m.Drains)
 	case m.Client != nil:
-		s.put(s.n.TakeClient(m.Client, epoll.PeerAddress(fds[0])), fds[0])
+		s.addAdopted(s.node.TakeClient(m.Client, epoll.PeerAddress(fds[0])), fds[0])
 	case m.Flow != nil:
-		client, link := s.n.TakeFlow(m.Flow, epoll.PeerAddress(fds[0]))
+		client, link := s.node.TakeFlow(m.Flow, epoll.PeerAddress(fds[0]))
 		s.loop.AddConnected(client.ID, fds[0], client.In, client.Out)
 		s.loop.AddConnected(link.ID, fds[1], link.In, link.Out)
-		s.n.Resumed(client.ID)
+		s.node.Resumed(client.ID)
 	default:
 		closeAll(fds)
 	}
 }
 
-func (s *succession) put(a node.Adopted, fd int) {
-	s.loop.AddConnected(a.ID, fd, a.In, a.Out)
-	s.n.Resumed(a.ID)
+func (s *handoverManager) addAdopted(adopted node.Adopted, fd int) {
+	s.loop.AddConnected(adopted.ID, fd, adopted.In, adopted.Out)
+	s.node.Resumed(adopted.ID)
 }
 
-// begin opens the clients' listener: the one of the process that runs, if it hands it over, else one of its own.
-func (s *succession) begin() (netip.AddrPort, error) {
+// openListener opens the clients' listener: the one of the process that runs, if it hands it over, else one of its own.
+func (s *handoverManager) openListener() (netip.AddrPort, error) {
 	folder := os.Getenv("TMPDIR")
 	if folder == "" {
 		log.Print(`msg=handover_off why="TMPDIR is not set"`)
 		return s.loop.Listen(s.listen, true)
 	}
-	s.path = handover.Path(folder, s.name, s.listen)
-	link, state, fd, err := s.call()
+	s.socketPath = handover.Path(folder, s.name, s.listen)
+	link, state, fd, err := s.callPredecessor()
 	if err == nil {
 		at := netip.AddrPort{}
 		if at, err = s.loop.AdoptListener(fd); err == nil {
-			s.inherit(link, state)
+			s.inheritFrom(link, state)
 			return at, nil
 		}
 		link.Close()
@@ -329,7 +329,7 @@
 	}
 	at, err := s.loop.Listen(s.listen, true)
 	if err == nil {
-		s.own()
+		s.listenForSuccessor()
 	}
 	return at, err
 }
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -33,21 +33,21 @@
 	"coursewinch/settings"
 )
 
-// held are the descriptors besides sockets: standard ones, the poll, the waker, the runtime's own, and the listener.
-const held = 16
+// ownDescriptors are the descriptors besides sockets: standard ones, the poll, the waker, the runtime's own, and the listener.
+const ownDescriptors = 16
 
-// heldForCalls are those for operators: their listener and places, and what handing over to another process takes.
-const heldForCalls = node.CallPlaces + 8
+// operatorDescriptors are those for operators: their listener and places, and what handing over to another process takes.
+const operatorDescriptors = node.CallPlaces + 8
 
-const shortWait = 1000 // microseconds, while something is measured: what a wait takes longer, the node was late
+const measuringWait = 1000 // microseconds, while something is measured: what a wait takes longer, the node was late
 
-const rebindEvery = 100_000 // microseconds, while the process before has the address for links
+const rebindInterval = 100_000 // microseconds, while the process before has the address for links
 
-const turnAway = 100_000 // microseconds, at the end of the process, for those who were turned away to hear it
+const refusalTimeout = 100_000 // microseconds, at the end of the process, for those who were turned away to hear it
 
-const mostPeers = 4096 // each is told in a send of its own; guards against a file without sense
+const maxPeers = 4096 // each is told in a send of its own; guards against a file without sense
 
-const captureMB = 64 // that a capture holds at most, where the file doesn't say
+const defaultCaptureMB = 64 // that a capture holds at most, where the file doesn't say
 
 type config struct {
 	Name      string
@@ -90,15 +90,15 @@
 	Known    json.RawMessage
 	Settings json.RawMessage
 
-	peers []netip.AddrPort
-	links []netip.AddrPort  // of the cluster
-	kept  []node.FleetLimit // by the whole of it
-	set   *settings.Settings
-	known discovery.List
-	seed  int64
+	peerAddresses    []netip.AddrPort
+	clusterAddresses []netip.AddrPort  // of the cluster
+	fleetLimits      []node.FleetLimit // by the whole of it
+	parsedSettings   *settings.Settings
+	knownList        discovery.List
+	seedValue        int64
 }
 
-func read(path string) (*config, error) {
+func readConfig(path string) (*config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -124,23 +124,23 @@
 			return nil, fmt.Errorf("admin %s is where clients connect", c.Admin)
 		}
 	}
-	least := 2 * held
+	minSockets := 2 * ownDescriptors
 	if c.Admin != "" {
-		least += heldForCalls
+		minSockets += operatorDescriptors
 	}
-	if c.Limits.Memory < 0 || c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets < least {
+	if c.Limits.Memory < 0 || c.Limits.Sockets < 0 || c.Limits.Sockets > 0 && c.Limits.Sockets < minSockets {
 		return nil, fmt.Errorf("limits of %d MB and %d sockets can't be kept", c.Limits.Memory, c.Limits.Sockets)
 	}
 	if h := c.Holding; min(h.Hosts, h.Groups, h.IDs, h.Buffers) < 0 || min(h.IdleMs, h.StalledMs) < 0 {
 		return nil, fmt.Errorf("holding %+v: nothing under 0", h)
 	}
 	if c.Capture.MB < 0 || c.Capture.MB > 1<<20 {
-		return nil, fmt.Errorf("capture of %d MB: 0 (for %d) to %d", c.Capture.MB, captureMB, 1<<20)
+		return nil, fmt.Errorf("capture of %d MB: 0 (for %d) to %d", c.Capture.MB, defaultCaptureMB, 1<<20)
 	}
 	if a := c.Admission; a.PerAddress < 0 || a.Rate < 0 || a.Burst < 0 || a.Reserve < 0 || a.Reserve > max(c.Limits.Sockets, 1024)/2 {
 		return nil, fmt.Errorf("admission %+v: nothing under 0, and no more than half of the sockets in reserve", a)
 	}
-	if c.set, err = settings.JSON(c.Settings); err != nil {
+	if c.parsedSettings, err = settings.JSON(c.Settings); err != nil {
 		return nil, err
 	}
 	if err := c.checkPeers(); err != nil {
@@ -154,10 +154,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("seed %q is no hexadecimal number", c.Seed)
 		}
-		c.seed = int64(seed)
+		c.seedValue = int64(seed)
 	}
 	if len(c.Known) > 0 && string(c.Known) != "null" {
-		if c.known, err = discovery.ParseList(c.Known); err != nil {
+		if c.knownList, err = discovery.ParseList(c.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -169,18 +169,18 @@
 	if c.Peers.Listen == "" && len(c.Peers.Nodes) == 0 {
 		return nil
 	}
-	if !c.set.Peers {
+	if !c.parsedSettings.Peers {
 		return errors.New("the settings allow no messages between nodes")
 	}
-	if c.Peers.Listen == "" || len(c.Peers.Nodes) == 0 || len(c.Peers.Nodes) > mostPeers {
-		return fmt.Errorf("an address to listen at and 1 to %d nodes are wanted", mostPeers)
+	if c.Peers.Listen == "" || len(c.Peers.Nodes) == 0 || len(c.Peers.Nodes) > maxPeers {
+		return fmt.Errorf("an address to listen at and 1 to %d nodes are wanted", maxPeers)
 	}
-	c.peers, err = addresses(c.Peers.Listen, c.Peers.Nodes)
+	c.peerAddresses, err = parseAddresses(c.Peers.Listen, c.Peers.Nodes)
 	return err
 }
 
-// addresses reads where this node hears others and where it reaches them.
-func addresses(listen string, nodes []string) (all []netip.AddrPort, err error) {
+// parseAddresses reads where this node hears others and where it reaches them.
+func parseAddresses(listen string, nodes []string) (all []netip.AddrPort, err error) {
 	if _, err := netip.ParseAddrPort(listen); err != nil {
 		return nil, err
 	}
@@ -208,84 +208,84 @@
 		return errors.New("addresses are given, and it is not on")
 	case !k.On || k.Listen == "" && len(k.Nodes) == 0:
 		return nil
-	case k.Listen == "" || len(k.Nodes) == 0 || len(k.Nodes) > mostPeers:
-		return fmt.Errorf("an address to listen at and 1 to %d nodes are wanted", mostPeers)
-	case len(c.peers) > 0:
+	case k.Listen == "" || len(k.Nodes) == 0 || len(k.Nodes) > maxPeers:
+		return fmt.Errorf("an address to listen at and 1 to %d nodes are wanted", maxPeers)
+	case len(c.peerAddresses) > 0:
 		return errors.New("peers are given as well; one of the two")
 	case c.Name == "":
 		return errors.New("a node of a fleet wants a name")
 	}
-	c.links, err = addresses(k.Listen, k.Nodes)
+	c.clusterAddresses, err = parseAddresses(k.Listen, k.Nodes)
 	return err
 }
 
 // checkLimits reads what the whole fleet is to keep.
 func (c *config) checkLimits() error {
-	for i, l := range c.Cluster.Limits {
-		strict := l.Promise == "strict"
-		kept := node.FleetLimit{Over: l.Over, Of: l.Of, Rate: limits.Limit{Rate: l.Rate, Burst: l.Burst, Strict: strict},
-			AtOnce: permits.Limit{Most: l.AtOnce, Strict: strict}}
+	for i, entry := range c.Cluster.Limits {
+		strict := entry.Promise == "strict"
+		limit := node.FleetLimit{Over: entry.Over, Of: entry.Of, Rate: limits.Limit{Rate: entry.Rate, Burst: entry.Burst, Strict: strict},
+			AtOnce: permits.Limit{Most: entry.AtOnce, Strict: strict}}
 		switch {
 		case !c.Cluster.On:
 			return errors.New("limits are given, and it is not on")
-		case !strict && l.Promise != "available":
-			return fmt.Errorf("limit %d promises %q: \"strict\" or \"available\"", i, l.Promise)
-		case slices.ContainsFunc(c.kept, kept.Same):
+		case !strict && entry.Promise != "available":
+			return fmt.Errorf("limit %d promises %q: \"strict\" or \"available\"", i, entry.Promise)
+		case slices.ContainsFunc(c.fleetLimits, limit.Same):
 			return fmt.Errorf("limit %d is a second one for one thing", i)
 		}
-		if err := kept.Check(len(c.Cluster.Nodes) + 1); err != nil {
+		if err := limit.Check(len(c.Cluster.Nodes) + 1); err != nil {
 			return fmt.Errorf("limit %d: %w", i, err)
 		}
-		c.kept = append(c.kept, kept)
+		c.fleetLimits = append(c.fleetLimits, limit)
 	}
 	return nil
 }
 
-// reload reads the file anew and gives the config that holds from now on. Guards a node in service against a file that
+// reloadConfig reads the file anew and gives the config that holds from now on. Guards a node in service against a file that
 // can't be used. Only discovery changes while it runs; of the rest it says what waits for the next start.
-func reload(path string, old *config, n *node.Node) *config {
-	c, err := read(path)
+func reloadConfig(path string, old *config, n *node.Node) *config {
+	c, err := readConfig(path)
 	if err != nil {
 		log.Printf("msg=config_kept why=%q", err)
 		return old
 	}
-	later := ""
+	nextStart := ""
 	for _, part := range []struct {
 		name string
 		same bool
 	}{{"name", c.Name == old.Name}, {"capture", c.Capture == old.Capture}, {"admission", c.Admission == old.Admission}, {"holding", c.Holding == old.Holding},
 		{"listen", c.Listen == old.Listen}, {"admin", c.Admin == old.Admin}, {"limits", c.Limits == old.Limits},
-		{"peers", slices.Equal(c.peers, old.peers) && c.Peers.Listen == old.Peers.Listen},
-		{"cluster", c.Cluster.On == old.Cluster.On && c.Cluster.Listen == old.Cluster.Listen && slices.Equal(c.links, old.links) && n.SetLimits(c.kept)},
+		{"peers", slices.Equal(c.peerAddresses, old.peerAddresses) && c.Peers.Listen == old.Peers.Listen},
+		{"cluster", c.Cluster.On == old.Cluster.On && c.Cluster.Listen == old.Cluster.Listen && slices.Equal(c.clusterAddresses, old.clusterAddresses) && n.SetLimits(c.fleetLimits)},
 		{"settings", bytes.Equal(c.Settings, old.Settings)}} {
 		if !part.same {
-			later += part.name + ","
+			nextStart += part.name + ","
 		}
 	}
-	log.Printf("msg=config_read discovery=%s next_start=%q", c.Discovery, strings.TrimSuffix(later, ","))
+	log.Printf("msg=config_read discovery=%s next_start=%q", c.Discovery, strings.TrimSuffix(nextStart, ","))
 	c.Listen, c.Admin, c.Limits, c.Settings = old.Listen, old.Admin, old.Limits, old.Settings
-	c.Peers, c.peers = old.Peers, old.peers
-	c.Cluster, c.links = old.Cluster, old.links
-	c.Name, c.Capture, c.Admission, c.Holding, c.set = old.Name, old.Capture, old.Admission, old.Holding, old.set // what runs goes by these still
+	c.Peers, c.peerAddresses = old.Peers, old.peerAddresses
+	c.Cluster, c.clusterAddresses = old.Cluster, old.clusterAddresses
+	c.Name, c.Capture, c.Admission, c.Holding, c.parsedSettings = old.Name, old.Capture, old.Admission, old.Holding, old.parsedSettings // what runs goes by these still
 	n.Follow(c.Discovery)
 	return c
 }
 
-// process draws what tells this process from all others.
-func process() uint64 {
+// randomProcessID draws what tells this process from all others.
+func randomProcessID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// door passes what the sockets bring on to the node, which is made after them.
-type door struct{ *node.Node }
+// nodeHandler passes what the sockets bring on to the node, which is made after them.
+type nodeHandler struct{ *node.Node }
 
 func run() error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	path := os.Getenv("GW_CONFIG")
-	c, err := read(path)
+	c, err := readConfig(path)
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -297,49 +297,49 @@
 		most = 1024
 	}
 	var stop, say, again atomic.Bool
-	d := &door{}
-	s := &succession{name: c.Name, listen: c.Listen, memory: c.Limits.Memory << 20, calls: make(chan func(), 64)}
-	apart := held
+	d := &nodeHandler{}
+	s := &handoverManager{name: c.Name, listen: c.Listen, memoryLimit: c.Limits.Memory << 20, posted: make(chan func(), 64)}
+	apart := ownDescriptors
 	if c.Admin != "" {
-		apart += heldForCalls
+		apart += operatorDescriptors
 	}
-	if len(c.peers)+len(c.links) > 0 {
+	if len(c.peerAddresses)+len(c.clusterAddresses) > 0 {
 		apart++
 	}
 	loop, err := epoll.New(most-apart, d, func() {
 		if stop.Load() {
 			d.Stop()
 		}
-		s.woken()
+		s.runPosted()
 		if say.Swap(false) {
 			log.Printf("msg=counters %s", d.CountersText())
 			log.Printf("msg=holdings %s", d.HoldingsText())
 		}
 		if again.Swap(false) {
-			c = reload(path, c, d.Node)
+			c = reloadConfig(path, c, d.Node)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	conf := node.Config{Discovery: c.Discovery, Seed: c.seed, Admission: admission.Limits{PerAddress: c.Admission.PerAddress,
+	conf := node.Config{Discovery: c.Discovery, Seed: c.seedValue, Admission: admission.Limits{PerAddress: c.Admission.PerAddress,
 		Rate: c.Admission.Rate, Burst: c.Admission.Burst, Reserve: c.Admission.Reserve}, Limits: node.Limits{Wide: int(c.Limits.Memory << 20 / 16 / lines.WideSize), // a sixteenth
 		Hosts: c.Holding.Hosts, Groups: c.Holding.Groups, IDs: c.Holding.IDs,
 		Buffers: c.Holding.Buffers, Idle: c.Holding.IdleMs * 1000, Stalled: c.Holding.StalledMs * 1000}}
-	if len(c.peers) > 0 {
+	if len(c.peerAddresses) > 0 {
 		conf.Tell = func(p []byte) {
-			for _, at := range c.peers {
+			for _, at := range c.peerAddresses {
 				loop.SendDatagram(at, p)
 			}
 		}
 	}
 	if c.Cluster.On {
-		conf.Cluster = node.Cluster{On: true, Name: c.Name, Process: process(), Others: len(c.links), Limits: c.kept,
-			Send: func(to int, p []byte) { loop.SendDatagram(c.links[to], p) }}
+		conf.Cluster = node.Cluster{On: true, Name: c.Name, Process: randomProcessID(), Others: len(c.clusterAddresses), Limits: c.fleetLimits,
+			Send: func(to int, p []byte) { loop.SendDatagram(c.clusterAddresses[to], p) }}
 	}
 	if c.Capture.File != "" {
-		w, err := capture.Create(c.Capture.File, cmp.Or(c.Capture.MB, captureMB)<<20,
-			capture.Start{Node: c.Name, Zone: c.set.Zone, At: time.Now().UnixMicro()})
+		w, err := capture.Create(c.Capture.File, cmp.Or(c.Capture.MB, defaultCaptureMB)<<20,
+			capture.Start{Node: c.Name, Zone: c.parsedSettings.Zone, At: time.Now().UnixMicro()})
 		if err != nil {
 			return fmt.Errorf("capture: %w", err)
 		}
@@ -349,7 +349,7 @@
 		}()
 		conf.Capture = w
 	}
-	d.Node = node.New(c.set, conf, loop)
+	d.Node = node.New(c.parsedSettings, conf, loop)
 	go func() {
 		for s := range signals {
 			switch s {
@@ -366,7 +366,7 @@
 	start := time.Now()
 	base := start.UnixMicro() // the wall clock, so that hosts' start times need no turning
 	clock := func() int64 { return base + time.Since(start).Microseconds() }
-	s.n, s.loop, s.most, s.apart = d.Node, loop, loop.MaxSockets(), apart
+	s.node, s.loop, s.maxSockets, s.reservedDescriptors = d.Node, loop, loop.MaxSockets(), apart
 	admin, at := "off", netip.AddrPort{}
 	if c.Admin != "" {
 		bound, err := loop.ListenAdmin(c.Admin)
@@ -378,16 +378,16 @@
 	if c.Admin == "" {
 		at, err = loop.Listen(c.Listen, false)
 	} else {
-		at, err = s.begin()
+		at, err = s.openListener()
 	}
 	if err != nil {
 		return err
 	}
 	heard := "off"
-	if len(c.peers) > 0 {
+	if len(c.peerAddresses) > 0 {
 		// Guards against datagrams of others: an address that the file doesn't name is not heard.
 		bound, err := loop.ListenDatagrams(c.Peers.Listen, false, func(from netip.AddrPort, p []byte) {
-			if slices.Contains(c.peers, from) {
+			if slices.Contains(c.peerAddresses, from) {
 				d.Heard(p)
 			}
 		})
@@ -401,11 +401,11 @@
 	// version waits for the old one to give it up.
 	var retry int64
 	listen := func() error {
-		bound, err := loop.ListenDatagrams(c.Cluster.Listen, len(c.kept) > 0, func(from netip.AddrPort, p []byte) {
-			d.HeardFrom(slices.Index(c.links, from), p)
+		bound, err := loop.ListenDatagrams(c.Cluster.Listen, len(c.fleetLimits) > 0, func(from netip.AddrPort, p []byte) {
+			d.HeardFrom(slices.Index(c.clusterAddresses, from), p)
 		})
 		if errors.Is(err, epoll.ErrAddressTaken) && c.Admin != "" {
-			cluster, retry = "waiting", clock()+rebindEvery
+			cluster, retry = "waiting", clock()+rebindInterval
 			return nil
 		}
 		if retry != 0 && err == nil {
@@ -414,22 +414,22 @@
 		cluster, retry = bound.String(), 0
 		return err
 	}
-	if len(c.links) > 0 {
+	if len(c.clusterAddresses) > 0 {
 		if err := listen(); err != nil {
 			return err
 		}
 	}
-	d.Begin(clock(), c.known)
+	d.Begin(clock(), c.knownList)
 	log.Printf("msg=started name=%s listen=%s discovery=%s hosts=%d sockets=%d peers=%s cluster=%s admin=%s", c.Name, at, c.Discovery,
-		len(c.known.Entries), most, heard, cluster, admin)
+		len(c.knownList.Entries), most, heard, cluster, admin)
 	var lag epoll.Lag
 	for !d.Done() {
 		asleep, wait := clock(), int64(-1)
 		if next, ok := d.Next(); ok {
 			wait = max(next-asleep, 0)
 		}
-		if d.Measuring() && (wait < 0 || wait > shortWait) {
-			wait = shortWait
+		if d.Measuring() && (wait < 0 || wait > measuringWait) {
+			wait = measuringWait
 		}
 		if err := loop.Wait(wait); err != nil {
 			return fmt.Errorf("epoll: %w", err)
@@ -440,14 +440,14 @@
 				return err
 			}
 		}
-		if len(c.kept) > 0 && d.Yielded() {
+		if len(c.fleetLimits) > 0 && d.Yielded() {
 			loop.CloseDatagrams()
 		}
 		d.Late(lag.WaitEnded(asleep, now, wait, loop.EventsFull()))
 		d.Turn(now, loop.Dispatch)
 	}
 	if !d.HandedOver() {
-		loop.RefuseQueued(turnAway)
+		loop.RefuseQueued(refusalTimeout)
 	}
 	log.Printf("msg=stopped %s", d.CountersText())
 	return nil
--- a/cmd/coursewinch/main_test.go
+++ b/cmd/coursewinch/main_test.go
@@ -32,26 +32,26 @@
 	os.Exit(m.Run())
 }
 
-const patience = 20 * time.Second // for what must come; nothing waits this long when all is well
+const testTimeout = 20 * time.Second // for what must come; nothing waits this long when all is well
 
-// standHost is a stand-in for a host: it answers as its protocol page says, or with what say gives for an OPEN line.
-type standHost struct {
-	l     net.Listener
-	opens chan string
-	conns chan net.Conn
-	say   string
+// fakeHost is a stand-in for a host: it answers as its protocol page says, or with what say gives for an OPEN line.
+type fakeHost struct {
+	listener net.Listener
+	opens    chan string
+	conns    chan net.Conn
+	answer   string
 }
 
-func newHost(t *testing.T, say string) *standHost {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newHost(t *testing.T, answer string) *fakeHost {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &standHost{l: l, opens: make(chan string, 64), conns: make(chan net.Conn, 64), say: say}
-	t.Cleanup(func() { l.Close() })
+	h := &fakeHost{listener: listener, opens: make(chan string, 64), conns: make(chan net.Conn, 64), answer: answer}
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -61,7 +61,7 @@
 	return h
 }
 
-func (h *standHost) serve(c net.Conn) {
+func (h *fakeHost) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -78,40 +78,42 @@
 				h.conns <- c
 			default: // of a crowd nobody reads
 			}
-			io.WriteString(c, h.say)
+			io.WriteString(c, h.answer)
 		default:
 			io.WriteString(c, line)
 		}
 	}
 }
 
-// standDiscovery is a stand-in for discovery: every watch gets the whole list, then what is sent to lists.
-type standDiscovery struct {
-	addr  string
-	asked chan string
-	first string
-	lists chan string // "" ends the watch
+// fakeDiscovery is a stand-in for discovery: every watch gets the whole list, then what is sent to lists.
+type fakeDiscovery struct {
+	addr      string
+	queries   chan string
+	firstList string
+	lists     chan string // "" ends the watch
 }
 
-func newDiscovery(t *testing.T, first string) *standDiscovery { return newDiscoveryFor(t, first) }
+func newDiscovery(t *testing.T, firstList string) *fakeDiscovery {
+	return newDiscoveryFor(t, firstList)
+}
 
-func newDiscoveryFor(t testing.TB, first string) *standDiscovery {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newDiscoveryFor(t testing.TB, firstList string) *fakeDiscovery {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &standDiscovery{addr: l.Addr().String(), asked: make(chan string, 64), first: first, lists: make(chan string)}
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.asked <- r.URL.RawQuery
-		io.WriteString(w, d.first+"\n")
+	d := &fakeDiscovery{addr: listener.Addr().String(), queries: make(chan string, 64), firstList: firstList, lists: make(chan string)}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d.queries <- r.URL.RawQuery
+		io.WriteString(w, d.firstList+"\n")
 		w.(http.Flusher).Flush()
 		for {
 			select {
-			case l := <-d.lists:
-				if l == "" {
+			case listener := <-d.lists:
+				if listener == "" {
 					return
 				}
-				io.WriteString(w, l+"\n")
+				io.WriteString(w, listener+"\n")
 			case <-time.After(500 * time.Millisecond):
 				io.WriteString(w, "\n")
 			case <-r.Context().Done():
@@ -120,21 +122,21 @@
 			w.(http.Flusher).Flush()
 		}
 	})}
-	go s.Serve(l)
-	t.Cleanup(func() { s.Close() })
+	go server.Serve(listener)
+	t.Cleanup(func() { server.Close() })
 	return d
 }
 
-func list(rev int, state string, hosts ...*standHost) string {
+func listText(rev int, state string, hosts ...*fakeHost) string {
 	var entries []string
 	for i, h := range hosts {
 		entries = append(entries, fmt.Sprintf(`{"uid":"s-%d","endpoint":%q,"az":"a","model":"m","pod_group":1,`+
-			`"state":%q,"capacity_hint":1.0,"boot_ms":0}`, i, h.l.Addr(), state))
+			`"state":%q,"capacity_hint":1.0,"boot_ms":0}`, i, h.listener.Addr(), state))
 	}
 	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, rev, strings.Join(entries, ","))
 }
 
-const nested = `{"Balancers":1,"Index":0,"MyZone":0,"Localities":["a","b"],"Discovery":"on_request",
+const settingsText = `{"Balancers":1,"Index":0,"MyZone":0,"Localities":["a","b"],"Discovery":"on_request",
 "Limits":{"MaxConnects":3,"MaxRetryAfterMs":1000.0,"Probing":true,"RetryAfter":true,"DialTimeoutMs":250.0},
 "Obligations":{"AskWithinMs":10000.0,"ColdFrom":0.1,"ColdMs":20000.0,"FallMultiple":3.0},
 "ServiceTypes":[{"Name":"chat","Benefit":1.0,"Effect":"safe","SetupTargetMs":300.0,"HardLimitMs":2000.0}],
@@ -142,135 +144,135 @@
 
 // program is the balancer as it runs, with all that it wrote.
 type program struct {
-	cmd   *exec.Cmd
-	path  string // of its file
-	addr  string
-	admin string
-	mu    sync.Mutex
-	text  bytes.Buffer
-	more  *sync.Cond
-	done  chan error
+	cmd        *exec.Cmd
+	configPath string // of its file
+	addr       string
+	adminAddr  string
+	mu         sync.Mutex
+	output     bytes.Buffer
+	written    *sync.Cond
+	exited     chan error
 }
 
 func (p *program) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.text.Write(b)
-	p.more.Broadcast()
+	p.output.Write(b)
+	p.written.Broadcast()
 	return len(b), nil
 }
 
-// wait waits until the program has written something.
-func (p *program) wait(t *testing.T, what string) string {
+// waitFor waits until the program has written something.
+func (p *program) waitFor(t *testing.T, text string) string {
 	t.Helper()
-	return p.waitTimes(t, what, 1)
+	return p.waitForCount(t, text, 1)
 }
 
-// waitTimes waits until it has written something so many times.
-func (p *program) waitTimes(t *testing.T, what string, times int) string {
+// waitForCount waits until it has written something so many times.
+func (p *program) waitForCount(t *testing.T, text string, count int) string {
 	t.Helper()
-	late := time.AfterFunc(patience, func() { p.mu.Lock(); p.more.Broadcast(); p.mu.Unlock() })
-	defer late.Stop()
-	from := time.Now()
+	wake := time.AfterFunc(testTimeout, func() { p.mu.Lock(); p.written.Broadcast(); p.mu.Unlock() })
+	defer wake.Stop()
+	start := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for strings.Count(p.text.String(), what) < times {
-		if time.Since(from) > patience {
-			t.Fatalf("no %q, %d times, in %s", what, times, p.text.String())
+	for strings.Count(p.output.String(), text) < count {
+		if time.Since(start) > testTimeout {
+			t.Fatalf("no %q, %d times, in %s", text, count, p.output.String())
 		}
-		p.more.Wait()
+		p.written.Wait()
 	}
-	return p.text.String()
+	return p.output.String()
 }
 
-func prepare(t *testing.T, config string) *program {
+func prepareProgram(t *testing.T, config string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := &program{cmd: exec.Command(os.Args[0]), path: path, done: make(chan error, 1)}
-	p.more = sync.NewCond(&p.mu)
+	p := &program{cmd: exec.Command(os.Args[0]), configPath: path, exited: make(chan error, 1)}
+	p.written = sync.NewCond(&p.mu)
 	p.cmd.Env = append(os.Environ(), "COURSEWINCH_MAIN=1", "GW_CONFIG="+path)
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	return p
 }
 
-func configText(d *standDiscovery, known string, sockets int) string {
+func configText(d *fakeDiscovery, known string, sockets int) string {
 	c, _ := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": d.addr,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-		"known": json.RawMessage(known), "settings": json.RawMessage(nested)})
+		"known": json.RawMessage(known), "settings": json.RawMessage(settingsText)})
 	return string(c)
 }
 
-// replace gives the program another file and says so.
-func (p *program) replace(t *testing.T, config string) {
+// replaceConfig gives the program another file and says so.
+func (p *program) replaceConfig(t *testing.T, config string) {
 	t.Helper()
-	if err := os.WriteFile(p.path, []byte(config), 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-func begin(t *testing.T, d *standDiscovery, known string, sockets int) *program {
+func startNode(t *testing.T, d *fakeDiscovery, known string, sockets int) *program {
 	t.Helper()
-	return start(t, prepare(t, configText(d, known, sockets)))
+	return startProgram(t, prepareProgram(t, configText(d, known, sockets)))
 }
 
-// beginWith begins a node with an admin address, and a folder for what it hands over.
-func beginWith(t *testing.T, d *standDiscovery, known string, sockets int, folder string) *program {
+// startNodeWithAdmin begins a node with an admin address, and a folder for what it hands over.
+func startNodeWithAdmin(t *testing.T, d *fakeDiscovery, known string, sockets int, folder string) *program {
 	t.Helper()
-	p := prepare(t, strings.Replace(configText(d, known, sockets), "{", `{"admin":"127.0.0.1:0",`, 1))
+	p := prepareProgram(t, strings.Replace(configText(d, known, sockets), "{", `{"admin":"127.0.0.1:0",`, 1))
 	p.cmd.Env = append(p.cmd.Env, "TMPDIR="+folder)
-	return start(t, p)
+	return startProgram(t, p)
 }
 
-func start(t *testing.T, p *program) *program {
+func startProgram(t *testing.T, p *program) *program {
 	t.Helper()
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.done <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	t.Cleanup(func() { p.cmd.Process.Kill() })
-	_, rest, _ := strings.Cut(p.wait(t, " admin="), " listen=")
+	_, rest, _ := strings.Cut(p.waitFor(t, " admin="), " listen=")
 	p.addr, rest, _ = strings.Cut(rest, " ")
 	_, rest, _ = strings.Cut(rest, " admin=")
-	p.admin, _, _ = strings.Cut(rest, "\n")
+	p.adminAddr, _, _ = strings.Cut(rest, "\n")
 	return p
 }
 
-// exit waits for the program's end.
-func (p *program) exit(t *testing.T) error {
+// waitExit waits for the program's end.
+func (p *program) waitExit(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-p.done:
+	case err := <-p.exited:
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the program goes on")
 		return nil
 	}
 }
 
-type peer struct {
+type testClient struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (p *program) dial(t *testing.T) *peer {
+func (p *program) dial(t *testing.T) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { c.Close() })
-	return &peer{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-// want reads one line; "" stands for the end.
-func (c *peer) want(t *testing.T, want string) {
+// wantLine reads one line; "" stands for the end.
+func (c *testClient) wantLine(t *testing.T, want string) {
 	t.Helper()
-	line, err := c.r.ReadString('\n')
+	line, err := c.reader.ReadString('\n')
 	if want == "" && err != nil {
 		return
 	}
@@ -279,163 +281,163 @@
 	}
 }
 
-var ids atomic.Int64 // each flow has one of its own
+var flowIDs atomic.Int64 // each flow has one of its own
 
-func (p *program) open(t *testing.T, extra string) *peer {
+func (p *program) openFlow(t *testing.T, extra string) *testClient {
 	t.Helper()
 	c := p.dial(t)
-	fmt.Fprintf(c, "OPEN %d 7f3a c=chat,d=2000,g=5c0f%s\r\n", ids.Add(1), extra)
+	fmt.Fprintf(c, "OPEN %d 7f3a c=chat,d=2000,g=5c0f%s\r\n", flowIDs.Add(1), extra)
 	return c
 }
 
 func TestLinesPassBothWays(t *testing.T) {
 	h := newHost(t, "UP 77\r\nhello\r\n")
-	d := newDiscovery(t, list(5, "ready", h))
-	p := begin(t, d, list(4, "ready", h), 200)
-	if q := <-d.asked; q != "watch=1&after=4" {
+	d := newDiscovery(t, listText(5, "ready", h))
+	p := startNode(t, d, listText(4, "ready", h), 200)
+	if q := <-d.queries; q != "watch=1&after=4" {
 		t.Fatalf("asked %q", q)
 	}
-	front := p.dial(t)
-	io.WriteString(front, "PING\r\nPI")
-	front.want(t, "PONG\r\n")
-	io.WriteString(front, "NG\r\n") // a line may come in pieces
-	front.want(t, "PONG\r\n")
+	healthCheck := p.dial(t)
+	io.WriteString(healthCheck, "PING\r\nPI")
+	healthCheck.wantLine(t, "PONG\r\n")
+	io.WriteString(healthCheck, "NG\r\n") // a line may come in pieces
+	healthCheck.wantLine(t, "PONG\r\n")
 	c := p.dial(t)
 	io.WriteString(c, "OPEN 9b1f 7f3a c=chat,d=2000,zz=1\r\n")
-	c.want(t, "UP 77\r\n")
+	c.wantLine(t, "UP 77\r\n")
 	io.WriteString(c, "M 1\r\nM 2\r\nM")
-	c.want(t, "hello\r\n")
-	c.want(t, "M 1\r\n")
-	c.want(t, "M 2\r\n")
+	c.wantLine(t, "hello\r\n")
+	c.wantLine(t, "M 1\r\n")
+	c.wantLine(t, "M 2\r\n")
 	io.WriteString(c, " 3\r\n")
-	c.want(t, "M 3\r\n")
+	c.wantLine(t, "M 3\r\n")
 	var ms int
 	line := <-h.opens
 	if _, err := fmt.Sscanf(line, "OPEN 9b1f 7f3a c=chat,d=%d,zz=1\r\n", &ms); err != nil || ms < 200 || ms > 2000 {
 		t.Fatalf("the host got %q", line)
 	}
 	io.WriteString(<-h.conns, "LOAD 500\r\nBYE\r\n")
-	c.want(t, "LOAD 500\r\n")
-	c.want(t, "BYE\r\n")
+	c.wantLine(t, "LOAD 500\r\n")
+	c.wantLine(t, "BYE\r\n")
 	p.cmd.Process.Signal(syscall.SIGUSR1)
-	if text := p.wait(t, "msg=counters"); !strings.Contains(text, "taken=1 ") {
+	if text := p.waitFor(t, "msg=counters"); !strings.Contains(text, "taken=1 ") {
 		t.Fatal(text)
 	}
 }
 
-func TestConnectsGoOnToTheNextHost(t *testing.T) {
+func TestConnectTriesNextHost(t *testing.T) {
 	full, sound := newHost(t, "BUSY\r\n"), newHost(t, "UP 1\r\n")
 	dead := newHost(t, "")
-	dead.l.Close()
-	l := list(5, "ready", full, dead, sound)
-	p := begin(t, newDiscovery(t, l), l, 200)
+	dead.listener.Close()
+	l := listText(5, "ready", full, dead, sound)
+	p := startNode(t, newDiscovery(t, l), l, 200)
 	for range 6 {
-		p.open(t, "").want(t, "UP 1\r\n")
+		p.openFlow(t, "").wantLine(t, "UP 1\r\n")
 	}
 }
 
-func TestFlowsGivenUpAreAnsweredAtOnce(t *testing.T) {
+func TestRejectedFlowsAreAnsweredAtOnce(t *testing.T) {
 	d := newDiscovery(t, `{"rev":1,"all":true,"targets":[]}`)
-	p := begin(t, d, "null", 200)
-	c := p.open(t, "")
-	c.want(t, "BUSY 500\r\n") // half of what clients obey at most
-	c.want(t, "")
+	p := startNode(t, d, "null", 200)
+	c := p.openFlow(t, "")
+	c.wantLine(t, "BUSY 500\r\n") // half of what clients obey at most
+	c.wantLine(t, "")
 	for _, line := range []string{"HELLO\r\n", "OPEN a b c=nothing,d=5\r\n", "OPEN a b c=chat,d=x\r\n",
 		strings.Repeat("x", 5000) + "\r\n"} {
 		c := p.dial(t)
 		io.WriteString(c, line)
-		c.want(t, "ERR\r\n")
-		c.want(t, "")
+		c.wantLine(t, "ERR\r\n")
+		c.wantLine(t, "")
 	}
 }
 
-func TestOneSideEndsTheOther(t *testing.T) {
+func TestCloseReachesOtherSide(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
-	l := list(5, "ready", h, h, h, h) // one that breaks a flow is left out for a while
-	p := begin(t, newDiscovery(t, l), l, 200)
+	l := listText(5, "ready", h, h, h, h) // one that breaks a flow is left out for a while
+	p := startNode(t, newDiscovery(t, l), l, 200)
 	for _, broken := range []bool{false, true} {
-		c := p.open(t, "")
-		c.want(t, "UP 1\r\n")
+		c := p.openFlow(t, "")
+		c.wantLine(t, "UP 1\r\n")
 		hc := (<-h.conns).(*net.TCPConn)
 		if broken {
 			hc.SetLinger(0)
 		}
 		from := time.Now()
 		hc.Close()
-		c.want(t, "")
+		c.wantLine(t, "")
 		if time.Since(from) > time.Second {
 			t.Fatal("ended late")
 		}
 	}
-	c := p.open(t, "")
-	c.want(t, "UP 1\r\n")
+	c := p.openFlow(t, "")
+	c.wantLine(t, "UP 1\r\n")
 	hc := <-h.conns
 	c.Close()
-	hc.SetReadDeadline(time.Now().Add(patience))
+	hc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.Copy(io.Discard, hc); os.IsTimeout(err) {
 		t.Fatal("the host's side stays")
 	}
 }
 
-func TestHeldConnectionGoesToItsHost(t *testing.T) {
+func TestRejoiningFlowReturnsToItsHost(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
-	l := list(5, "ready", a, b)
-	p := begin(t, newDiscovery(t, l), l, 200)
+	l := listText(5, "ready", a, b)
+	p := startNode(t, newDiscovery(t, l), l, 200)
 	for range 8 {
-		p.open(t, ",at=s-1").want(t, "UP b\r\n")
+		p.openFlow(t, ",at=s-1").wantLine(t, "UP b\r\n")
 	}
 }
 
-func TestBrokenWatchGoesOnAfterTheLastRev(t *testing.T) {
+func TestBrokenWatchResumesAfterLastRev(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
-	d := newDiscovery(t, list(5, "ready", a))
-	p := begin(t, d, "null", 200)
-	if q := <-d.asked; q != "watch=1&after=0" {
+	d := newDiscovery(t, listText(5, "ready", a))
+	p := startNode(t, d, "null", 200)
+	if q := <-d.queries; q != "watch=1&after=0" {
 		t.Fatalf("asked %q", q)
 	}
-	p.wait(t, "msg=watching") // asked is not yet told: a flow that comes before the list finds no host
-	p.open(t, "").want(t, "UP a\r\n")
-	d.lists <- list(9, "ready", b)
+	p.waitFor(t, "msg=watching") // asked is not yet told: a flow that comes before the list finds no host
+	p.openFlow(t, "").wantLine(t, "UP a\r\n")
+	d.lists <- listText(9, "ready", b)
 	d.lists <- "" // ends the watch, after the list has come
-	if q := <-d.asked; q != "watch=1&after=9" {
+	if q := <-d.queries; q != "watch=1&after=9" {
 		t.Fatalf("asked %q", q)
 	}
 	d.lists <- "no list"
-	p.wait(t, "msg=watch_lost")
-	if q := <-d.asked; q != "watch=1&after=5" { // what this stand-in told first, and so last
+	p.waitFor(t, "msg=watch_lost")
+	if q := <-d.queries; q != "watch=1&after=5" { // what this stand-in told first, and so last
 		t.Fatalf("asked %q", q)
 	}
 }
 
 // Guards a node in service: a new file changes what it watches, and one that can't be used changes nothing.
-func TestNewConfiguration(t *testing.T) {
+func TestConfigReload(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
-	first, second := newDiscovery(t, list(50, "ready", a)), newDiscovery(t, list(1, "ready", b))
-	p := begin(t, first, "null", 200)
-	<-first.asked
-	p.open(t, "").want(t, "UP a\r\n")
-	p.replace(t, "{")
-	p.wait(t, "msg=config_kept")
-	p.replace(t, configText(second, "null", 200))
-	if q := <-second.asked; q != "watch=1" {
+	first, second := newDiscovery(t, listText(50, "ready", a)), newDiscovery(t, listText(1, "ready", b))
+	p := startNode(t, first, "null", 200)
+	<-first.queries
+	p.openFlow(t, "").wantLine(t, "UP a\r\n")
+	p.replaceConfig(t, "{")
+	p.waitFor(t, "msg=config_kept")
+	p.replaceConfig(t, configText(second, "null", 200))
+	if q := <-second.queries; q != "watch=1" {
 		t.Fatalf("asked %q", q)
 	}
-	p.wait(t, "discovery="+second.addr+" rev=1 all=true")
-	p.replace(t, strings.Replace(configText(second, "null", 200), "{", `{"holding":{"groups":7},"admission":{"per_address":9},`, 1))
-	p.wait(t, `next_start="admission,holding"`)
-	p.replace(t, strings.Replace(configText(second, "null", 200), `"cores"`, `"_":0,"cores"`, 1))
-	p.wait(t, `next_start=""`) // as it was at the start: what an earlier file said is not kept
-	p.open(t, "").want(t, "UP b\r\n")
+	p.waitFor(t, "discovery="+second.addr+" rev=1 all=true")
+	p.replaceConfig(t, strings.Replace(configText(second, "null", 200), "{", `{"holding":{"groups":7},"admission":{"per_address":9},`, 1))
+	p.waitFor(t, `next_start="admission,holding"`)
+	p.replaceConfig(t, strings.Replace(configText(second, "null", 200), `"cores"`, `"_":0,"cores"`, 1))
+	p.waitFor(t, `next_start=""`) // as it was at the start: what an earlier file said is not kept
+	p.openFlow(t, "").wantLine(t, "UP b\r\n")
 }
 
 // Guards usual clients against hundreds that connect and say nothing, and operators' calls against both and half calls.
-func TestTheSilentShutNobodyOut(t *testing.T) {
+func TestSilentConnectionsBlockNobody(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
-	l := list(5, "ready", h)
-	p := beginWith(t, newDiscovery(t, l), l, 104, "")
+	l := listText(5, "ready", h)
+	p := startNodeWithAdmin(t, newDiscovery(t, l), l, 104, "")
 	for range 100 {
 		p.dial(t)
-		c, err := net.Dial("tcp", p.admin)
+		c, err := net.Dial("tcp", p.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -443,22 +445,22 @@
 		io.WriteString(c, "GET /-/metrics HTT")
 	}
 	for range 5 {
-		p.open(t, "").want(t, "UP 1\r\n")
+		p.openFlow(t, "").wantLine(t, "UP 1\r\n")
 	}
-	if status, body := p.call(t, "GET", "/-/metrics?of=all"); status != 200 ||
+	if status, body := p.callAdmin(t, "GET", "/-/metrics?of=all"); status != 200 ||
 		!strings.Contains(body, "success.chat=5\n") || !strings.Contains(body, "inflight=5\n") {
 		t.Fatal(status, body)
 	}
 }
 
-func TestShortOfDescriptors(t *testing.T) {
+func TestFewDescriptors(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
-	l := list(5, "ready", h)
-	p := begin(t, newDiscovery(t, l), l, 40)
+	l := listText(5, "ready", h)
+	p := startNode(t, newDiscovery(t, l), l, 40)
 	up, busy := 0, 0
 	for range 15 {
-		c := p.open(t, "")
-		line, err := c.r.ReadString('\n')
+		c := p.openFlow(t, "")
+		line, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
 			t.Fatal(err)
@@ -475,80 +477,80 @@
 
 // Guards clients against being cut off by a restart: those that stand are told to move, those that still come are
 // taken, and the program ends well.
-func TestOrderlyEnd(t *testing.T) {
+func TestGracefulStop(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
-	l := list(5, "ready", h)
-	p := begin(t, newDiscovery(t, l), l, 200)
-	var held []*peer
+	l := listText(5, "ready", h)
+	p := startNode(t, newDiscovery(t, l), l, 200)
+	var held []*testClient
 	for range 10 {
-		c := p.open(t, "")
-		c.want(t, "UP 1\r\n")
+		c := p.openFlow(t, "")
+		c.wantLine(t, "UP 1\r\n")
 		held = append(held, c)
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	p.wait(t, "msg=stopping")
-	late := p.open(t, "")
-	late.want(t, "UP 1\r\n")
+	p.waitFor(t, "msg=stopping")
+	late := p.openFlow(t, "")
+	late.wantLine(t, "UP 1\r\n")
 	for _, c := range append(held, late) {
-		c.want(t, "MOVE\r\n")
-		c.want(t, "")
+		c.wantLine(t, "MOVE\r\n")
+		c.wantLine(t, "")
 	}
-	if err := p.exit(t); err != nil {
+	if err := p.waitExit(t); err != nil {
 		t.Fatal(err)
 	}
-	if text := p.wait(t, "msg=stopped"); !strings.Contains(text, " moves=11 ") {
+	if text := p.waitFor(t, "msg=stopped"); !strings.Contains(text, " moves=11 ") {
 		t.Fatal(text)
 	}
 }
 
-// peered is a file with other nodes in it.
-func peered(peers, allowed string) string {
+// configWithPeers is a file with other nodes in it.
+func configWithPeers(peers, allowed string) string {
 	return `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peers":{` + peers + `},"settings":` +
-		strings.Replace(nested, `"Probing"`, `"Peers":`+allowed+`,"Probing"`, 1) + `}`
+		strings.Replace(settingsText, `"Probing"`, `"Peers":`+allowed+`,"Probing"`, 1) + `}`
 }
 
-// inFleet is a file with a fleet in it.
-func inFleet(cluster string) string {
-	return `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","cluster":` + cluster + `,"settings":` + nested + `}`
+// configWithCluster is a file with a fleet in it.
+func configWithCluster(cluster string) string {
+	return `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","cluster":` + cluster + `,"settings":` + settingsText + `}`
 }
 
 func TestUnusableConfig(t *testing.T) {
 	for _, config := range []string{"", "{", `{"listen":"x"}`, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`,
-		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"zz","settings":` + nested + `}`,
-		`{"listen":"nowhere","discovery":"127.0.0.1:1","settings":` + nested + `}`,
+		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"zz","settings":` + settingsText + `}`,
+		`{"listen":"nowhere","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"Balancers":0}}`,
-		`{"listen":"127.0.0.1:1","admin":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":` + nested + `}`,
-		`{"listen":"127.0.0.1:0","admin":"here","discovery":"127.0.0.1:1","settings":` + nested + `}`,
-		`{"listen":"127.0.0.1:0","admin":"192.0.2.1:9","discovery":"127.0.0.1:1","settings":` + nested + `}`,
-		peered(`"listen":"127.0.0.1:0","nodes":["127.0.0.1:7"]`, "false"), peered(`"listen":"127.0.0.1:0","nodes":["127.0.0.1:7","127.0.0.1:7"]`, "true"),
-		peered(`"listen":"127.0.0.1:0","nodes":["n2"]`, "true"), peered(`"nodes":["127.0.0.1:7"]`, "true"),
-		peered(`"listen":"192.0.2.1:9","nodes":["127.0.0.1:7"]`, "true"),
-		inFleet(`{"on":"yes"}`), inFleet(`{"on":true,"listen":"127.0.0.1:0"}`), inFleet(`{"on":true,"nodes":["127.0.0.1:7"]}`),
-		inFleet(`{"on":false,"listen":"127.0.0.1:0","nodes":["127.0.0.1:7"]}`), inFleet(`{"on":true,"listen":"127.0.0.1:0","nodes":["n2:7"]}`),
-		inFleet(`{"on":true,"listen":"127.0.0.1:0","nodes":["127.0.0.1:7","127.0.0.1:7"]}`), inFleet(`{"on":true,"listen":"127.0.0.1:5","nodes":["127.0.0.1:5"]}`),
-		inFleet(`{"on":true,"limits":[{"over":"address","rate":20,"burst":10}]}`), inFleet(`{"on":true,"limits":[{"over":"host","rate":20,"burst":10,"promise":"strict"}]}`),
-		inFleet(`{"on":true,"limits":[{"over":"address","rate":-1,"burst":10,"promise":"strict"}]}`), inFleet(`{"on":true,"limits":[{"over":"address","rate":100,"burst":5,"promise":"strict"}]}`),
-		inFleet(`{"on":true,"limits":[{"over":"address","rate":9,"burst":9,"promise":"available"},{"over":"address","rate":9,"burst":9,"promise":"available"}]}`),
-		inFleet(`{"on":true,"limits":[{"over":"cat","at_once":9,"promise":"strict"}]}`), inFleet(`{"on":true,"limits":[{"over":"type","at_once":-9,"promise":"strict"}]}`),
-		inFleet(`{"on":true,"limits":[{"over":"type","at_once":9,"rate":9,"burst":9,"promise":"strict"}]}`),
-		inFleet(`{"on":true,"limits":[{"over":"type","of":"a","at_once":9,"promise":"strict"},{"over":"type","of":"a","at_once":8,"promise":"available"}]}`),
-		inFleet(`{"on":true,"listen":"127.0.0.1:9","nodes":["127.0.0.2:9","127.0.0.3:9"],"limits":[{"over":"host","at_once":2,"promise":"strict"}]}`),
-		inFleet(`{"on":false,"limits":[{"over":"address","rate":9,"burst":9,"promise":"available"}]}`),
-		inFleet(`{"on":true,"listen":"192.0.2.1:9","nodes":["127.0.0.1:7"]}`),
-		strings.Replace(inFleet(`{"on":true,"listen":"127.0.0.1:0","nodes":["127.0.0.1:7"]}`), `"name":"n1",`, "", 1)} {
-		p := prepare(t, config)
+		`{"listen":"127.0.0.1:1","admin":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
+		`{"listen":"127.0.0.1:0","admin":"here","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
+		`{"listen":"127.0.0.1:0","admin":"192.0.2.1:9","discovery":"127.0.0.1:1","settings":` + settingsText + `}`,
+		configWithPeers(`"listen":"127.0.0.1:0","nodes":["127.0.0.1:7"]`, "false"), configWithPeers(`"listen":"127.0.0.1:0","nodes":["127.0.0.1:7","127.0.0.1:7"]`, "true"),
+		configWithPeers(`"listen":"127.0.0.1:0","nodes":["n2"]`, "true"), configWithPeers(`"nodes":["127.0.0.1:7"]`, "true"),
+		configWithPeers(`"listen":"192.0.2.1:9","nodes":["127.0.0.1:7"]`, "true"),
+		configWithCluster(`{"on":"yes"}`), configWithCluster(`{"on":true,"listen":"127.0.0.1:0"}`), configWithCluster(`{"on":true,"nodes":["127.0.0.1:7"]}`),
+		configWithCluster(`{"on":false,"listen":"127.0.0.1:0","nodes":["127.0.0.1:7"]}`), configWithCluster(`{"on":true,"listen":"127.0.0.1:0","nodes":["n2:7"]}`),
+		configWithCluster(`{"on":true,"listen":"127.0.0.1:0","nodes":["127.0.0.1:7","127.0.0.1:7"]}`), configWithCluster(`{"on":true,"listen":"127.0.0.1:5","nodes":["127.0.0.1:5"]}`),
+		configWithCluster(`{"on":true,"limits":[{"over":"address","rate":20,"burst":10}]}`), configWithCluster(`{"on":true,"limits":[{"over":"host","rate":20,"burst":10,"promise":"strict"}]}`),
+		configWithCluster(`{"on":true,"limits":[{"over":"address","rate":-1,"burst":10,"promise":"strict"}]}`), configWithCluster(`{"on":true,"limits":[{"over":"address","rate":100,"burst":5,"promise":"strict"}]}`),
+		configWithCluster(`{"on":true,"limits":[{"over":"address","rate":9,"burst":9,"promise":"available"},{"over":"address","rate":9,"burst":9,"promise":"available"}]}`),
+		configWithCluster(`{"on":true,"limits":[{"over":"cat","at_once":9,"promise":"strict"}]}`), configWithCluster(`{"on":true,"limits":[{"over":"type","at_once":-9,"promise":"strict"}]}`),
+		configWithCluster(`{"on":true,"limits":[{"over":"type","at_once":9,"rate":9,"burst":9,"promise":"strict"}]}`),
+		configWithCluster(`{"on":true,"limits":[{"over":"type","of":"a","at_once":9,"promise":"strict"},{"over":"type","of":"a","at_once":8,"promise":"available"}]}`),
+		configWithCluster(`{"on":true,"listen":"127.0.0.1:9","nodes":["127.0.0.2:9","127.0.0.3:9"],"limits":[{"over":"host","at_once":2,"promise":"strict"}]}`),
+		configWithCluster(`{"on":false,"limits":[{"over":"address","rate":9,"burst":9,"promise":"available"}]}`),
+		configWithCluster(`{"on":true,"listen":"192.0.2.1:9","nodes":["127.0.0.1:7"]}`),
+		strings.Replace(configWithCluster(`{"on":true,"listen":"127.0.0.1:0","nodes":["127.0.0.1:7"]}`), `"name":"n1",`, "", 1)} {
+		p := prepareProgram(t, config)
 		err := p.cmd.Run()
-		if _, ok := err.(*exec.ExitError); !ok || strings.Count(p.text.String(), "\n") != 1 {
-			t.Errorf("%.50q: %v, %q", config, err, p.text.String())
+		if _, ok := err.(*exec.ExitError); !ok || strings.Count(p.output.String(), "\n") != 1 {
+			t.Errorf("%.50q: %v, %q", config, err, p.output.String())
 		}
 	}
 }
 
-// call makes one call on the admin address.
-func (p *program) call(t *testing.T, method, path string) (status int, body string) {
+// callAdmin makes one call on the admin address.
+func (p *program) callAdmin(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
-	r, _ := http.NewRequest(method, "http://"+p.admin+path, nil)
-	a, err := (&http.Client{Timeout: patience}).Do(r)
+	r, _ := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
+	a, err := (&http.Client{Timeout: testTimeout}).Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -57,7 +57,7 @@
 					fmt.Fprintln(os.Stderr)
 				}
 			}
-			if _, err := logsTo(""); err != nil {
+			if _, err := redirectLogs(""); err != nil {
 				return err
 			}
 			cells, err := plan.Run()
--- a/cmd/rehearse/live.go
+++ b/cmd/rehearse/live.go
@@ -10,8 +10,8 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// nodeProgram is the node that lies beside this program.
-func nodeProgram() string {
+// defaultNodeProgram is the node that lies beside this program.
+func defaultNodeProgram() string {
 	self, err := os.Executable()
 	if err != nil {
 		return "coursewinch"
@@ -38,13 +38,13 @@
 			if err != nil {
 				return err
 			}
-			return out.give(r)
+			return out.write(r)
 		},
 	}
 	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
-	c.Flags().StringVar(&opt.Program, "node", nodeProgram(), "the node's `program`")
+	c.Flags().StringVar(&opt.Program, "node", defaultNodeProgram(), "the node's `program`")
 	c.Flags().StringVar(&opt.Logs, "node-logs", "", "`folder` for the nodes' files and logs; a temporary one without")
 	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` in which nodes write captures")
-	out.flags(c)
+	out.addFlags(c)
 	return c
 }
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -18,13 +18,13 @@
 	exitVoid   = 3 // the machine ran late: the run says nothing
 )
 
-// exit is an error that carries its code. Its text may be empty where all was said.
-type exit struct {
+// exitError is an error that carries its code. Its text may be empty where all was said.
+type exitError struct {
 	code int
 	text string
 }
 
-func (e *exit) Error() string { return e.text }
+func (e *exitError) Error() string { return e.text }
 
 func main() {
 	root := &cobra.Command{
@@ -41,7 +41,7 @@
 		return
 	}
 	code := exitUsage
-	var e *exit
+	var e *exitError
 	if errors.As(err, &e) {
 		code = e.code
 	}
@@ -51,8 +51,8 @@
 	os.Exit(code)
 }
 
-// logsTo sends the nodes' log lines to a file, or nowhere.
-func logsTo(path string) (done func(), err error) {
+// redirectLogs sends the nodes' log lines to a file, or nowhere.
+func redirectLogs(path string) (restore func(), err error) {
 	log.SetOutput(io.Discard)
 	if path == "" {
 		return func() {}, nil
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func rehearse(t *testing.T, dir string, args ...string) (out, bad string, code int) {
+func runRehearse(t *testing.T, dir string, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "REHEARSE_MAIN=1")
@@ -61,7 +61,7 @@
 		{[]string{"experiment", "small-twin", "--seeds", "2", "--quiet", "--variant", "module", "--variant", "self@build:" +
 			os.Args[0], "--html", "e.html"}, 0, "+0.000 (+0.000 to +0.000)"},
 	} {
-		out, complaint, code := rehearse(t, dir, c.args...)
+		out, complaint, code := runRehearse(t, dir, c.args...)
 		if code != c.code || !strings.Contains(out+complaint, c.want) || strings.Contains(complaint, "panic") {
 			t.Errorf("%v: exit code %d, not %d, or no %q:\n%s%s", c.args, code, c.code, c.want, out, complaint)
 		}
@@ -101,7 +101,7 @@
 connect_timeout = "500ms"
 message_target = "60ms"
 `), 0o600)
-	out, complaint, code := rehearse(t, dir, "play", script, "--json")
+	out, complaint, code := runRehearse(t, dir, "play", script, "--json")
 	var sum report.Sum
 	if err := json.Unmarshal([]byte(out), &sum); err != nil {
 		t.Fatalf("%v: %s%s", err, out, complaint)
@@ -109,7 +109,7 @@
 	if sum.Breaches["one final answer"] == 0 || code != exitBroken {
 		t.Errorf("breaches %v, exit code %d", sum.Breaches, code)
 	}
-	if out, _, _ = rehearse(t, dir, "play", script); !strings.Contains(out, "broken: one final answer: no answer in 500 ms\nflow ") {
+	if out, _, _ = runRehearse(t, dir, "play", script); !strings.Contains(out, "broken: one final answer: no answer in 500 ms\nflow ") {
 		t.Errorf("no story told:\n%s", out)
 	}
 }
--- a/cmd/rehearse/play.go
+++ b/cmd/rehearse/play.go
@@ -23,15 +23,15 @@
 	html    string
 }
 
-func (o *outputs) flags(c *cobra.Command) {
+func (o *outputs) addFlags(c *cobra.Command) {
 	c.Flags().BoolVar(&o.json, "json", false, "print figures as JSON")
 	c.Flags().StringVar(&o.html, "html", "", "write a page with plots to this `file`")
 	c.Flags().StringVar(&o.answers, "answers", "", "write the final answers, a line a flow, to this `file`")
 	c.Flags().StringVar(&o.logs, "logs", "", "write the nodes' log lines to this `file`")
 }
 
-// give writes a run's results and says with its error what came of it.
-func (o *outputs) give(r *record.Run) error {
+// write writes a run's results and says with its error what came of it.
+func (o *outputs) write(r *record.Run) error {
 	broken := rules.Check(r)
 	if o.answers != "" {
 		f, err := os.Create(o.answers)
@@ -62,9 +62,9 @@
 	}
 	switch {
 	case r.Void != "":
-		return &exit{exitVoid, ""}
+		return &exitError{exitVoid, ""}
 	case len(broken) > 0:
-		return &exit{exitBroken, ""}
+		return &exitError{exitBroken, ""}
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 			if err != nil {
 				return err
 			}
-			done, err := logsTo(out.logs)
+			done, err := redirectLogs(out.logs)
 			if err != nil {
 				return err
 			}
@@ -109,7 +109,7 @@
 				return err
 			}
 			took := time.Since(start)
-			err = out.give(r)
+			err = out.write(r)
 			if !out.json {
 				fmt.Printf("  played in %.2f s, %.0f events a second; answers %s\n", took.Seconds(),
 					float64(r.Counts.Events)/took.Seconds(), report.Hash(r)[:16])
@@ -121,7 +121,7 @@
 	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "another seed for the nodes' own chance")
 	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` in which nodes write captures")
 	c.Flags().StringVar(&holdings, "holdings", "", "write what nodes hold by purpose, each second, to this `file`")
-	out.flags(c)
+	out.addFlags(c)
 	return c
 }
 
@@ -142,7 +142,7 @@
 				fmt.Printf("%s: sound\n", name)
 			}
 			if bad > 0 {
-				return &exit{exitUsage, ""}
+				return &exitError{exitUsage, ""}
 			}
 			return nil
 		},
--- a/cmd/rehearse/replay.go
+++ b/cmd/rehearse/replay.go
@@ -56,7 +56,7 @@
 					return err
 				}
 			}
-			done, err := logsTo(out.logs)
+			done, err := redirectLogs(out.logs)
 			if err != nil {
 				return err
 			}
@@ -65,7 +65,7 @@
 			if err != nil {
 				return err
 			}
-			return out.give(r)
+			return out.write(r)
 		},
 	}
 	c.Flags().StringVar(&fleet, "fleet", "", "`script` whose fleet, clients' ways and faults are played")
@@ -74,11 +74,11 @@
 	c.Flags().DurationVar(&from, "from", 0, "moment of the captures at which the script begins; captures of play and live\nbegin 3s before it")
 	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
 	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "another seed for the nodes' own chance")
-	out.flags(c)
+	out.addFlags(c)
 	return c
 }
 
-func readCaptures(paths []string) (all []*capture.Capture, err error) {
+func readCaptures(paths []string) (captures []*capture.Capture, err error) {
 	for _, path := range paths {
 		f, err := os.Open(path)
 		if err != nil {
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		all = append(all, c)
+		captures = append(captures, c)
 	}
-	return all, nil
+	return captures, nil
 }
--- a/cmd/rehearse/report.go
+++ b/cmd/rehearse/report.go
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := logsTo(""); err != nil {
+			if _, err := redirectLogs(""); err != nil {
 				return err
 			}
 			r, err := virtual.Play(s, opt)
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -31,7 +31,7 @@
 					return fmt.Errorf("%d nodes a zone: one at least", n)
 				}
 			}
-			if _, err := logsTo(""); err != nil {
+			if _, err := redirectLogs(""); err != nil {
 				return err
 			}
 			all, err := plan.Run()
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -24,10 +24,10 @@
 "ServiceTypes":[{"Name":"chat","Benefit":1.0,"Effect":"safe","SetupTargetMs":300.0,"HardLimitMs":2000.0}],
 "Specifics":{"Groups":true,"Mode":"proxy","MessageAimMs":[60.0]}}`
 
-type file struct{ Build, Run, Sim string }
+type commands struct{ Build, Run, Sim string }
 
-// built reads balancer.toml and runs its build line, from the root as operators do.
-func built(t *testing.T) (root string, f file) {
+// buildFromFile reads balancer.toml and runs its build line, from the root as operators do.
+func buildFromFile(t *testing.T) (root string, f commands) {
 	t.Helper()
 	root, err := filepath.Abs("..")
 	if err != nil {
@@ -55,8 +55,8 @@
 }
 
 // Guards the platform's terms: libraries can be loaded into the node, `run` ends as that one process, and it ends well.
-func TestBuildAndRunAsTheFileSays(t *testing.T) {
-	root, f := built(t)
+func TestBuildAndRunCommands(t *testing.T) {
+	root, f := buildFromFile(t)
 	program, ok := strings.CutPrefix(f.Run, "exec ")
 	if !ok {
 		t.Fatalf("run %q does not end by exec", f.Run)
@@ -80,18 +80,18 @@
 	}
 	cmd := shell(root, f.Run)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path)
-	said, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	late := time.AfterFunc(20*time.Second, func() { cmd.Process.Kill() })
-	defer late.Stop()
+	timeout := time.AfterFunc(20*time.Second, func() { cmd.Process.Kill() })
+	defer timeout.Stop()
 	var text []byte
 	for buf := make([]byte, 4096); !bytes.Contains(text, []byte("msg=started")); {
-		n, err := said.Read(buf)
+		n, err := stderr.Read(buf)
 		if text = append(text, buf[:n]...); err != nil {
 			t.Fatalf("%v: %s", err, text)
 		}
@@ -109,14 +109,14 @@
 		t.Fatalf("%q, %v", pong, err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	rest, _ := io.ReadAll(said)
+	rest, _ := io.ReadAll(stderr)
 	if err := cmd.Wait(); err != nil || !bytes.Contains(rest, []byte("msg=stopped")) {
 		t.Fatalf("%v: %s", err, rest)
 	}
 }
 
-func TestTheAdapterStillRuns(t *testing.T) {
-	root, f := built(t)
+func TestAdapterCommand(t *testing.T) {
+	root, f := buildFromFile(t)
 	cmd := shell(root, f.Sim)
 	cmd.Stdin = strings.NewReader("mark\t8412.25\nover_to_you\n")
 	if out, err := cmd.Output(); err != nil || string(out) != "finished\n" {
