--- a/epoll/peers.go
+++ b/epoll/datagrams.go
@@ -8,22 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrAddressTaken is that another process has an address.
+// ErrAddressTaken is returned if another process is bound to the address.
 var ErrAddressTaken = errors.New("another process has it")
 
-// CloseDatagrams gives the address up.
-func (l *Loop) CloseDatagrams() {
-	if l.datagramFD >= 0 {
-		unix.Close(l.datagramFD)
-		l.datagramFD = -1
-	}
-}
-
-const maxDatagrams = 64 // a turn; the rest waits in the socket or is lost
+const maxDatagrams = 64 // of one iteration; the rest waits in the socket's buffer or is lost
 
-// ListenDatagrams takes other nodes' datagrams at an address and returns the one it got; told hears of each in a turn. Two
-// processes of one node may listen there while a version is rolled, but where the address is to be one process's alone:
-// then ErrTaken says that another has it.
+// ListenDatagrams receives other nodes' datagrams at an address, calls onDatagram for each, and returns the address that was
+// bound. Two processes of one node may share the address while a version is rolled. If exclusive, only one process may be
+// bound to it, and ErrAddressTaken is returned if another one is.
 func (l *Loop) ListenDatagrams(text string, exclusive bool, onDatagram func(from netip.AddrPort, p []byte)) (netip.AddrPort, error) {
 	address, family, err := parseAddress(text)
 	if err != nil {
@@ -52,20 +44,29 @@
 	return localAddress(fd)
 }
 
-// SendDatagram sends a datagram; it may be lost, here as well as on its way.
+// CloseDatagrams closes the datagram socket, so that another process can bind its address.
+func (l *Loop) CloseDatagrams() {
+	if l.datagramFD >= 0 {
+		unix.Close(l.datagramFD)
+		l.datagramFD = -1
+	}
+}
+
+// SendDatagram sends a datagram without waiting. It may be lost, also on this machine.
 func (l *Loop) SendDatagram(to netip.AddrPort, datagram []byte) {
 	if address, _, err := parseAddress(to.String()); err == nil && l.datagramFD >= 0 {
 		unix.Sendto(l.datagramFD, datagram, unix.MSG_DONTWAIT, address)
 	}
 }
 
+// receiveDatagrams passes on the datagrams that have arrived, at most maxDatagrams.
 func (l *Loop) receiveDatagrams() {
 	for range maxDatagrams {
 		if l.datagramFD < 0 {
 			return
 		}
 		n, from, err := unix.Recvfrom(l.datagramFD, l.scratch[:], unix.MSG_DONTWAIT)
-		if err == unix.EINTR || err == unix.ECONNREFUSED { // a peer that is away, told of what was sent there
+		if err == unix.EINTR || err == unix.ECONNREFUSED { // refused: an earlier datagram reached no socket of its peer
 			continue
 		}
 		if err != nil {
