--- a/epoll/accept_retry_test.go
+++ b/epoll/accept_retry_test.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards a node on a machine that has no descriptor left: who waits at its listener is taken as soon as there is one again,
-// also where nothing of its own was closed meanwhile.
+// A machine runs out of descriptors while a client waits in the listener's queue. The loop has to accept it once there are
+// descriptors again, even though the loop itself closed nothing meanwhile, and has to pause before it tries.
 func TestListenerRetriesAfterDescriptorsRunOut(t *testing.T) {
 	h := &told{acceptQuota: 1}
 	l, client := newListeningLoop(t, h)
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	exhausted := limit
-	exhausted.Cur = 3 // no further one: what is open stays
+	exhausted.Cur = 3 // no new descriptor; open ones stay
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &exhausted); err != nil {
 		t.Fatal(err)
 	}
@@ -29,12 +29,12 @@
 		t.Fatal(err)
 	}
 	if id != 0 || !disabled {
-		t.Fatal("taken without a descriptor, or asked for again at once", id, disabled)
+		t.Fatal("accepted without a descriptor, or retried at once", id, disabled)
 	}
 	from := monotonicMicros()
 	runUntil(t, l, func() bool { return h.lastID > 0 })
 	if monotonicMicros()-from < acceptRetryDelay/2 {
-		t.Fatal("asked for at once")
+		t.Fatal("accepted at once, without the retry delay")
 	}
 	c.Close()
 }
--- a/epoll/close_test.go
+++ b/epoll/close_test.go
@@ -14,9 +14,9 @@
 	"coursewinch/lines"
 )
 
-// told notes what a loop tells its handler, in order.
+// told is a handler that records its calls in order.
 type told struct {
-	acceptQuota int // connections that a turn may take
+	acceptQuota int // connections that an iteration may accept
 	lastID      uint64
 	in, out     lines.Ring
 	log         []string
@@ -48,12 +48,12 @@
 	}
 }
 
-// runUntil turns the loop until something is so.
+// runUntil runs the loop until done returns true.
 func runUntil(t *testing.T, l *Loop, done func() bool) {
 	t.Helper()
 	for from := time.Now(); !done(); {
 		if time.Since(from) > 10*time.Second {
-			t.Fatal("never so")
+			t.Fatal("condition not reached in 10 s")
 		}
 		if err := l.Wait(1000); err != nil {
 			t.Fatal(err)
@@ -62,6 +62,7 @@
 	}
 }
 
+// newListeningLoop returns a loop that listens on loopback, and a function that connects to it.
 func newListeningLoop(t *testing.T, h *told) (l *Loop, client func() *net.TCPConn) {
 	t.Helper()
 	l, err := New(50, h, nil)
@@ -83,18 +84,18 @@
 	}
 }
 
-// wantRest reads a connection to its end, which has to be one in order.
+// wantRest reads a connection to its end, which has to be a close and not a reset.
 func wantRest(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	text, err := io.ReadAll(c)
 	if err != nil {
-		t.Fatalf("cut off after %q: %v", text, err)
+		t.Fatalf("connection failed after %q: %v", text, err)
 	}
 	wantText(t, string(text), want)
 }
 
-// Guards the word to a client that is turned away against its own line, which comes a moment later, whole or the rest of
-// one: a socket closed by then resets the connection.
+// A refused client has to receive its BUSY although its line, or the rest of it, arrives after the refusal. If the socket
+// were closed by then, the line would reset the connection and the answer would be lost.
 func TestRefusedConnectionClosesGracefully(t *testing.T) {
 	for _, c := range []struct{ first, later string }{{"", "OPEN 1 2 c=chat,d=2000\r\n"}, {"OPEN 1 2 c=ch", "at,d=2000\r\n"},
 		{"OPEN 1 2 c=chat,d=2000\r\n", ""}} {
@@ -117,7 +118,8 @@
 	}
 }
 
-// waitUntilDelivered waits until what a client wrote lies at the other side, on loopback when the kernel has no unsent byte of it.
+// waitUntilDelivered waits until the bytes that a client wrote are at the other side: on loopback, when the kernel has no
+// unsent byte left.
 func waitUntilDelivered(t *testing.T, c *net.TCPConn) {
 	t.Helper()
 	raw, _ := c.SyscallConn()
@@ -126,7 +128,7 @@
 	}
 }
 
-// Guards a process at its end: those who wait at its listener are told, and stay until they have gone, but not for ever.
+// At the end of a process, clients in the listener's queue have to receive BUSY and time to close, up to a limit.
 func TestQueuedConnectionsAreRefusedGracefully(t *testing.T) {
 	l, client := newListeningLoop(t, &told{})
 	one, two, silent := client(), client(), client()
@@ -144,7 +146,7 @@
 	}
 	from := monotonicMicros()
 	l.RefuseQueued(300_000)
-	if took := monotonicMicros() - from; took < 190_000 || took > 5_000_000 { // as long as one waits, who says nothing
+	if took := monotonicMicros() - from; took < 190_000 || took > 5_000_000 { // one silent client keeps it waiting
 		t.Fatal(took)
 	}
 	wantText(t, <-results, "BUSY\r\n<nil>")
@@ -154,12 +156,12 @@
 	client()
 	from = monotonicMicros()
 	if l.RefuseQueued(50_000); monotonicMicros()-from > 190_000 {
-		t.Fatal("waits for longer than it may")
+		t.Fatal("waits longer than its timeout")
 	}
 }
 
-// Guards what a host said against the node's own write that fails after it, and against a line that never went being taken
-// for one that did.
+// A host answers and resets its connection, and then the node's write to it fails. The answer has to be reported before the
+// failure, and the unsent line has to stay in the output ring.
 func TestInputIsReadBeforeWriteFailureIsReported(t *testing.T) {
 	host, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer host.Close()
@@ -175,22 +177,23 @@
 	io.WriteString(c, "BUSY\r\n")
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	if n, err := unix.Poll([]unix.PollFd{{Fd: int32(l.FD(id))}}, 10_000); n != 1 || err != nil { // its reset is here
+	if n, err := unix.Poll([]unix.PollFd{{Fd: int32(l.FD(id))}}, 10_000); n != 1 || err != nil { // the reset has arrived
 		t.Fatal(n, err)
 	}
 	h.out.Put([]byte("OPEN 1 2 c=chat,d=2000\r\n"))
 	l.Touch(id)
 	if h.out.Len() == 0 {
-		t.Fatal("the line counts as sent")
+		t.Fatal("the failed write took the line from the ring")
 	}
 	runUntil(t, l, func() bool { return len(h.log) > 2 })
 	h.wantLog(t, "connected; received BUSY\r\n; ended true")
 	if l.Wait(0); l.eventCount != 0 {
-		t.Fatal("told again and again")
+		t.Fatal("events are reported after the end")
 	}
 }
 
-// Guards hosts against flows of clients whose end lies behind what nobody has read, or has not been told yet.
+// A client closes behind bytes that nobody has read, or without its close being reported yet. It has to be seen, so that no
+// flow is opened for it.
 func TestClosedClientsAreDetected(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"closed": func(c *net.TCPConn) { c.Close() },
@@ -200,23 +203,23 @@
 		c := client()
 		runUntil(t, l, func() bool { return h.lastID > 0 })
 		if l.Gone(h.lastID) {
-			t.Fatal("called gone while it is there")
+			t.Fatal("reported closed while it is connected")
 		}
 		io.WriteString(c, "OPEN")
 		leave(c)
 		for from := time.Now(); !l.Gone(h.lastID); {
 			if time.Since(from) > 10*time.Second {
-				t.Fatalf("%s: not seen", name)
+				t.Fatalf("%s: not detected", name)
 			}
 		}
 		if h.wantLog(t, ""); !l.Gone(7 << 32) {
-			t.Fatal("a client that nobody knows is there")
+			t.Fatal("an unknown id is reported as connected")
 		}
 	}
 }
 
-// Guards the word to a client that is let go against its line, which comes at that moment; and descriptors against those
-// who stay after it.
+// A client whose socket is closed detached has to receive the last answer although the rest of its line arrives at that
+// moment. Clients that do not close afterwards must not keep descriptors that the loop needs.
 func TestDetachedSocketClosesGracefully(t *testing.T) {
 	h := &told{acceptQuota: 1}
 	l, client := newListeningLoop(t, h)
@@ -227,7 +230,7 @@
 	h.out.Put([]byte("BUSY\r\n"))
 	l.Part(h.lastID)
 	if l.Room() != 50 {
-		t.Fatal("its place is taken still", l.Room())
+		t.Fatal("its place is still counted", l.Room())
 	}
 	io.WriteString(c, "at,d=2000\r\n")
 	c.CloseWrite()
@@ -235,8 +238,8 @@
 	wantRest(t, c, "BUSY\r\n")
 	for range 50 {
 		client()
-		was := h.lastID
-		runUntil(t, l, func() bool { return h.lastID > was })
+		previous := h.lastID
+		runUntil(t, l, func() bool { return h.lastID > previous })
 		l.Part(h.lastID)
 	}
 	if len(l.closing) > 50 {
@@ -244,12 +247,12 @@
 	}
 	l.SetMaxSockets(20)
 	if len(l.closing) > 20 {
-		t.Fatal(len(l.closing), "held where 20 may be")
+		t.Fatal(len(l.closing), "closing sockets where 20 are allowed")
 	}
-	for range 20 { // each new one finds a place
+	for range 20 { // each new client gets a place
 		client()
-		was := h.lastID
-		runUntil(t, l, func() bool { return h.lastID > was })
+		previous := h.lastID
+		runUntil(t, l, func() bool { return h.lastID > previous })
 	}
 	if len(l.closing) != 0 || l.Room() != 0 {
 		t.Fatal(len(l.closing), l.Room())
--- a/epoll/lag_test.go
+++ b/epoll/lag_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Lateness is computed from the start, end and timeout of each wait. Times are in microseconds.
 func TestLag(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -9,11 +10,11 @@
 		full       []bool
 		late, turn int64
 	}{
-		{"waited for what came", [][3]int64{{0, 500, 1000}, {700, 1500, 1000}}, []bool{false, false}, 0, 200},
-		{"found it ready after a long turn", [][3]int64{{0, 500, 1000}, {5500, 5510, 1000}}, []bool{false, false}, 5000, 5000},
-		{"and more was left over before", [][3]int64{{0, 500, 1000}, {5500, 5510, 0}, {8510, 8520, 0}}, []bool{false, true, false}, 8000, 3000},
-		{"was not given its core", [][3]int64{{0, 500, 1000}, {600, 9600, 1000}}, []bool{false, false}, 8000, 100},
-		{"a wait without end", [][3]int64{{0, 500, 1000}, {600, 90_600, -1}}, []bool{false, false}, 0, 100},
+		{"a wait that blocked", [][3]int64{{0, 500, 1000}, {700, 1500, 1000}}, []bool{false, false}, 0, 200},
+		{"events ready after a long iteration", [][3]int64{{0, 500, 1000}, {5500, 5510, 1000}}, []bool{false, false}, 5000, 5000},
+		{"events left over from the wait before", [][3]int64{{0, 500, 1000}, {5500, 5510, 0}, {8510, 8520, 0}}, []bool{false, true, false}, 8000, 3000},
+		{"the process was not given its core", [][3]int64{{0, 500, 1000}, {600, 9600, 1000}}, []bool{false, false}, 8000, 100},
+		{"a wait without a timeout", [][3]int64{{0, 500, 1000}, {600, 90_600, -1}}, []bool{false, false}, 0, 100},
 		{"the first wait", [][3]int64{{5000, 5010, 0}}, []bool{false}, 0, 0},
 		{"a clock that went back", [][3]int64{{0, 500, 1000}, {700, 650, 1000}}, []bool{false, false}, 200, 200},
 	} {
@@ -23,7 +24,7 @@
 			late, turn = l.WaitEnded(w[0], w[1], w[2], c.full[i])
 		}
 		if late != c.late || turn != c.turn {
-			t.Errorf("%s: late by %d after a turn of %d, not %d and %d", c.name, late, turn, c.late, c.turn)
+			t.Errorf("%s: late by %d after an iteration of %d, want %d and %d", c.name, late, turn, c.late, c.turn)
 		}
 	}
 }
--- a/epoll/loop_test.go
+++ b/epoll/loop_test.go
@@ -9,6 +9,7 @@
 	"coursewinch/lines"
 )
 
+// heard is a handler that records which sockets have ended.
 type heard struct{ closed []uint64 }
 
 func (h *heard) Spare() bool       { return true }
@@ -25,7 +26,7 @@
 func (h *heard) Sent(uint64)                {}
 func (h *heard) Ended(id uint64, err error) { h.closed = append(h.closed, id) }
 
-// Guards a new socket against an event meant for the one that had its place before.
+// An event for a closed socket must not reach the new socket at the same index.
 func TestStaleEventsAreIgnored(t *testing.T) {
 	h := &heard{}
 	l, err := New(10, h, nil)
@@ -38,7 +39,7 @@
 		l.events[0], l.eventCount = unix.EpollEvent{Events: unix.EPOLLIN, Fd: 0, Pad: generation}, 1
 		l.Dispatch()
 		if generation == 1 && len(h.closed) != 0 {
-			t.Fatal("told of the old socket's event")
+			t.Fatal("the event of the old socket was reported")
 		}
 	}
 	if len(h.closed) != 1 || h.closed[0] != id {
@@ -46,7 +47,7 @@
 	}
 }
 
-// Guards a connect that fails at once against being told within the call that asked for it.
+// A dial that fails at once must not be reported within the call of Dial, where the handler does not expect it.
 func TestDialFailureIsReportedInNextIteration(t *testing.T) {
 	h := &heard{}
 	l, err := New(10, h, nil)
@@ -66,7 +67,7 @@
 	}
 }
 
-// Guards a process that has handed a socket on against being told of it without end: both hold it.
+// After a handover two processes hold a socket. The one that handed it over must not go on receiving its events.
 func TestUnregisteredSocketReportsNoEvents(t *testing.T) {
 	l, err := New(10, &heard{}, nil)
 	if err != nil {
@@ -76,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, _ := unix.Dup(pair[0]) // as the other process has it
+	other, _ := unix.Dup(pair[0]) // held by the other process
 	defer unix.Close(other)
 	l.AddConnected(1<<32, pair[0], new(lines.Ring), new(lines.Ring))
 	l.Unregister(1 << 32)
@@ -87,7 +88,7 @@
 	}
 }
 
-// Two loops on loopback: what one sends reaches the other in a turn, with the address that it listens at.
+// A datagram between two loops on loopback arrives with the address that its sender listens at.
 func TestDatagramsReachOtherLoop(t *testing.T) {
 	got := ""
 	loop := func() (*Loop, netip.AddrPort) {
