--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Adapter runs the decision module on the simulator's wire, from standard input to standard output.
+// Adapter connects the balancer's decisions to the simulator, with its line protocol on standard input and output.
 package main
 
 import (
@@ -10,10 +10,14 @@
 	"coursewinch/simwire"
 )
 
+// gcPercent is the heap growth between collections: the default is 100.
+const gcPercent = 400
+
 func main() {
-	// The work is one loop: more threads would only spin, and rare collections keep a busy second within its share.
+	// The work is one loop, so more threads would only spin. Rare garbage collections keep the work of a busy second within
+	// the time that the simulator allows.
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(400)
+	debug.SetGCPercent(gcPercent)
 	if err := simwire.New(os.Stdin, os.Stdout).Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
--- a/simwire/door_test.go
+++ b/simwire/adapter_test.go
@@ -12,9 +12,11 @@
 	"Obligations.FallMultiple=3.0\tServiceTypes.count=1\tServiceTypes.0.Benefit=1.0\t" +
 	"ServiceTypes.0.Effect=safe\tServiceTypes.0.SetupTargetMs=300.0\tUnheardOf=1"
 
+// configuredBatch configures instance 2 with one server.
 const configuredBatch = "mark\t1000.0\nat\t2\nconfigure\t7\t" + settingsFields +
 	"\nannounce\tremembered\t1\t1\nitem\t10.0.0.1:70\t0\t0\t0\tup\t1\t-\nover_to_you\n"
 
+// runAdapter returns the replies to a whole input.
 func runAdapter(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -22,6 +24,7 @@
 	return out.String(), err
 }
 
+// A batch is answered with the calls that its events lead to, and a flow whose id was forgotten is ignored.
 func TestWholeBatches(t *testing.T) {
 	out, err := runAdapter(t, configuredBatch+
 		"mark\t1004.5\nat\t2\ndemand\tt/x\t0\t0\t-\t-\t-\t-\t240.25\nexpired\tt/gone\nover_to_you\n"+
@@ -45,16 +48,17 @@
 	}
 }
 
+// Input that breaks the protocol is an error with its line and field.
 func TestBadInput(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
-		{"mark\t10", "line 1: cut short"},
-		{"mark\tten\nover_to_you\n", "line 1: mark: field TMs is no time"},
+		{"mark\t10", "line 1: truncated"},
+		{"mark\tten\nover_to_you\n", "line 1: mark: field TMs is not a time"},
 		{"mark\t10\n", "line 2: the input ends within a batch"},
 		{"mark\t10\nat\t1\ntick_due\t1\nover_to_you\n", "has no settings"},
 		{"mark\t10\nat\t1\nconfigure\t1\tBalancers=0\nover_to_you\n", "line 3: configure: setting"},
 		{configuredBatch + "mark\t11\nat\t2\ndemand\tt/x\t0\t0\n", "line 9: demand: field Team is missing"},
-		{configuredBatch + "mark\t11\nat\t2\ntick_due\t1\t2\n", "line 9: tick_due: 1 parts too many"},
-		{configuredBatch + "mark\t11\nat\t2\ndemand\tt/x\t0\t4\t-\t-\t-\t-\t2\n", "field Priority is 4, out of 1"},
+		{configuredBatch + "mark\t11\nat\t2\ntick_due\t1\t2\n", "line 9: tick_due: 1 extra fields"},
+		{configuredBatch + "mark\t11\nat\t2\ndemand\tt/x\t0\t4\t-\t-\t-\t-\t2\n", "field Priority is 4, want less than 1"},
 		{configuredBatch + "mark\t11\nat\t2\nprobed\t9.9.9.9:1\tcompleted\t1\t-\n", "field Host is not on any list"},
 		{configuredBatch + "mark\t11\nat\t2\nnonsense\t1\n", "line 9: unknown message"},
 	} {
@@ -64,7 +68,7 @@
 	}
 }
 
-// Reports and messages that make no sense are left out, never believed, never fatal: only full hosts are told on.
+// Invalid load reports and peer messages are ignored and are not fatal. Only a saturated host is reported to the other nodes.
 func TestInvalidReportsAndMessagesAreIgnored(t *testing.T) {
 	peerMessages := strings.Replace(configuredBatch, "UnheardOf=1", "LoadReport.How=pull\tLoadReport.Names=waiting,x0\tLimits.Peers=true", 1)
 	for usage, published := range map[string]bool{"3,.95": true, "3,1e9": true, "3,.5": false, "3": false, "-": false, "3,-2": false, "3,NaN": false} {
@@ -79,6 +83,7 @@
 	}
 }
 
+// A missing setting is an error that names it.
 func TestMissingSettingIsNamed(t *testing.T) {
 	_, err := runAdapter(t, strings.Replace(configuredBatch, "Limits.MaxConnects=3\t", "", 1))
 	if err == nil || !strings.Contains(err.Error(), "setting Limits.MaxConnects is missing") {
