--- /dev/null
+++ b/cmd/coursewinch/predecessor.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"errors"
+	"log"
+	"os"
+
+	"coursewinch/handover"
+)
+
+// serveSuccessor sends a successor the state of this process, and handles its messages until either process ends.
+func (h *handoverManager) serveSuccessor(link *handover.Link) {
+	defer link.Close()
+	link.Within(stateTimeout)
+	m, _, err := link.Receive()
+	if err != nil || m.Hello == nil || m.Hello.Name != h.name || m.Hello.Listen != h.listen {
+		return
+	}
+	successor := &other{h, link}
+	var state *handover.State
+	ok := false
+	h.runInLoop(func() {
+		if state, ok = h.node.Heir(successor); ok {
+			givenRoom := h.loop.Room() * 3 / 4
+			h.loop.SetMaxSockets(h.loop.MaxSockets() - givenRoom)
+			state.Room = max(givenRoom-h.reservedDescriptors, minKeptSockets)
+			h.setMemoryShare(2)
+		}
+	})
+	if !ok {
+		link.SendWait(&handover.Message{Refused: "another new version is at it"})
+		return
+	}
+	defer h.post(h.peerGone)
+	if err := h.sendState(link, state); err != nil {
+		log.Printf("msg=handover_failed why=%q", err)
+		return
+	}
+	h.post(h.node.HeirKnows)
+	link.Within(takeoverTimeout) // this process has given sockets away, and must not wait for a successor that hangs
+	h.receiveFromSuccessor(successor)
+}
+
+// sendState sends the state in parts, the last one with the clients' listener.
+func (h *handoverManager) sendState(link *handover.Link, state *handover.State) error {
+	parts, err := state.Parts()
+	if err != nil {
+		return err
+	}
+	for i, m := range parts {
+		var fds []int
+		if i == len(parts)-1 {
+			fds = []int{h.loop.ListenerFD()}
+		}
+		if err := link.SendWait(m, fds...); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// receiveFromSuccessor handles the successor's messages until the link ends.
+func (h *handoverManager) receiveFromSuccessor(successor *other) {
+	link := successor.link
+	for {
+		m, fds, err := link.Receive()
+		if err != nil {
+			if errors.Is(err, os.ErrDeadlineExceeded) {
+				log.Printf("msg=handover_failed why=%q", err)
+			}
+			return
+		}
+		closeAll(fds)
+		switch {
+		case m.Take:
+			link.Within(0)
+			h.post(func() { h.yieldTo(successor) })
+		case m.Drains != nil:
+			h.post(func() { h.node.HearDrains(m.Drains) })
+		}
+	}
+}
+
+// yieldTo stops accepting, and gives the successor the sockets that this process does not need any more.
+func (h *handoverManager) yieldTo(successor *other) {
+	h.loop.SetAccepting(false)
+	room := max(h.loop.Room()-minKeptSockets, 0)
+	h.loop.SetMaxSockets(h.loop.MaxSockets() - room)
+	successor.Tell(&handover.Message{Yield: &handover.Yield{Room: room, IDs: h.node.Yield()}})
+}
--- /dev/null
+++ b/cmd/coursewinch/successor.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"coursewinch/epoll"
+	"coursewinch/handover"
+	"coursewinch/node"
+)
+
+var errRefused = errors.New("refused")
+
+// isNotRunning reports whether a call of the predecessor failed because there is none.
+func isNotRunning(err error) bool {
+	return errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED)
+}
+
+// callPredecessor requests the state and the clients' listener of the running process. It retries while that process refuses.
+func (h *handoverManager) callPredecessor() (*handover.Link, *handover.State, int, error) {
+	for start := time.Now(); ; time.Sleep(refusedRetryInterval) {
+		link, err := handover.Dial(h.socketPath, connectTimeout)
+		if err != nil {
+			return nil, nil, -1, err
+		}
+		state, fd, err := h.requestState(link)
+		if err == nil {
+			return link, state, fd, nil
+		}
+		link.Close()
+		if !errors.Is(err, errRefused) || time.Since(start) > refusedRetryTime {
+			return nil, nil, -1, err
+		}
+	}
+}
+
+// requestState receives the predecessor's state in parts, and its clients' listener with the last one.
+func (h *handoverManager) requestState(link *handover.Link) (*handover.State, int, error) {
+	link.Within(stateTimeout)
+	if err := link.SendWait(&handover.Message{Hello: &handover.Hello{Name: h.name, Listen: h.listen}}); err != nil {
+		return nil, -1, err
+	}
+	var assembler handover.Assembly
+	for {
+		m, fds, err := link.Receive()
+		switch {
+		case err != nil:
+			return nil, -1, err
+		case m.Refused != "":
+			return nil, -1, fmt.Errorf("%w: %s", errRefused, m.Refused)
+		case m.State == nil:
+			closeAll(fds)
+			return nil, -1, errors.New("handover: the message has no state")
+		}
+		state, err := assembler.Add(m.State)
+		if err != nil {
+			closeAll(fds)
+			return nil, -1, err
+		}
+		if state != nil {
+			link.Within(0)
+			return state, fds[0], nil
+		}
+	}
+}
+
+// inheritFrom passes the predecessor's state to the node, and handles the predecessor's messages until it ends.
+func (h *handoverManager) inheritFrom(link *handover.Link, state *handover.State) {
+	predecessor := &other{h, link}
+	h.loop.SetMaxSockets(state.Room)
+	h.setMemoryShare(2)
+	h.node.Inherit(predecessor, state)
+	go func() {
+		defer link.Close()
+		for {
+			m, fds, err := link.Receive()
+			if err != nil {
+				break
+			}
+			h.post(func() { h.handleMessage(m, fds) })
+		}
+		h.post(h.peerGone)
+	}()
+}
+
+// handleMessage handles one message of the predecessor with the sockets that came with it.
+func (h *handoverManager) handleMessage(m *handover.Message, fds []int) {
+	h.loop.SetMaxSockets(h.loop.MaxSockets() + len(fds))
+	switch {
+	case m.Yield != nil:
+		h.loop.SetMaxSockets(h.loop.MaxSockets() + m.Yield.Room)
+		h.node.TakeIDs(m.Yield.IDs)
+	case m.Leave:
+		h.node.OldLeaves()
+	case m.Drains != nil:
+		h.node.HearDrains(m.Drains)
+	case m.Client != nil:
+		h.addAdopted(h.node.TakeClient(m.Client, epoll.PeerAddress(fds[0])), fds[0])
+	case m.Flow != nil:
+		client, link := h.node.TakeFlow(m.Flow, epoll.PeerAddress(fds[0]))
+		h.loop.AddConnected(client.ID, fds[0], client.In, client.Out)
+		h.loop.AddConnected(link.ID, fds[1], link.In, link.Out)
+		h.node.Resumed(client.ID)
+	default:
+		closeAll(fds)
+	}
+}
+
+// addAdopted adds the socket of an adopted client connection, and resumes it.
+func (h *handoverManager) addAdopted(adopted node.Adopted, fd int) {
+	h.loop.AddConnected(adopted.ID, fd, adopted.In, adopted.Out)
+	h.node.Resumed(adopted.ID)
+}
