--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Where a config file is not given, `make run` says what is missing.
+# Configuration file of `make run`, which fails with a message if the file is missing.
 GW_CONFIG ?= config.json
 
 .PHONY: build test lint run rehearse
--- a/citest/known_red_test.go
+++ b/citest/known_red_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// Guards CI against a list of known failures that grows, or that excuses what is not there.
+// The list of tests that are known to fail must not grow beyond three lines, and each line has to name an existing test with
+// a cause and an issue. Otherwise the script has to fail with a message.
 func TestKnownRedIsReadStrictly(t *testing.T) {
 	const good = "citest.TestKnownRedIsReadStrictly: a cause, with its figures (45)\n"
 	for text, want := range map[string]string{
@@ -38,7 +39,7 @@
 		c.Stderr = &stderr
 		out, err := c.Output()
 		if got := string(out); want == "fails" && (err == nil || !strings.Contains(stderr.String(), "\n")) || want != "fails" && (err != nil || got != want) {
-			t.Errorf("%q: got %q, %v, told %q", text, got, err, stderr.String())
+			t.Errorf("%q: got %q, %v, error output %q", text, got, err, stderr.String())
 		}
 	}
 	if out, err := exec.Command("../known-red.sh", "no such list", "..").Output(); err != nil || len(out) > 0 {
--- a/cmd/coursewinch/bench_test.go
+++ b/cmd/coursewinch/bench_test.go
@@ -14,7 +14,8 @@
 	"testing"
 )
 
-// relay is a plain copy on one core, for comparison: a goroutine a direction, a buffer of 32 KiB.
+// relay copies bytes between its clients and one host on one core, for comparison with the node. It uses one goroutine and a
+// buffer of 32 KiB for each direction.
 func relay(to string) {
 	runtime.GOMAXPROCS(1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +62,8 @@
 	bulkFlows      = 8
 )
 
-// startSink is a host that takes bulk and says a line now and then; got hears how much came.
+// startSink starts a host that receives bulk data and sends a line after each MiB. It calls received with the number of
+// bytes of each read.
 func startSink(b *testing.B, received func(int)) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,6 +107,7 @@
 	return l
 }
 
+// startBenchNode starts a node with one host and returns its address.
 func startBenchNode(b *testing.B, host string) (addr string) {
 	d := newDiscoveryFor(b, `{"rev":1,"all":true,"targets":[{"uid":"s-0","endpoint":"`+host+
 		`","az":"a","model":"m","pod_group":1,"state":"ready","capacity_hint":1.0,"boot_ms":0}]}`)
@@ -116,7 +119,7 @@
 	return startRole(b, "COURSEWINCH_MAIN=1", "GW_CONFIG="+path)
 }
 
-// startRole starts this binary in another role and gives the address that it listens on.
+// startRole starts this binary in another role and returns the address that it listens at.
 func startRole(b *testing.B, env ...string) string {
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), env...)
@@ -143,7 +146,7 @@
 	}
 }
 
-// BenchmarkPassed measures bulk in lines of 128 bytes over eight flows, through the node and through the plain relay.
+// BenchmarkPassed measures bulk data in lines of 128 bytes over eight flows, through the node and through the relay.
 func BenchmarkPassed(b *testing.B) {
 	for _, who := range []string{"node", "relay"} {
 		b.Run(who, func(b *testing.B) {
@@ -191,7 +194,7 @@
 	}
 }
 
-// openFlow opens one flow and waits until it is established; a host may need its probe first.
+// openFlow opens one flow and waits until it is established. It retries, because a host may have to be probed first.
 func openFlow(b *testing.B, addr string, no int) net.Conn {
 	for try := 0; ; try++ {
 		c, err := net.Dial("tcp", addr)
@@ -255,7 +258,7 @@
 	}
 }
 
-// residentBytes is what a process has in memory, in bytes.
+// residentBytes returns the resident memory of a process.
 func residentBytes(b *testing.B, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -267,14 +270,15 @@
 	return kb << 10
 }
 
-// BenchmarkIdleFlow measures what an established flow costs that says nothing: 450 of them, as 1,024 descriptors allow.
+// BenchmarkIdleFlow measures the memory of an established flow that sends nothing, with 450 flows, which 1,024 descriptors
+// allow.
 func BenchmarkIdleFlow(b *testing.B) {
 	const flows = 450
 	host := startSink(b, func(int) {}).Addr().String()
 	addr := startBenchNode(b, host)
 	var before int
 	for i := range flows + 50 {
-		if i == 50 { // the first ones warm the program up
+		if i == 50 { // the first flows are not measured: they warm the program up
 			before = residentBytes(b, lastPID)
 		}
 		c := openFlow(b, addr, i)
@@ -284,4 +288,4 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-var lastPID int // of the process that startSelf started last
+var lastPID int // of the process that startRole has started last
--- a/cmd/coursewinch/broken_link_test.go
+++ b/cmd/coursewinch/broken_link_test.go
@@ -8,8 +8,9 @@
 	"coursewinch/handover"
 )
 
-// The link between two processes of a node breaks after each of its messages: the one that runs goes on, with its listener and
-// what stands, its clients have one answer each and its host one connect for each, and another new version can take over.
+// The link between two processes of a node breaks after each of its messages. The running process has to keep its listener
+// and its flows, each client has to get one answer and the host one connect for each flow, and afterwards another new
+// version has to be able to take over.
 func TestLinkBrokenAfterEachMessage(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	l := listText(5, "ready", h)
@@ -54,13 +55,13 @@
 			}
 		}
 		if steps >= 5 && receive().Yield == nil {
-			t.Fatal("no yield")
+			t.Fatal("the message after taking over is not a yield")
 		}
 		link.Close()
 		if steps >= 1 {
 			p.waitForCount(t, "msg=other_process_gone", steps)
 		}
-		p.openFlow(t, "").wantLine(t, "UP 1\r\n") // at the listener, which has been let go of at two of these
+		p.openFlow(t, "").wantLine(t, "UP 1\r\n") // at the listener, which had stopped accepting in two of these steps
 		flows++
 		io.WriteString(established, "M\r\n")
 		established.wantLine(t, "M\r\n")
--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -17,7 +17,7 @@
 	"coursewinch/settings"
 )
 
-// steppedNode is a node on real sockets whose loop is turned by hand, on a clock that goes only where the test says so.
+// steppedNode is a node on real sockets whose loop iterations and clock are driven by the test.
 type steppedNode struct {
 	*nodeHandler
 	t    *testing.T
@@ -26,6 +26,7 @@
 	addr string
 }
 
+// newSteppedNode returns a node with room for so many sockets and a list of hosts.
 func newSteppedNode(t *testing.T, room int, hosts ...*fakeHost) *steppedNode {
 	t.Helper()
 	set, err := settings.JSON([]byte(settingsText))
@@ -50,7 +51,7 @@
 	return n
 }
 
-// step lets time pass and does one turn with what is there.
+// step advances the clock and runs one iteration with the events that are ready.
 func (n *steppedNode) step(us int64) {
 	n.t.Helper()
 	if err := n.loop.Wait(0); err != nil {
@@ -60,12 +61,12 @@
 	n.Turn(n.now, n.loop.Dispatch)
 }
 
-// stepUntil turns without time passing until something is so.
+// stepUntil runs iterations, which advance the clock by a microsecond each, until done returns true.
 func (n *steppedNode) stepUntil(what string, done func() bool) {
 	n.t.Helper()
 	for from := time.Now(); !done(); {
 		if time.Since(from) > testTimeout {
-			n.t.Fatal("never: " + what)
+			n.t.Fatal("not reached: " + what)
 		}
 		if err := n.loop.Wait(1000); err != nil {
 			n.t.Fatal(err)
@@ -86,7 +87,7 @@
 	return c.(*net.TCPConn)
 }
 
-// writeAndAwait writes and waits until the other side's kernel has it.
+// writeAndAwait writes and waits until the kernel of the other side has received all of it.
 func writeAndAwait(t *testing.T, c *net.TCPConn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// wantAll reads to an end in order; a connection that is reset may have lost what was said before.
+// wantAll reads to the end of a connection. The end must not be a reset, which may lose bytes sent before.
 func wantAll(t *testing.T, c *net.TCPConn, want string) {
 	t.Helper()
 	if text, err := io.ReadAll(c); err != nil || string(text) != want {
@@ -108,7 +109,8 @@
 
 const openLine = "OPEN %d 7f3a c=chat,d=2000\r\n"
 
-// A client that rests sends its line in the very moment in which a node that ends gives it its last word.
+// A client that has sent nothing sends its request at the moment when a stopping node answers it BUSY. The request must not
+// be accepted, and the client has to receive the answer.
 func TestRequestCrossesBusyAtStop(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	n := newSteppedNode(t, 100, h)
@@ -123,12 +125,12 @@
 	})
 	asked.SetReadDeadline(time.Now().Add(testTimeout))
 	n.Stop()
-	n.step(1_000_000) // the door is shut in this turn
+	n.step(1_000_000) // the node stops accepting in this iteration
 	n.step(10_000)
 	writeAndAwait(t, idle, fmt.Sprintf(openLine, 1))
 	writeAndAwait(t, asked, fmt.Sprintf(openLine, 2))
 	if n.Done() {
-		t.Fatal("ends over what has come")
+		t.Fatal("the node stopped before the requests were answered")
 	}
 	idle.CloseWrite()
 	asked.CloseWrite()
@@ -137,14 +139,15 @@
 	wantAll(t, idle, "BUSY\r\n")
 	wantAll(t, asked, "BUSY\r\n")
 	if n.Count.Taken != 0 || n.Count.Connects != 0 {
-		t.Fatal("a line behind the last word was taken", n.Count.Taken, n.Count.Connects)
+		t.Fatal("a request after the last answer was accepted", n.Count.Taken, n.Count.Connects)
 	}
 }
 
-// A client's line has come and is not read when its connection is let go for want of descriptors.
+// A client's request has arrived but is not read when its connection is shed because descriptors run out. The client has to
+// receive BUSY and a close.
 func TestRequestCrossesShedding(t *testing.T) {
 	n := newSteppedNode(t, 40)
-	for range 2 { // the first may be the front, and stays
+	for range 2 { // the first may be the front-end load balancer, and is not shed
 		c := n.dial()
 		writeAndAwait(t, c, "PING\r\n")
 	}
@@ -157,11 +160,11 @@
 	}
 	n.step(1_100_000)
 	writeAndAwait(t, idle, fmt.Sprintf(openLine, 3))
-	n.loop.SetMaxSockets(n.loop.MaxSockets() - n.loop.Room()) // none is left
+	n.loop.SetMaxSockets(n.loop.MaxSockets() - n.loop.Room()) // no descriptor is left
 	n.now += 1000
-	n.Turn(n.now, func() { n.Spare() }) // room for one more client; what has come is not read in this turn
+	n.Turn(n.now, func() { n.Spare() }) // asks for room for one more client; input is not read in this iteration
 	if n.Count.Shed != 2 {
-		t.Fatal("let go:", n.Count.Shed)
+		t.Fatal("connections shed:", n.Count.Shed)
 	}
 	said := make(chan string, 1)
 	go func() {
@@ -180,7 +183,8 @@
 	}
 }
 
-// A client says what it wants and leaves at once, in every way; both lie in the system's buffer when its line is read.
+// A client sends its request and closes at once, in one direction or both. Both are in the kernel's buffer when the request
+// is read. No connect may be made for it.
 func TestNoConnectForClientThatLeft(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	for i, leave := range []func(*net.TCPConn){func(c *net.TCPConn) { c.CloseWrite() }, func(c *net.TCPConn) { c.Close() }} {
@@ -191,12 +195,12 @@
 		leave(c)
 		n.stepUntil("left", func() bool { return n.Count.Left == 1 })
 		if n.Count.Connects != 0 || n.Count.Taken != 1 {
-			t.Fatal("a connect for nobody", n.Count.Connects)
+			t.Fatal("a connect was made for a client that left", n.Count.Connects)
 		}
 	}
 }
 
-// Two signals cross: each process ends once, in order, with what stands told to move.
+// Signals arrive while another one is handled. The process has to stop once, gracefully, with its flow asked to move.
 func TestOverlappingSignals(t *testing.T) {
 	for name, send := range map[string]func(p *program, conf string){
 		"SIGTERM twice": func(p *program, _ string) {
@@ -208,7 +212,7 @@
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.cmd.Process.Signal(syscall.SIGHUP)
 		},
-		"SIGINT while it ends": func(p *program, _ string) {
+		"SIGINT while it stops": func(p *program, _ string) {
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.waitFor(t, "msg=stopping")
 			p.cmd.Process.Signal(syscall.SIGINT)
@@ -234,11 +238,12 @@
 	}
 }
 
-// Idle clients fill all descriptors while discovery is away. At its return it is heard, and a flow has its host.
+// Idle clients use all descriptors while discovery is unreachable. When discovery is back at another address, the node has to
+// read its list, and a flow has to be established with the host of that list.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
 	d := newDiscovery(t, listText(9, "ready", b))
-	away, err := net.Listen("tcp", "127.0.0.1:0") // where discovery is to be, and nobody answers
+	away, err := net.Listen("tcp", "127.0.0.1:0") // the address of discovery, where nothing answers
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +255,7 @@
 		io.WriteString(c, "PING\r\n")
 	}
 	p.openFlow(t, "").wantLine(t, "UP a\r\n")
-	p.replaceConfig(t, configText(d, known, 60)) // it moves, and is back
+	p.replaceConfig(t, configText(d, known, 60)) // discovery is back at another address
 	p.waitFor(t, "msg=watching discovery="+d.addr)
 	p.openFlow(t, "").wantLine(t, "UP b\r\n")
 	away.Close()
--- a/cmd/coursewinch/main_test.go
+++ b/cmd/coursewinch/main_test.go
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// The program under test is this test binary, started anew with a variable that sends it into main.
+// TestMain runs the program under test, which is this test binary started with COURSEWINCH_MAIN=1 in its environment.
 func TestMain(m *testing.M) {
 	if os.Getenv("COURSEWINCH_MAIN") == "1" {
 		main()
@@ -32,9 +32,9 @@
 	os.Exit(m.Run())
 }
 
-const testTimeout = 20 * time.Second // for what must come; nothing waits this long when all is well
+const testTimeout = 20 * time.Second // for what has to happen; a passing test never waits this long
 
-// fakeHost is a stand-in for a host: it answers as its protocol page says, or with what say gives for an OPEN line.
+// fakeHost is a host for tests. It answers an OPEN line with answer, PING with PONG, and echoes all other lines.
 type fakeHost struct {
 	listener net.Listener
 	opens    chan string
@@ -76,7 +76,7 @@
 			select {
 			case h.opens <- line:
 				h.conns <- c
-			default: // of a crowd nobody reads
+			default: // the test does not read them all
 			}
 			io.WriteString(c, h.answer)
 		default:
@@ -85,12 +85,12 @@
 	}
 }
 
-// fakeDiscovery is a stand-in for discovery: every watch gets the whole list, then what is sent to lists.
+// fakeDiscovery is a discovery service for tests. Every watch gets the first list, then those that are sent to lists.
 type fakeDiscovery struct {
 	addr      string
 	queries   chan string
 	firstList string
-	lists     chan string // "" ends the watch
+	lists     chan string // an empty text ends the watch
 }
 
 func newDiscovery(t *testing.T, firstList string) *fakeDiscovery {
@@ -127,6 +127,7 @@
 	return d
 }
 
+// listText is a list of hosts as discovery sends it.
 func listText(rev int, state string, hosts ...*fakeHost) string {
 	var entries []string
 	for i, h := range hosts {
@@ -142,10 +143,10 @@
 "ServiceTypes":[{"Name":"chat","Benefit":1.0,"Effect":"safe","SetupTargetMs":300.0,"HardLimitMs":2000.0}],
 "Specifics":{"Groups":true,"Mode":"proxy","MessageAimMs":[60.0]}}`
 
-// program is the balancer as it runs, with all that it wrote.
+// program is a running node with its output.
 type program struct {
 	cmd        *exec.Cmd
-	configPath string // of its file
+	configPath string
 	addr       string
 	adminAddr  string
 	mu         sync.Mutex
@@ -162,13 +163,13 @@
 	return len(b), nil
 }
 
-// waitFor waits until the program has written something.
+// waitFor waits until the output contains text, and returns the whole output.
 func (p *program) waitFor(t *testing.T, text string) string {
 	t.Helper()
 	return p.waitForCount(t, text, 1)
 }
 
-// waitForCount waits until it has written something so many times.
+// waitForCount waits until the output contains text count times, and returns the whole output.
 func (p *program) waitForCount(t *testing.T, text string, count int) string {
 	t.Helper()
 	wake := time.AfterFunc(testTimeout, func() { p.mu.Lock(); p.written.Broadcast(); p.mu.Unlock() })
@@ -178,13 +179,14 @@
 	defer p.mu.Unlock()
 	for strings.Count(p.output.String(), text) < count {
 		if time.Since(start) > testTimeout {
-			t.Fatalf("no %q, %d times, in %s", text, count, p.output.String())
+			t.Fatalf("%q does not appear %d times in the output:\n%s", text, count, p.output.String())
 		}
 		p.written.Wait()
 	}
 	return p.output.String()
 }
 
+// prepareProgram returns a program with this configuration, which has not started yet.
 func prepareProgram(t *testing.T, config string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -205,7 +207,7 @@
 	return string(c)
 }
 
-// replaceConfig gives the program another file and says so.
+// replaceConfig writes another configuration file and sends SIGHUP.
 func (p *program) replaceConfig(t *testing.T, config string) {
 	t.Helper()
 	if err := os.WriteFile(p.configPath, []byte(config), 0o600); err != nil {
@@ -214,12 +216,13 @@
 	p.cmd.Process.Signal(syscall.SIGHUP)
 }
 
+// startNode starts a node without an admin address.
 func startNode(t *testing.T, d *fakeDiscovery, known string, sockets int) *program {
 	t.Helper()
 	return startProgram(t, prepareProgram(t, configText(d, known, sockets)))
 }
 
-// startNodeWithAdmin begins a node with an admin address, and a folder for what it hands over.
+// startNodeWithAdmin starts a node with an admin address and a folder for the handover socket.
 func startNodeWithAdmin(t *testing.T, d *fakeDiscovery, known string, sockets int, folder string) *program {
 	t.Helper()
 	p := prepareProgram(t, strings.Replace(configText(d, known, sockets), "{", `{"admin":"127.0.0.1:0",`, 1))
@@ -227,6 +230,7 @@
 	return startProgram(t, p)
 }
 
+// startProgram starts a prepared program and waits until it logs its addresses.
 func startProgram(t *testing.T, p *program) *program {
 	t.Helper()
 	if err := p.cmd.Start(); err != nil {
@@ -241,18 +245,19 @@
 	return p
 }
 
-// waitExit waits for the program's end.
+// waitExit waits until the program has exited.
 func (p *program) waitExit(t *testing.T) error {
 	t.Helper()
 	select {
 	case err := <-p.exited:
 		return err
 	case <-time.After(testTimeout):
-		t.Fatal("the program goes on")
+		t.Fatal("the program did not exit")
 		return nil
 	}
 }
 
+// testClient is a connection to the node.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -269,7 +274,7 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-// wantLine reads one line; "" stands for the end.
+// wantLine reads one line, which has to begin with want. An empty want stands for the end of the connection.
 func (c *testClient) wantLine(t *testing.T, want string) {
 	t.Helper()
 	line, err := c.reader.ReadString('\n')
@@ -281,8 +286,9 @@
 	}
 }
 
-var flowIDs atomic.Int64 // each flow has one of its own
+var flowIDs atomic.Int64 // each flow has a different id
 
+// openFlow connects and sends the OPEN line of a new flow.
 func (p *program) openFlow(t *testing.T, extra string) *testClient {
 	t.Helper()
 	c := p.dial(t)
@@ -290,17 +296,18 @@
 	return c
 }
 
+// Lines pass between client and host in both directions, and a line may arrive in pieces.
 func TestLinesPassBothWays(t *testing.T) {
 	h := newHost(t, "UP 77\r\nhello\r\n")
 	d := newDiscovery(t, listText(5, "ready", h))
 	p := startNode(t, d, listText(4, "ready", h), 200)
 	if q := <-d.queries; q != "watch=1&after=4" {
-		t.Fatalf("asked %q", q)
+		t.Fatalf("discovery got the query %q", q)
 	}
 	healthCheck := p.dial(t)
 	io.WriteString(healthCheck, "PING\r\nPI")
 	healthCheck.wantLine(t, "PONG\r\n")
-	io.WriteString(healthCheck, "NG\r\n") // a line may come in pieces
+	io.WriteString(healthCheck, "NG\r\n") // a line may arrive in pieces
 	healthCheck.wantLine(t, "PONG\r\n")
 	c := p.dial(t)
 	io.WriteString(c, "OPEN 9b1f 7f3a c=chat,d=2000,zz=1\r\n")
@@ -325,22 +332,24 @@
 	}
 }
 
+// A flow is established although one host is saturated and another one refuses connections.
 func TestConnectTriesNextHost(t *testing.T) {
-	full, sound := newHost(t, "BUSY\r\n"), newHost(t, "UP 1\r\n")
+	saturated, healthy := newHost(t, "BUSY\r\n"), newHost(t, "UP 1\r\n")
 	dead := newHost(t, "")
 	dead.listener.Close()
-	l := listText(5, "ready", full, dead, sound)
+	l := listText(5, "ready", saturated, dead, healthy)
 	p := startNode(t, newDiscovery(t, l), l, 200)
 	for range 6 {
 		p.openFlow(t, "").wantLine(t, "UP 1\r\n")
 	}
 }
 
+// A flow that no host can take, and a line that cannot be parsed, are answered at once and the connection is closed.
 func TestRejectedFlowsAreAnsweredAtOnce(t *testing.T) {
 	d := newDiscovery(t, `{"rev":1,"all":true,"targets":[]}`)
 	p := startNode(t, d, "null", 200)
 	c := p.openFlow(t, "")
-	c.wantLine(t, "BUSY 500\r\n") // half of what clients obey at most
+	c.wantLine(t, "BUSY 500\r\n") // half of the longest wait that clients accept
 	c.wantLine(t, "")
 	for _, line := range []string{"HELLO\r\n", "OPEN a b c=nothing,d=5\r\n", "OPEN a b c=chat,d=x\r\n",
 		strings.Repeat("x", 5000) + "\r\n"} {
@@ -351,9 +360,10 @@
 	}
 }
 
+// When the host or the client closes or breaks its connection, the other side's connection closes as well.
 func TestCloseReachesOtherSide(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
-	l := listText(5, "ready", h, h, h, h) // one that breaks a flow is left out for a while
+	l := listText(5, "ready", h, h, h, h) // a host that breaks a flow is skipped for a while
 	p := startNode(t, newDiscovery(t, l), l, 200)
 	for _, broken := range []bool{false, true} {
 		c := p.openFlow(t, "")
@@ -366,7 +376,7 @@
 		hc.Close()
 		c.wantLine(t, "")
 		if time.Since(from) > time.Second {
-			t.Fatal("ended late")
+			t.Fatal("the client's connection closed late")
 		}
 	}
 	c := p.openFlow(t, "")
@@ -375,10 +385,11 @@
 	c.Close()
 	hc.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := io.Copy(io.Discard, hc); os.IsTimeout(err) {
-		t.Fatal("the host's side stays")
+		t.Fatal("the host's connection was not closed")
 	}
 }
 
+// A flow that names its current host is connected to that host.
 func TestRejoiningFlowReturnsToItsHost(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
 	l := listText(5, "ready", a, b)
@@ -388,28 +399,29 @@
 	}
 }
 
+// A watch that ends is made again from the last revision, and after a broken list from the revision before.
 func TestBrokenWatchResumesAfterLastRev(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
 	d := newDiscovery(t, listText(5, "ready", a))
 	p := startNode(t, d, "null", 200)
 	if q := <-d.queries; q != "watch=1&after=0" {
-		t.Fatalf("asked %q", q)
+		t.Fatalf("discovery got the query %q", q)
 	}
 	p.waitFor(t, "msg=watching") // asked is not yet told: a flow that comes before the list finds no host
 	p.openFlow(t, "").wantLine(t, "UP a\r\n")
 	d.lists <- listText(9, "ready", b)
-	d.lists <- "" // ends the watch, after the list has come
+	d.lists <- "" // ends the watch after the list has arrived
 	if q := <-d.queries; q != "watch=1&after=9" {
-		t.Fatalf("asked %q", q)
+		t.Fatalf("discovery got the query %q", q)
 	}
 	d.lists <- "no list"
 	p.waitFor(t, "msg=watch_lost")
-	if q := <-d.queries; q != "watch=1&after=5" { // what this stand-in told first, and so last
-		t.Fatalf("asked %q", q)
+	if q := <-d.queries; q != "watch=1&after=5" { // the revision of the first list, which each watch sends
+		t.Fatalf("discovery got the query %q", q)
 	}
 }
 
-// Guards a node in service: a new file changes what it watches, and one that can't be used changes nothing.
+// A new configuration file changes which discovery the node watches. A file that cannot be used changes nothing.
 func TestConfigReload(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
 	first, second := newDiscovery(t, listText(50, "ready", a)), newDiscovery(t, listText(1, "ready", b))
@@ -420,17 +432,18 @@
 	p.waitFor(t, "msg=config_kept")
 	p.replaceConfig(t, configText(second, "null", 200))
 	if q := <-second.queries; q != "watch=1" {
-		t.Fatalf("asked %q", q)
+		t.Fatalf("discovery got the query %q", q)
 	}
 	p.waitFor(t, "discovery="+second.addr+" rev=1 all=true")
 	p.replaceConfig(t, strings.Replace(configText(second, "null", 200), "{", `{"holding":{"groups":7},"admission":{"per_address":9},`, 1))
 	p.waitFor(t, `next_start="admission,holding"`)
 	p.replaceConfig(t, strings.Replace(configText(second, "null", 200), `"cores"`, `"_":0,"cores"`, 1))
-	p.waitFor(t, `next_start=""`) // as it was at the start: what an earlier file said is not kept
+	p.waitFor(t, `next_start=""`) // equal to the start: an earlier file is not kept
 	p.openFlow(t, "").wantLine(t, "UP b\r\n")
 }
 
-// Guards usual clients against hundreds that connect and say nothing, and operators' calls against both and half calls.
+// Clients and operators are served although a hundred clients connect and send nothing, and a hundred operators' connections
+// send half a request.
 func TestSilentConnectionsBlockNobody(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	l := listText(5, "ready", h)
@@ -453,6 +466,7 @@
 	}
 }
 
+// With few descriptors some flows are established and the others get BUSY.
 func TestFewDescriptors(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	l := listText(5, "ready", h)
@@ -475,8 +489,8 @@
 	}
 }
 
-// Guards clients against being cut off by a restart: those that stand are told to move, those that still come are
-// taken, and the program ends well.
+// A restart must not cut clients off: on SIGTERM, established flows are asked to move, a flow that still arrives is
+// established and moved as well, and the program exits without an error.
 func TestGracefulStop(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	l := listText(5, "ready", h)
@@ -503,17 +517,18 @@
 	}
 }
 
-// configWithPeers is a file with other nodes in it.
+// configWithPeers is a configuration with other nodes, and with the settings' value of Peers.
 func configWithPeers(peers, allowed string) string {
 	return `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peers":{` + peers + `},"settings":` +
 		strings.Replace(settingsText, `"Probing"`, `"Peers":`+allowed+`,"Probing"`, 1) + `}`
 }
 
-// configWithCluster is a file with a fleet in it.
+// configWithCluster is a configuration with a fleet.
 func configWithCluster(cluster string) string {
 	return `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","cluster":` + cluster + `,"settings":` + settingsText + `}`
 }
 
+// A configuration that cannot be used ends the program with an error and one line.
 func TestUnusableConfig(t *testing.T) {
 	for _, config := range []string{"", "{", `{"listen":"x"}`, `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1"}`,
 		`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"zz","settings":` + settingsText + `}`,
@@ -546,7 +561,7 @@
 	}
 }
 
-// callAdmin makes one call on the admin address.
+// callAdmin sends one request to the admin address.
 func (p *program) callAdmin(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
 	r, _ := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
--- a/cmd/coursewinch/roll_test.go
+++ b/cmd/coursewinch/roll_test.go
@@ -17,7 +17,8 @@
 	"coursewinch/handover"
 )
 
-// loadClients is clients that come, talk and go, and some that stay; it counts what their flows came to.
+// loadClients are clients under load: transient ones send some lines and leave, persistent ones stay. They count how their
+// flows ended.
 type loadClients struct {
 	addr     string
 	mu       sync.Mutex
@@ -45,7 +46,7 @@
 	return c
 }
 
-// runFlow is one connection from its first line to its end.
+// runFlow runs one flow from its connect to its end, and returns "up" or what went wrong.
 func (c *loadClients) runFlow(lines int) string {
 	conn, err := net.Dial("tcp", c.addr)
 	if err != nil {
@@ -55,30 +56,31 @@
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	r := bufio.NewReader(conn)
 	open := fmt.Sprintf("OPEN %d 7f3a c=chat,d=2000,g=5c0f\r\n", flowIDs.Add(1))
-	io.WriteString(conn, open[:9]) // cut at any byte
+	io.WriteString(conn, open[:9]) // the line arrives in two pieces
 	time.Sleep(time.Millisecond)
 	io.WriteString(conn, open[9:])
 	if line, err := r.ReadString('\n'); line != "UP 1\r\n" {
-		return fmt.Sprintf("no UP but %q, %v", line, err)
+		return fmt.Sprintf("got %q, %v instead of UP", line, err)
 	}
 	for i := 0; i < lines && !c.stopped.Load(); i++ {
 		time.Sleep(500 * time.Microsecond)
 		sent := fmt.Sprintf("M %d %s\r\n", i, strings.Repeat("x", i%900))
 		io.WriteString(conn, sent)
 		if line, err := r.ReadString('\n'); line != sent {
-			return fmt.Sprintf("no echo but %q, %v", line, err)
+			return fmt.Sprintf("got %q, %v instead of the echo", line, err)
 		}
 	}
 	return "up"
 }
 
+// startHostsAndDiscovery starts three hosts and a discovery with their list.
 func startHostsAndDiscovery(t *testing.T) (l string, d *fakeDiscovery) {
 	t.Helper()
 	l = listText(5, "ready", newHost(t, "UP 1\r\n"), newHost(t, "UP 1\r\n"), newHost(t, "UP 1\r\n"))
 	return l, newDiscovery(t, l)
 }
 
-// waitReady waits until a process says yes.
+// waitReady waits until a process is ready for clients.
 func (p *program) waitReady(t *testing.T) *program {
 	t.Helper()
 	for from := time.Now(); time.Since(from) < testTimeout; time.Sleep(5 * time.Millisecond) {
@@ -86,11 +88,11 @@
 			return p
 		}
 	}
-	t.Fatal("never ready")
+	t.Fatal("the process did not become ready")
 	return nil
 }
 
-// stop tells a process to end, and gives what it said.
+// stop sends SIGTERM, waits for the exit, and returns the output.
 func (p *program) stop(t *testing.T) string {
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
@@ -100,6 +102,7 @@
 	return p.waitFor(t, "msg=stopped")
 }
 
+// metricValue returns a figure from a metrics page or a log line.
 func metricValue(t *testing.T, text, name string) (v int) {
 	t.Helper()
 	_, rest, ok := strings.Cut("\n"+strings.ReplaceAll(text, " ", "\n"), "\n"+name+"=")
@@ -109,8 +112,9 @@
 	return v
 }
 
-// Guards clients of a node whose version is rolled and rolled back under load: none is refused, moved or cut off, and
-// the figures of all three processes together are what the clients saw. Drained at the end, it moves all that stay.
+// A version is rolled and rolled back under load. No client may be refused, moved or cut off, and the counters of all three
+// processes have to add up to what the clients saw. A drain at the end moves the flows that remain, and the node stays
+// drained over a reload of its configuration.
 func TestRollUnderLoad(t *testing.T) {
 	l, d := startHostsAndDiscovery(t)
 	folder := t.TempDir()
@@ -118,10 +122,10 @@
 	c := startLoadClients(running.addr, 12, 8)
 	success, handed := 0, 0
 	for range 2 {
-		time.Sleep(200 * time.Millisecond) // load, not proof
+		time.Sleep(200 * time.Millisecond) // lets load build up; no check depends on it
 		next := startNodeWithAdmin(t, d, l, 400, folder).waitReady(t)
 		if next.addr != running.addr {
-			t.Fatal("another listener:", next.addr)
+			t.Fatal("the new process has another address:", next.addr)
 		}
 		text := running.stop(t)
 		success += metricValue(t, text, "success")
@@ -135,14 +139,14 @@
 	c.running.Wait()
 	_, body := running.callAdmin(t, "GET", "/-/metrics")
 	if success += metricValue(t, body, "success.chat"); success != c.outcomes["up"] || len(c.outcomes) != 1 || success < 50 || handed < 16 {
-		t.Fatal(success, "told, seen", c.outcomes, handed, "handed on")
+		t.Fatal(success, "counted by the nodes, by the clients", c.outcomes, handed, "handed over")
 	}
 	held := running.openFlow(t, "")
 	held.wantLine(t, "UP 1\r\n")
 	if status, body := running.callAdmin(t, "PUT", "/-/drain"); status != 200 || body != "drained\n" {
 		t.Fatal(status, body)
 	}
-	running.cmd.Process.Signal(syscall.SIGHUP) // the node stays drained
+	running.cmd.Process.Signal(syscall.SIGHUP) // a reload does not end the drain
 	running.waitFor(t, "msg=config_read")
 	held.wantLine(t, "MOVE\r\n")
 	held.wantLine(t, "")
@@ -155,10 +159,10 @@
 	running.waitReady(t).openFlow(t, "").wantLine(t, "UP 1\r\n")
 }
 
-// Each step of a hand-over, with the one or the other process killed or hung at it.
+// One of the two processes is killed or hangs at each step of a handover. The other one has to serve clients.
 func TestHandoverProcessKilledAtEachStep(t *testing.T) {
 	l, d := startHostsAndDiscovery(t)
-	silentListener, err := net.Listen("tcp", "127.0.0.1:0") // discovery that says nothing: the new process goes on joining
+	silentListener, err := net.Listen("tcp", "127.0.0.1:0") // discovery that does not answer: the new process stays joining
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,38 +174,38 @@
 	old := begin(d)
 	held := old.openFlow(t, "")
 	held.wantLine(t, "UP 1\r\n")
-	t.Log("new killed before it takes")
+	t.Log("new process killed before it accepts")
 	begin(silentDiscovery).cmd.Process.Kill()
 	old.waitFor(t, "msg=other_process_gone yielded=false")
 	serves(old)
-	t.Log("new killed after it took")
+	t.Log("new process killed after it accepted")
 	begin(d).waitReady(t).cmd.Process.Kill()
 	old.waitFor(t, "msg=other_process_gone yielded=true")
 	serves(old)
-	t.Log("new hangs before it takes, and is killed")
+	t.Log("new process hangs before it accepts, and is killed")
 	hung := begin(silentDiscovery)
 	hung.cmd.Process.Signal(syscall.SIGSTOP)
 	old.waitFor(t, "msg=handover_failed")
 	serves(old)
 	hung.cmd.Process.Kill()
-	t.Log("old told to end before the new has taken")
+	t.Log("old process stopped before the new one accepts")
 	successor := begin(silentDiscovery)
 	old.stop(t)
 	serves(successor)
 	io.WriteString(held, "M 1\r\n")
 	held.wantLine(t, "M 1\r\n")
-	t.Log("old killed after the new took")
+	t.Log("old process killed after the new one accepted")
 	next := begin(d).waitReady(t)
 	successor.cmd.Process.Kill()
 	next.waitFor(t, "msg=other_process_gone")
 	serves(next)
-	t.Log("none left but the name")
+	t.Log("no process left, but the socket's path")
 	next.cmd.Process.Kill()
 	<-next.exited
 	serves(begin(d))
 }
 
-// Guards a start against a folder that can't be used: it serves, and says once that nothing is handed over.
+// With a handover folder that cannot be used, the node serves clients and logs once that the handover is off.
 func TestUnusableHandoverFolders(t *testing.T) {
 	l, d := startHostsAndDiscovery(t)
 	taken := t.TempDir()
@@ -212,13 +216,13 @@
 		p := startNodeWithAdmin(t, d, l, 400, folder)
 		p.openFlow(t, "").wantLine(t, "UP 1\r\n")
 		if n := strings.Count(p.waitFor(t, "msg=handover_off"), "msg=handover_"); n != 1 {
-			t.Errorf("%q: said %d times", folder, n)
+			t.Errorf("%q: logged %d times", folder, n)
 		}
 	}
 }
 
-// A node of a fleet that keeps a limit has its address for links alone: a new version waits until the old one has handed
-// over, and a process that nobody hands anything to ends with one line.
+// Only one process of a node may be bound to its cluster address if the fleet keeps a limit. A new version waits until the
+// old one has handed over. A process that gets nothing handed over ends with an error and one line.
 func TestRollWithExclusiveClusterAddress(t *testing.T) {
 	l, d := startHostsAndDiscovery(t)
 	free, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -243,7 +247,7 @@
 	}
 	next := begin()
 	next.waitFor(t, "msg=cluster listen="+at)
-	next.waitReady(t).openFlow(t, "").wantLine(t, "UP 1\r\n") // the other node is away: the own part
+	next.waitReady(t).openFlow(t, "").wantLine(t, "UP 1\r\n") // the other node is unreachable, so this node grants its own share
 	if _, body := next.callAdmin(t, "GET", "/-/metrics"); metricValue(t, body, "limit.address.rate.alone") != 1 || metricValue(t, body, "cluster_linked") != 0 {
 		t.Error(body)
 	}
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -11,6 +11,7 @@
 	"coursewinch/rehearsal/trial"
 )
 
+// experimentCommand compares variants over many seeds.
 func experimentCommand() *cobra.Command {
 	var variants []string
 	var html string
@@ -18,11 +19,11 @@
 	plan := trial.Plan{First: 1}
 	c := &cobra.Command{
 		Use:   "experiment SCRIPT...",
-		Short: "Play scripts over many seeds with several builds, settings or baselines, and compare",
-		Long: "Experiment plays each script with each variant over the same seeds, in parallel over cores, and gives mean\n" +
+		Short: "Play scripts over many seeds with several builds, settings or baselines, and compare them",
+		Long: "Experiment plays each script with each variant over the same seeds, in parallel over cores, and prints mean\n" +
 			"differences from the first variant with 95 % bootstrap intervals. Variants are module, baseline:NAME,\n" +
 			"build:PROGRAM (another build of rehearse) and set:KEY=VALUE[;KEY=VALUE]; NAME@ before one names it.\n" +
-			"The script name all stands for every shipped script but full-size and full-core.",
+			"The script name all stands for every shipped script except full-size and full-core.",
 		Example: "  rehearse experiment all --variant module --variant baseline:random --seeds 20\n" +
 			"  rehearse experiment busy-evening --variant module --variant few@set:node.max_connects=1\n" +
 			"  rehearse experiment zone-cut --variant now@module --variant before@build:old/rehearse --html out.html",
@@ -47,7 +48,7 @@
 				plan.Variants = append(plan.Variants, v)
 			}
 			if plan.Seeds < 1 {
-				return fmt.Errorf("%d seeds: one at least", plan.Seeds)
+				return fmt.Errorf("%d seeds: at least one is required", plan.Seeds)
 			}
 			plan.Progress = func(done, all int) {
 				if step := max(all/20, 1); !quiet && (done%step == 0 || done == all) {
@@ -81,11 +82,11 @@
 			return nil
 		},
 	}
-	c.Flags().StringArrayVar(&variants, "variant", []string{"module"}, "what to compare; the first is the reference")
-	c.Flags().IntVar(&plan.Seeds, "seeds", 20, "seeds a script and variant")
-	c.Flags().Uint64Var(&plan.First, "first-seed", 1, "the first of them")
-	c.Flags().IntVar(&plan.Workers, "workers", 0, "runs at once; 0 for one a core")
-	c.Flags().BoolVar(&quiet, "quiet", false, "tell no progress")
+	c.Flags().StringArrayVar(&variants, "variant", []string{"module"}, "a variant to compare; the first one is the reference")
+	c.Flags().IntVar(&plan.Seeds, "seeds", 20, "seeds for each script and variant")
+	c.Flags().Uint64Var(&plan.First, "first-seed", 1, "the first seed")
+	c.Flags().IntVar(&plan.Workers, "workers", 0, "concurrent runs; 0 for one per core")
+	c.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
 	c.Flags().StringVar(&html, "html", "", "write a page with plots to this `file`")
 	c.Flags().BoolVar(&asJSON, "json", false, "print figures as JSON")
 	return c
--- a/cmd/rehearse/live.go
+++ b/cmd/rehearse/live.go
@@ -10,7 +10,7 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// defaultNodeProgram is the node that lies beside this program.
+// defaultNodeProgram returns the path of the node's program in the folder of this program.
 func defaultNodeProgram() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -19,6 +19,7 @@
 	return filepath.Join(filepath.Dir(self), "coursewinch")
 }
 
+// liveCommand plays a script with real processes.
 func liveCommand() *cobra.Command {
 	var opt live.Options
 	var out outputs
@@ -26,7 +27,7 @@
 		Use:   "live SCRIPT",
 		Short: "Play a script against real node processes on loopback, in real time",
 		Long: "Live starts the script's nodes as processes on addresses of 127.0.0.0/8 and plays the same fleet behind real\n" +
-			"sockets. When the machine ran late the run is void, exit code 3, and says nothing of the node.",
+			"sockets. If the machine ran late, the run is void (exit code 3) and proves nothing about the node.",
 		Example: "  rehearse live calm-evening\n  rehearse live busy-evening --node-logs logs --seed 4",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -41,10 +42,10 @@
 			return out.write(r)
 		},
 	}
-	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
+	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed instead of the script's")
 	c.Flags().StringVar(&opt.Program, "node", defaultNodeProgram(), "the node's `program`")
-	c.Flags().StringVar(&opt.Logs, "node-logs", "", "`folder` for the nodes' files and logs; a temporary one without")
-	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` in which nodes write captures")
+	c.Flags().StringVar(&opt.Logs, "node-logs", "", "`folder` for the nodes' files and logs; a temporary one if empty")
+	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` where the nodes write captures")
 	out.addFlags(c)
 	return c
 }
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,4 +1,5 @@
-// Rehearse plays incidents before they happen: an emulated fleet round the real node, in virtual time or on loopback.
+// Rehearse tests the node with an emulated fleet: it plays scripts of clients, hosts and faults in virtual time, or in real
+// time on loopback, and checks each run against rules.
 package main
 
 import (
@@ -11,14 +12,14 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes.
+// Exit codes of the program.
 const (
-	exitUsage  = 1 // a script, file or flag that can't be used
+	exitUsage  = 1 // a script, file or flag cannot be used
 	exitBroken = 2 // a rule was broken
-	exitVoid   = 3 // the machine ran late: the run says nothing
+	exitVoid   = 3 // the machine ran late, so the run proves nothing
 )
 
-// exitError is an error that carries its code. Its text may be empty where all was said.
+// exitError is an error with the exit code of the program. Its text is empty if the reason has been printed.
 type exitError struct {
 	code int
 	text string
@@ -29,13 +30,14 @@
 func main() {
 	root := &cobra.Command{
 		Use:   "rehearse",
-		Short: "Plays incidents on an emulated fleet round the real node",
+		Short: "Play incidents on an emulated fleet around the real node",
 		Long: "Rehearse plays scripts of fleets, clients and faults, and checks every run against the rules.\n\n" +
-			"Exit codes: 0 all well; 1 a script, file or flag can't be used; 2 a rule was broken; 3 the run is void\n" +
+			"Exit codes: 0 success; 1 a script, file or flag cannot be used; 2 a rule was broken; 3 the run is void\n" +
 			"because the machine ran late.",
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	root.AddCommand(playCommand(), liveCommand(), replayCommand(), experimentCommand(), sweepCommand(), reportCommand(), checkCommand(), scriptsCommand())
+	root.AddCommand(playCommand(), liveCommand(), replayCommand(), experimentCommand(), sweepCommand(), reportCommand(),
+		checkCommand(), scriptsCommand())
 	err := root.Execute()
 	if err == nil {
 		return
@@ -51,7 +53,7 @@
 	os.Exit(code)
 }
 
-// redirectLogs sends the nodes' log lines to a file, or nowhere.
+// redirectLogs writes the nodes' log lines to a file, or discards them if path is empty. The result closes the file.
 func redirectLogs(path string) (restore func(), err error) {
 	log.SetOutput(io.Discard)
 	if path == "" {
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -13,7 +13,7 @@
 	"coursewinch/rehearsal/report"
 )
 
-// The program under test is this test binary, started anew with a variable that sends it into main.
+// TestMain runs the program under test, which is this test binary started with REHEARSE_MAIN=1 in its environment.
 func TestMain(m *testing.M) {
 	if os.Getenv("REHEARSE_MAIN") == "1" {
 		main()
@@ -22,6 +22,7 @@
 	os.Exit(m.Run())
 }
 
+// runRehearse runs the program in a folder and returns its output and exit code.
 func runRehearse(t *testing.T, dir string, args ...string) (stdout, stderr string, code int) {
 	t.Helper()
 	c := exec.Command(os.Args[0], args...)
@@ -37,6 +38,7 @@
 	return o.String(), e.String(), c.ProcessState.ExitCode()
 }
 
+// Each command prints what it is documented to print, ends with its exit code and does not panic.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
@@ -44,7 +46,7 @@
 	for _, c := range []struct {
 		args []string
 		code int
-		want string // in what it prints or complains of
+		want string // in its output or error output
 	}{
 		{[]string{"play", "calm-evening"}, 0, "rules: all kept"},
 		{[]string{"play", "zone-cut", "--seed", "3", "--html", "z.html", "--answers", "z.txt", "--logs", "z.log"}, 0, "seed 3"},
@@ -56,7 +58,7 @@
 		{[]string{"report", "small-twin", "--to", "r.html"}, 0, "written: r.html"},
 		{[]string{"replay", bad, "--fleet", "busy-evening"}, 1, "no capture: its first record"},
 		{[]string{"live", "calm-evening", "--node", "/nowhere/at/all"}, 1, "the node's program"},
-		{[]string{"experiment", "small-twin", "--seeds", "0"}, 1, "one at least"},
+		{[]string{"experiment", "small-twin", "--seeds", "0"}, 1, "at least one"},
 		{[]string{"experiment", "small-twin", "--variant", "worst"}, 1, "baseline:NAME"},
 		{[]string{"experiment", "small-twin", "--seeds", "2", "--quiet", "--variant", "module", "--variant", "self@build:" +
 			os.Args[0], "--html", "e.html"}, 0, "+0.000 (+0.000 to +0.000)"},
@@ -80,7 +82,8 @@
 	}
 }
 
-// TestBrokenRule plays clients that are too far away to have an answer in their time: exit code 2, and the flow's story.
+// Clients are too far away for an answer within their time, so a rule is broken: the exit code is 2, and the events of the
+// flow are printed.
 func TestBrokenRule(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "s.toml")
@@ -110,6 +113,6 @@
 		t.Errorf("breaches %v, exit code %d", sum.Breaches, code)
 	}
 	if out, _, _ = runRehearse(t, dir, "play", script); !strings.Contains(out, "broken: one final answer: no answer in 500 ms\nflow ") {
-		t.Errorf("no story told:\n%s", out)
+		t.Errorf("the flow's events are not printed:\n%s", out)
 	}
 }
--- a/cmd/rehearse/play.go
+++ b/cmd/rehearse/play.go
@@ -15,22 +15,23 @@
 	"coursewinch/rehearsal/virtual"
 )
 
-// outputs are where a run's results go.
+// outputs are the flags for the results of a run.
 type outputs struct {
 	json    bool
-	answers string
+	answers string // file, as the others
 	logs    string
 	html    string
 }
 
+// addFlags adds the flags to a command.
 func (o *outputs) addFlags(c *cobra.Command) {
 	c.Flags().BoolVar(&o.json, "json", false, "print figures as JSON")
 	c.Flags().StringVar(&o.html, "html", "", "write a page with plots to this `file`")
-	c.Flags().StringVar(&o.answers, "answers", "", "write the final answers, a line a flow, to this `file`")
+	c.Flags().StringVar(&o.answers, "answers", "", "write the final answers, one line for each flow, to this `file`")
 	c.Flags().StringVar(&o.logs, "logs", "", "write the nodes' log lines to this `file`")
 }
 
-// write writes a run's results and says with its error what came of it.
+// write writes the results of a run. It returns an exitError if the run is void or broke a rule.
 func (o *outputs) write(r *record.Run) error {
 	broken := rules.Check(r)
 	if o.answers != "" {
@@ -69,6 +70,7 @@
 	return nil
 }
 
+// playCommand plays a script in virtual time.
 func playCommand() *cobra.Command {
 	var opt virtual.Options
 	var out outputs
@@ -117,18 +119,19 @@
 			return err
 		},
 	}
-	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
-	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "another seed for the nodes' own chance")
-	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` in which nodes write captures")
-	c.Flags().StringVar(&holdings, "holdings", "", "write what nodes hold by purpose, each second, to this `file`")
+	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed instead of the script's")
+	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "separate seed for the nodes' random choices")
+	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` where the nodes write captures")
+	c.Flags().StringVar(&holdings, "holdings", "", "write what the nodes hold by purpose, each second, to this `file`")
 	out.addFlags(c)
 	return c
 }
 
+// checkCommand checks scripts without playing them.
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check SCRIPT...",
-		Short:   "Read scripts and tell every fault with its line",
+		Short:   "Check scripts and print errors with their lines",
 		Example: "  rehearse check my-script.toml",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -149,10 +152,11 @@
 	}
 }
 
+// scriptsCommand lists the shipped scripts.
 func scriptsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "scripts",
-		Short: "List the scripts that come with the program",
+		Short: "List the scripts that are included in the program",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			for _, name := range scenario.Shipped() {
--- a/cmd/rehearse/replay.go
+++ b/cmd/rehearse/replay.go
@@ -14,6 +14,7 @@
 	"coursewinch/rehearsal/virtual"
 )
 
+// replayCommand plays recorded clients.
 func replayCommand() *cobra.Command {
 	var fleet, flows string
 	var from time.Duration
@@ -21,9 +22,9 @@
 	var out outputs
 	c := &cobra.Command{
 		Use:   "replay CAPTURE...",
-		Short: "Play the clients of captures, as nodes wrote them, on a script's fleet",
-		Long: "Replay puts the captures of all nodes together, client by client over retries, breaks and moves, and plays\n" +
-			"them in virtual time on the fleet, with the faults, of a script. With --flows it also writes them as a file that\n" +
+		Short: "Play the clients of captures, which nodes have written, on a script's fleet",
+		Long: "Replay joins the captures of all nodes, client by client over retries, disconnects and moves, and plays them\n" +
+			"in virtual time on the fleet of a script, with its faults. With --flows it also writes them as a file that\n" +
 			"demand.flows of a script can name.",
 		Example: "  rehearse replay captures/*.capture --fleet busy-evening\n" +
 			"  rehearse replay captures/*.capture --fleet my-fleet.toml --flows evening.flows",
@@ -68,16 +69,17 @@
 			return out.write(r)
 		},
 	}
-	c.Flags().StringVar(&fleet, "fleet", "", "`script` whose fleet, clients' ways and faults are played")
+	c.Flags().StringVar(&fleet, "fleet", "", "`script` with the fleet, the behaviour of clients and the faults")
 	c.MarkFlagRequired("fleet")
 	c.Flags().StringVar(&flows, "flows", "", "write the clients to this `file`")
-	c.Flags().DurationVar(&from, "from", 0, "moment of the captures at which the script begins; captures of play and live\nbegin 3s before it")
-	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
-	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "another seed for the nodes' own chance")
+	c.Flags().DurationVar(&from, "from", 0, "time in the captures at which the script begins; captures of play and live\nbegin 3s before it")
+	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed instead of the script's")
+	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "separate seed for the nodes' random choices")
 	out.addFlags(c)
 	return c
 }
 
+// readCaptures reads capture files.
 func readCaptures(paths []string) (captures []*capture.Capture, err error) {
 	for _, path := range paths {
 		f, err := os.Open(path)
--- a/cmd/rehearse/report.go
+++ b/cmd/rehearse/report.go
@@ -12,12 +12,13 @@
 	"coursewinch/rehearsal/virtual"
 )
 
+// reportCommand plays a script and writes a page about the run.
 func reportCommand() *cobra.Command {
 	var opt virtual.Options
 	var to string
 	c := &cobra.Command{
 		Use:     "report SCRIPT",
-		Short:   "Play a script in virtual time and write a page with plots that opens without a network",
+		Short:   "Play a script in virtual time and write a page with plots that needs no network",
 		Example: "  rehearse report zone-cut --to zone-cut.html",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -47,7 +48,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&to, "to", "", "the page's `file`; the script's name with .html without")
-	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
+	c.Flags().StringVar(&to, "to", "", "`file` of the page; by default the script's name with .html")
+	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed instead of the script's")
 	return c
 }
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,4 @@
-// Package deploy holds operators' files; its tests build and start the programs as the files say.
+// Package deploy holds files for operators. Its tests build and start the programs with the commands of balancer.toml.
 package deploy
 
 import (
@@ -24,9 +24,10 @@
 "ServiceTypes":[{"Name":"chat","Benefit":1.0,"Effect":"safe","SetupTargetMs":300.0,"HardLimitMs":2000.0}],
 "Specifics":{"Groups":true,"Mode":"proxy","MessageAimMs":[60.0]}}`
 
+// commands are the shell commands of balancer.toml.
 type commands struct{ Build, Run, Sim string }
 
-// buildFromFile reads balancer.toml and runs its build line, from the root as operators do.
+// buildFromFile reads balancer.toml and runs its build command in the module's root, as operators do.
 func buildFromFile(t *testing.T) (root string, f commands) {
 	t.Helper()
 	root, err := filepath.Abs("..")
@@ -48,18 +49,20 @@
 	return root, f
 }
 
+// shell returns a shell command that runs in the module's root.
 func shell(root, line string) *exec.Cmd {
 	cmd := exec.Command("/bin/sh", "-c", line)
 	cmd.Dir = root
 	return cmd
 }
 
-// Guards the platform's terms: libraries can be loaded into the node, `run` ends as that one process, and it ends well.
+// The platform requires that libraries can be loaded into the node, that the run command becomes the node's process by exec,
+// and that this process stops without an error.
 func TestBuildAndRunCommands(t *testing.T) {
 	root, f := buildFromFile(t)
 	program, ok := strings.CutPrefix(f.Run, "exec ")
 	if !ok {
-		t.Fatalf("run %q does not end by exec", f.Run)
+		t.Fatalf("the run command %q does not begin with exec", f.Run)
 	}
 	e, err := elf.Open(filepath.Join(root, program))
 	if err != nil {
@@ -115,6 +118,7 @@
 	}
 }
 
+// The sim command starts the adapter, which answers an empty batch.
 func TestAdapterCommand(t *testing.T) {
 	root, f := buildFromFile(t)
 	cmd := shell(root, f.Sim)
