--- a/cmd/coursewinch/config.go
+++ b/cmd/coursewinch/config.go
@@ -23,7 +23,7 @@
 	defaultSockets   = 1024    // limit of descriptors if the file has none
 	defaultCaptureMB = 64      // limit of a capture's size if the file has none
 	maxCaptureMB     = 1 << 20 // highest limit of a capture's size
-	maxPeers         = 4096    // each gets datagrams of its own, so the file must not name any number of them
+	maxPeers         = 4096    // each message is sent to each of them; more are a mistake in the file
 )
 
 // config is the configuration file. Its exported fields are decoded from JSON under their names or tags.
--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -26,7 +26,7 @@
 	addr string
 }
 
-// newSteppedNode returns a node with room for so many sockets and a list of hosts.
+// newSteppedNode returns a node whose loop holds at most room sockets, with these hosts on its list.
 func newSteppedNode(t *testing.T, room int, hosts ...*fakeHost) *steppedNode {
 	t.Helper()
 	set, err := settings.JSON([]byte(settingsText))
@@ -166,15 +166,15 @@
 	if n.Count.Shed != 2 {
 		t.Fatal("connections shed:", n.Count.Shed)
 	}
-	said := make(chan string, 1)
+	result := make(chan string, 1)
 	go func() {
 		text, err := io.ReadAll(idle)
-		said <- fmt.Sprint(string(text), err)
+		result <- fmt.Sprint(string(text), err)
 	}()
 	for got := ""; got == ""; {
 		n.step(1)
 		select {
-		case got = <-said:
+		case got = <-result:
 			if got != "BUSY\r\n<nil>" {
 				t.Fatal(got)
 			}
--- a/cmd/coursewinch/handover.go
+++ b/cmd/coursewinch/handover.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// setMemoryShare sets the memory limit of one of so many processes.
+// setMemoryShare sets the memory limit of this process, if the node has this number of processes.
 func (h *handoverManager) setMemoryShare(processes int64) {
 	if h.memoryLimit > 0 {
 		debug.SetMemoryLimit(h.memoryLimit * 3 / 4 / processes)
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -40,7 +40,7 @@
 	refusalTimeout = 100_000 // at the end of the process, for refused clients to receive their answer
 )
 
-// wideRingShare: at most one part in so many of the memory limit is used for wide rings.
+// wideRingShare is the divisor of the memory limit that gives the memory for wide rings.
 const wideRingShare = 16
 
 var _ epoll.Handler = (*node.Node)(nil)
@@ -205,8 +205,8 @@
 	return nodeConfig
 }
 
-// now returns the time in microseconds on a monotonic clock. It begins at the wall clock's time, so that start times of hosts
-// need no conversion.
+// now returns the time in microseconds on a monotonic clock, which begins at the wall clock's time, so that the start times
+// of hosts need no conversion.
 func (p *process) now() int64 { return p.clockBase + time.Since(p.started).Microseconds() }
 
 // listen opens the sockets for operators, clients and other nodes.
--- a/cmd/coursewinch/main_test.go
+++ b/cmd/coursewinch/main_test.go
@@ -399,7 +399,7 @@
 	}
 }
 
-// A watch that ends is made again from the last revision, and after a broken list from the revision before.
+// A watch that ends, or brings a line that is not a list, is repeated from the last revision that the node has read.
 func TestBrokenWatchResumesAfterLastRev(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
 	d := newDiscovery(t, listText(5, "ready", a))
@@ -407,7 +407,7 @@
 	if q := <-d.queries; q != "watch=1&after=0" {
 		t.Fatalf("discovery got the query %q", q)
 	}
-	p.waitFor(t, "msg=watching") // asked is not yet told: a flow that comes before the list finds no host
+	p.waitFor(t, "msg=watching") // a flow that arrives before the list finds no host
 	p.openFlow(t, "").wantLine(t, "UP a\r\n")
 	d.lists <- listText(9, "ready", b)
 	d.lists <- "" // ends the watch after the list has arrived
--- a/epoll/lag_test.go
+++ b/epoll/lag_test.go
@@ -6,9 +6,10 @@
 func TestLag(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		waits      [][3]int64 // asleep, awake, wanted
+		waits      [][3]int64 // start, end, timeout
 		full       []bool
-		late, turn int64
+		lateness   int64 // of the last wait
+		iteration  int64
 	}{
 		{"a wait that blocked", [][3]int64{{0, 500, 1000}, {700, 1500, 1000}}, []bool{false, false}, 0, 200},
 		{"events ready after a long iteration", [][3]int64{{0, 500, 1000}, {5500, 5510, 1000}}, []bool{false, false}, 5000, 5000},
@@ -19,12 +20,12 @@
 		{"a clock that went back", [][3]int64{{0, 500, 1000}, {700, 650, 1000}}, []bool{false, false}, 200, 200},
 	} {
 		var l Lag
-		var late, turn int64
+		var lateness, iteration int64
 		for i, w := range c.waits {
-			late, turn = l.WaitEnded(w[0], w[1], w[2], c.full[i])
+			lateness, iteration = l.WaitEnded(w[0], w[1], w[2], c.full[i])
 		}
-		if late != c.late || turn != c.turn {
-			t.Errorf("%s: late by %d after an iteration of %d, want %d and %d", c.name, late, turn, c.late, c.turn)
+		if lateness != c.lateness || iteration != c.iteration {
+			t.Errorf("%s: late by %d after an iteration of %d, want %d and %d", c.name, lateness, iteration, c.lateness, c.iteration)
 		}
 	}
 }
