--- a/epoll/lag_test.go
+++ b/epoll/lag_test.go
@@ -5,11 +5,11 @@
 // Lateness is computed from the start, end and timeout of each wait. Times are in microseconds.
 func TestLag(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		waits      [][3]int64 // start, end, timeout
-		full       []bool
-		lateness   int64 // of the last wait
-		iteration  int64
+		name      string
+		waits     [][3]int64 // start, end, timeout
+		full      []bool
+		lateness  int64 // of the last wait
+		iteration int64
 	}{
 		{"a wait that blocked", [][3]int64{{0, 500, 1000}, {700, 1500, 1000}}, []bool{false, false}, 0, 200},
 		{"events ready after a long iteration", [][3]int64{{0, 500, 1000}, {5500, 5510, 1000}}, []bool{false, false}, 5000, 5000},
