--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -29,17 +29,7 @@
 			"  rehearse experiment zone-cut --variant now@module --variant before@build:old/rehearse --html out.html",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			for _, name := range args {
-				if name != "all" {
-					plan.Scripts = append(plan.Scripts, name)
-					continue
-				}
-				for _, s := range scenario.Shipped() {
-					if s != "full-size" && s != "full-core" {
-						plan.Scripts = append(plan.Scripts, s)
-					}
-				}
-			}
+			plan.Scripts = expandScripts(args)
 			for _, text := range variants {
 				v, err := trial.ParseVariant(text)
 				if err != nil {
@@ -51,11 +41,8 @@
 				return fmt.Errorf("%d seeds: at least one is required", plan.Seeds)
 			}
 			plan.Progress = func(done, all int) {
-				if step := max(all/20, 1); !quiet && (done%step == 0 || done == all) {
-					fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, all)
-				}
-				if done == all && !quiet {
-					fmt.Fprintln(os.Stderr)
+				if !quiet {
+					printProgress(done, all)
 				}
 			}
 			if _, err := redirectLogs(""); err != nil {
@@ -91,3 +78,29 @@
 	c.Flags().BoolVar(&asJSON, "json", false, "print figures as JSON")
 	return c
 }
+
+// expandScripts replaces the name all by the shipped scripts except full-size and full-core.
+func expandScripts(names []string) (scripts []string) {
+	for _, name := range names {
+		if name != "all" {
+			scripts = append(scripts, name)
+			continue
+		}
+		for _, s := range scenario.Shipped() {
+			if s != "full-size" && s != "full-core" {
+				scripts = append(scripts, s)
+			}
+		}
+	}
+	return scripts
+}
+
+// printProgress prints the number of finished runs after each twentieth of them.
+func printProgress(done, all int) {
+	if step := max(all/20, 1); done%step == 0 || done == all {
+		fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, all)
+	}
+	if done == all {
+		fmt.Fprintln(os.Stderr)
+	}
+}
--- a/cmd/rehearse/replay.go
+++ b/cmd/rehearse/replay.go
@@ -38,9 +38,9 @@
 			if err != nil {
 				return err
 			}
-			var left []string
-			s.Recorded, left = replay.ToScript(all, s, from.Microseconds())
-			for _, text := range left {
+			var skipped []string
+			s.Recorded, skipped = replay.ToScript(all, s, from.Microseconds())
+			for _, text := range skipped {
 				fmt.Fprintln(os.Stderr, "left out:", text)
 			}
 			if len(s.Recorded) == 0 {
@@ -48,12 +48,7 @@
 			}
 			s.Demand.Flows, s.Name = filepath.Base(flows), s.Name+" (replay)"
 			if flows != "" {
-				f, err := os.Create(flows)
-				if err != nil {
-					return err
-				}
-				defer f.Close()
-				if err := scenario.WriteFlows(f, s, s.Recorded); err != nil {
+				if err := writeFlows(flows, s); err != nil {
 					return err
 				}
 			}
@@ -95,3 +90,13 @@
 	}
 	return captures, nil
 }
+
+// writeFlows writes the recorded clients of a script to a file.
+func writeFlows(path string, s *scenario.Script) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	return scenario.WriteFlows(f, s, s.Recorded)
+}
