--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -17,23 +17,24 @@
 	"coursewinch/settings"
 )
 
-// turned is a node on real sockets whose loop is turned by hand, on a clock that goes only where the test says so.
-type turned struct {
-	*door
+// steppedNode is a node on real sockets whose loop iterations and clock are driven by the test.
+type steppedNode struct {
+	*nodeHandler
 	t    *testing.T
 	loop *epoll.Loop
 	now  int64
-	at   string
+	addr string
 }
 
-func byHand(t *testing.T, room int, hosts ...*standHost) *turned {
+// newSteppedNode returns a node whose loop holds at most room sockets, with these hosts on its list.
+func newSteppedNode(t *testing.T, room int, hosts ...*fakeHost) *steppedNode {
 	t.Helper()
-	set, err := settings.JSON([]byte(nested))
+	set, err := settings.JSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &turned{door: &door{}, t: t, now: 1_000_000_000}
-	if n.loop, err = epoll.New(room, n.door, func() {}); err != nil {
+	n := &steppedNode{nodeHandler: &nodeHandler{}, t: t, now: 1_000_000_000}
+	if n.loop, err = epoll.New(room, n.nodeHandler, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	n.Node = node.New(set, node.Config{Discovery: "127.0.0.1:1"}, n.loop)
@@ -41,17 +42,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.at = at.String()
+	n.addr = at.String()
 	var known discovery.List
 	for i, h := range hosts {
-		known.Entries = append(known.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: h.l.Addr().String(), Zone: "a", State: "ready", Size: 1})
+		known.Entries = append(known.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: h.listener.Addr().String(), Zone: "a", State: "ready", Size: 1})
 	}
 	n.Begin(n.now, known)
 	return n
 }
 
-// turn lets time pass and does one turn with what is there.
-func (n *turned) turn(us int64) {
+// step advances the clock and runs one iteration with the events that are ready.
+func (n *steppedNode) step(us int64) {
 	n.t.Helper()
 	if err := n.loop.Wait(0); err != nil {
 		n.t.Fatal(err)
@@ -60,12 +61,12 @@
 	n.Turn(n.now, n.loop.Dispatch)
 }
 
-// until turns without time passing until something is so.
-func (n *turned) until(what string, so func() bool) {
+// stepUntil runs iterations, which advance the clock by a microsecond each, until done returns true.
+func (n *steppedNode) stepUntil(what string, done func() bool) {
 	n.t.Helper()
-	for from := time.Now(); !so(); {
-		if time.Since(from) > patience {
-			n.t.Fatal("never: " + what)
+	for from := time.Now(); !done(); {
+		if time.Since(from) > testTimeout {
+			n.t.Fatal("not reached: " + what)
 		}
 		if err := n.loop.Wait(1000); err != nil {
 			n.t.Fatal(err)
@@ -75,19 +76,19 @@
 	}
 }
 
-func (n *turned) dial() *net.TCPConn {
+func (n *steppedNode) dial() *net.TCPConn {
 	n.t.Helper()
-	c, err := net.Dial("tcp", n.at)
+	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn)
 }
 
-// arrives writes and waits until the other side's kernel has it.
-func arrives(t *testing.T, c *net.TCPConn, text string) {
+// writeAndAwait writes and waits until the kernel of the other side has received all of it.
+func writeAndAwait(t *testing.T, c *net.TCPConn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
@@ -98,80 +99,82 @@
 	}
 }
 
-// all reads to an end in order; a connection that is reset may have lost what was said before.
-func all(t *testing.T, c *net.TCPConn, want string) {
+// wantAll reads to the end of a connection. The end must not be a reset, which may lose bytes sent before.
+func wantAll(t *testing.T, c *net.TCPConn, want string) {
 	t.Helper()
 	if text, err := io.ReadAll(c); err != nil || string(text) != want {
 		t.Fatalf("got %q, %v, want %q", text, err, want)
 	}
 }
 
-const opens = "OPEN %d 7f3a c=chat,d=2000\r\n"
+const openLine = "OPEN %d 7f3a c=chat,d=2000\r\n"
 
-// A client that rests sends its line in the very moment in which a node that ends gives it its last word.
-func TestLineCrossesTheLastWord(t *testing.T) {
+// A client that has sent nothing sends its request at the moment when a stopping node answers it BUSY. The request must not
+// be accepted, and the client has to receive the answer.
+func TestRequestCrossesBusyAtStop(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
-	n := byHand(t, 100, h)
-	rests, asked := n.dial(), n.dial()
-	n.until("accepted", func() bool { return n.Count.Accepted == 2 })
-	arrives(t, asked, "PING\r\n")
+	n := newSteppedNode(t, 100, h)
+	idle, asked := n.dial(), n.dial()
+	n.stepUntil("accepted", func() bool { return n.Count.Accepted == 2 })
+	writeAndAwait(t, asked, "PING\r\n")
 	got := make([]byte, 6)
-	n.until("PONG", func() bool {
+	n.stepUntil("PONG", func() bool {
 		asked.SetReadDeadline(time.Now().Add(time.Millisecond))
 		k, _ := io.ReadFull(asked, got)
 		return k == 6
 	})
-	asked.SetReadDeadline(time.Now().Add(patience))
+	asked.SetReadDeadline(time.Now().Add(testTimeout))
 	n.Stop()
-	n.turn(1_000_000) // the door is shut in this turn
-	n.turn(10_000)
-	arrives(t, rests, fmt.Sprintf(opens, 1))
-	arrives(t, asked, fmt.Sprintf(opens, 2))
+	n.step(1_000_000) // the node stops accepting in this iteration
+	n.step(10_000)
+	writeAndAwait(t, idle, fmt.Sprintf(openLine, 1))
+	writeAndAwait(t, asked, fmt.Sprintf(openLine, 2))
 	if n.Done() {
-		t.Fatal("ends over what has come")
+		t.Fatal("the node stopped before the requests were answered")
 	}
-	rests.CloseWrite()
+	idle.CloseWrite()
 	asked.CloseWrite()
-	n.until("done", n.Done)
-	n.loop.TurnAway(turnAway)
-	all(t, rests, "BUSY\r\n")
-	all(t, asked, "BUSY\r\n")
+	n.stepUntil("done", n.Done)
+	n.loop.RefuseQueued(refusalTimeout)
+	wantAll(t, idle, "BUSY\r\n")
+	wantAll(t, asked, "BUSY\r\n")
 	if n.Count.Taken != 0 || n.Count.Connects != 0 {
-		t.Fatal("a line behind the last word was taken", n.Count.Taken, n.Count.Connects)
+		t.Fatal("a request after the last answer was accepted", n.Count.Taken, n.Count.Connects)
 	}
 }
 
-// A client's line has come and is not read when its connection is let go for want of descriptors.
-func TestLineCrossesBeingLetGo(t *testing.T) {
-	n := byHand(t, 40)
-	for range 2 { // the first may be the front, and stays
+// A client's request has arrived but is not read when its connection is shed because descriptors run out. The client has to
+// receive BUSY and a close.
+func TestRequestCrossesShedding(t *testing.T) {
+	n := newSteppedNode(t, 40)
+	for range 2 { // the first may be the front-end load balancer, and is not shed
 		c := n.dial()
-		arrives(t, c, "PING\r\n")
+		writeAndAwait(t, c, "PING\r\n")
 	}
 	idle := n.dial()
-	arrives(t, idle, "PING\r\n")
-	n.until("answered", func() bool { return n.Count.Accepted == 3 })
-	n.turn(1)
+	writeAndAwait(t, idle, "PING\r\n")
+	n.stepUntil("answered", func() bool { return n.Count.Accepted == 3 })
+	n.step(1)
 	if _, err := io.ReadFull(idle, make([]byte, len("NO\r\n"))); err != nil {
 		t.Fatal(err)
 	}
-	n.turn(1_100_000)
-	arrives(t, idle, fmt.Sprintf(opens, 3))
-	n.loop.SetMost(n.loop.Most() - n.loop.Room()) // none is left
+	n.step(1_100_000)
+	writeAndAwait(t, idle, fmt.Sprintf(openLine, 3))
+	n.loop.SetMaxSockets(n.loop.MaxSockets() - n.loop.Room()) // no descriptor is left
 	n.now += 1000
-	n.Turn(n.now, func() { n.Spare() }) // room for one more client; what has come is not read in this turn
+	n.Turn(n.now, func() { n.Spare() }) // asks for room for one more client; input is not read in this iteration
 	if n.Count.Shed != 2 {
-		t.Fatal("let go:", n.Count.Shed)
+		t.Fatal("connections shed:", n.Count.Shed)
 	}
-	said := make(chan string, 1)
+	result := make(chan string, 1)
 	go func() {
 		text, err := io.ReadAll(idle)
-		said <- fmt.Sprint(string(text), err)
+		result <- fmt.Sprint(string(text), err)
 	}()
 	for got := ""; got == ""; {
-		n.turn(1)
+		n.step(1)
 		select {
-		case got = <-said:
+		case got = <-result:
 			if got != "BUSY\r\n<nil>" {
 				t.Fatal(got)
 			}
@@ -180,24 +183,25 @@
 	}
 }
 
-// A client says what it wants and leaves at once, in every way; both lie in the system's buffer when its line is read.
-func TestNoConnectBehindAnEnd(t *testing.T) {
+// A client sends its request and closes at once, in one direction or both. Both are in the kernel's buffer when the request
+// is read. No connect may be made for it.
+func TestNoConnectForClientThatLeft(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	for i, leave := range []func(*net.TCPConn){func(c *net.TCPConn) { c.CloseWrite() }, func(c *net.TCPConn) { c.Close() }} {
-		n := byHand(t, 100, h)
+		n := newSteppedNode(t, 100, h)
 		c := n.dial()
-		n.until("accepted", func() bool { return n.Count.Accepted == 1 })
-		arrives(t, c, fmt.Sprintf(opens, 10+i))
+		n.stepUntil("accepted", func() bool { return n.Count.Accepted == 1 })
+		writeAndAwait(t, c, fmt.Sprintf(openLine, 10+i))
 		leave(c)
-		n.until("left", func() bool { return n.Count.Left == 1 })
+		n.stepUntil("left", func() bool { return n.Count.Left == 1 })
 		if n.Count.Connects != 0 || n.Count.Taken != 1 {
-			t.Fatal("a connect for nobody", n.Count.Connects)
+			t.Fatal("a connect was made for a client that left", n.Count.Connects)
 		}
 	}
 }
 
-// Two signals cross: each process ends once, in order, with what stands told to move.
-func TestSignalsCross(t *testing.T) {
+// Signals arrive while another one is handled. The process has to stop once, gracefully, with its flow asked to move.
+func TestOverlappingSignals(t *testing.T) {
 	for name, send := range map[string]func(p *program, conf string){
 		"SIGTERM twice": func(p *program, _ string) {
 			p.cmd.Process.Signal(syscall.SIGTERM)
@@ -208,50 +212,51 @@
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			p.cmd.Process.Signal(syscall.SIGHUP)
 		},
-		"SIGINT while it ends": func(p *program, _ string) {
+		"SIGINT while it stops": func(p *program, _ string) {
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			p.wait(t, "msg=stopping")
+			p.waitFor(t, "msg=stopping")
 			p.cmd.Process.Signal(syscall.SIGINT)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t, "UP 1\r\n")
-			l := list(5, "ready", h)
-			p := begin(t, newDiscovery(t, l), l, 200)
-			c := p.open(t, "")
-			c.want(t, "UP 1\r\n")
+			l := listText(5, "ready", h)
+			p := startNode(t, newDiscovery(t, l), l, 200)
+			c := p.openFlow(t, "")
+			c.wantLine(t, "UP 1\r\n")
 			send(p, "")
-			c.want(t, "MOVE\r\n")
-			c.want(t, "")
-			if err := p.exit(t); err != nil {
+			c.wantLine(t, "MOVE\r\n")
+			c.wantLine(t, "")
+			if err := p.waitExit(t); err != nil {
 				t.Fatal(err)
 			}
-			if text := p.wait(t, "msg=stopped"); strings.Count(text, "msg=stopping") != 1 || !strings.Contains(text, " moves=1 ") {
+			if text := p.waitFor(t, "msg=stopped"); strings.Count(text, "msg=stopping") != 1 || !strings.Contains(text, " moves=1 ") {
 				t.Fatal(text)
 			}
 		})
 	}
 }
 
-// Idle clients fill all descriptors while discovery is away. At its return it is heard, and a flow has its host.
+// Idle clients use all descriptors while discovery is unreachable. When discovery is back at another address, the node has to
+// read its list, and a flow has to be established with the host of that list.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
-	d := newDiscovery(t, list(9, "ready", b))
-	away, err := net.Listen("tcp", "127.0.0.1:0") // where discovery is to be, and nobody answers
+	d := newDiscovery(t, listText(9, "ready", b))
+	away, err := net.Listen("tcp", "127.0.0.1:0") // the address of discovery, where nothing answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := away.Addr().String()
-	known := list(5, "ready", a)
-	p := begin(t, &standDiscovery{addr: at}, known, 60)
+	known := listText(5, "ready", a)
+	p := startNode(t, &fakeDiscovery{addr: at}, known, 60)
 	for range 80 {
 		c := p.dial(t)
 		io.WriteString(c, "PING\r\n")
 	}
-	p.open(t, "").want(t, "UP a\r\n")
-	p.replace(t, configText(d, known, 60)) // it moves, and is back
-	p.wait(t, "msg=watching discovery="+d.addr)
-	p.open(t, "").want(t, "UP b\r\n")
+	p.openFlow(t, "").wantLine(t, "UP a\r\n")
+	p.replaceConfig(t, configText(d, known, 60)) // discovery is back at another address
+	p.waitFor(t, "msg=watching discovery="+d.addr)
+	p.openFlow(t, "").wantLine(t, "UP b\r\n")
 	away.Close()
 }
--- a/cmd/rehearse/live.go
+++ b/cmd/rehearse/live.go
@@ -10,8 +10,8 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// nodeProgram is the node that lies beside this program.
-func nodeProgram() string {
+// defaultNodeProgram returns the path of the node's program in the folder of this program.
+func defaultNodeProgram() string {
 	self, err := os.Executable()
 	if err != nil {
 		return "coursewinch"
@@ -19,6 +19,7 @@
 	return filepath.Join(filepath.Dir(self), "coursewinch")
 }
 
+// liveCommand plays a script with real processes.
 func liveCommand() *cobra.Command {
 	var opt live.Options
 	var out outputs
@@ -26,7 +27,7 @@
 		Use:   "live SCRIPT",
 		Short: "Play a script against real node processes on loopback, in real time",
 		Long: "Live starts the script's nodes as processes on addresses of 127.0.0.0/8 and plays the same fleet behind real\n" +
-			"sockets. When the machine ran late the run is void, exit code 3, and says nothing of the node.",
+			"sockets. If the machine ran late, the run is void (exit code 3) and proves nothing about the node.",
 		Example: "  rehearse live calm-evening\n  rehearse live busy-evening --node-logs logs --seed 4",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -38,13 +39,13 @@
 			if err != nil {
 				return err
 			}
-			return out.give(r)
+			return out.write(r)
 		},
 	}
-	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
-	c.Flags().StringVar(&opt.Program, "node", nodeProgram(), "the node's `program`")
-	c.Flags().StringVar(&opt.Logs, "node-logs", "", "`folder` for the nodes' files and logs; a temporary one without")
-	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` in which nodes write captures")
-	out.flags(c)
+	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed instead of the script's")
+	c.Flags().StringVar(&opt.Program, "node", defaultNodeProgram(), "the node's `program`")
+	c.Flags().StringVar(&opt.Logs, "node-logs", "", "`folder` for the nodes' files and logs; a temporary one if empty")
+	c.Flags().StringVar(&opt.Capture, "capture", "", "`folder` where the nodes write captures")
+	out.addFlags(c)
 	return c
 }
--- a/cmd/rehearse/replay.go
+++ b/cmd/rehearse/replay.go
@@ -14,6 +14,7 @@
 	"coursewinch/rehearsal/virtual"
 )
 
+// replayCommand plays recorded clients.
 func replayCommand() *cobra.Command {
 	var fleet, flows string
 	var from time.Duration
@@ -21,9 +22,9 @@
 	var out outputs
 	c := &cobra.Command{
 		Use:   "replay CAPTURE...",
-		Short: "Play the clients of captures, as nodes wrote them, on a script's fleet",
-		Long: "Replay puts the captures of all nodes together, client by client over retries, breaks and moves, and plays\n" +
-			"them in virtual time on the fleet, with the faults, of a script. With --flows it also writes them as a file that\n" +
+		Short: "Play the clients of captures, which nodes have written, on a script's fleet",
+		Long: "Replay joins the captures of all nodes, client by client over retries, disconnects and moves, and plays them\n" +
+			"in virtual time on the fleet of a script, with its faults. With --flows it also writes them as a file that\n" +
 			"demand.flows of a script can name.",
 		Example: "  rehearse replay captures/*.capture --fleet busy-evening\n" +
 			"  rehearse replay captures/*.capture --fleet my-fleet.toml --flows evening.flows",
@@ -37,9 +38,9 @@
 			if err != nil {
 				return err
 			}
-			var left []string
-			s.Recorded, left = replay.ToScript(all, s, from.Microseconds())
-			for _, text := range left {
+			var skipped []string
+			s.Recorded, skipped = replay.ToScript(all, s, from.Microseconds())
+			for _, text := range skipped {
 				fmt.Fprintln(os.Stderr, "left out:", text)
 			}
 			if len(s.Recorded) == 0 {
@@ -47,16 +48,11 @@
 			}
 			s.Demand.Flows, s.Name = filepath.Base(flows), s.Name+" (replay)"
 			if flows != "" {
-				f, err := os.Create(flows)
-				if err != nil {
-					return err
-				}
-				defer f.Close()
-				if err := scenario.WriteFlows(f, s, s.Recorded); err != nil {
+				if err := writeFlows(flows, s); err != nil {
 					return err
 				}
 			}
-			done, err := logsTo(out.logs)
+			done, err := redirectLogs(out.logs)
 			if err != nil {
 				return err
 			}
@@ -65,20 +61,21 @@
 			if err != nil {
 				return err
 			}
-			return out.give(r)
+			return out.write(r)
 		},
 	}
-	c.Flags().StringVar(&fleet, "fleet", "", "`script` whose fleet, clients' ways and faults are played")
+	c.Flags().StringVar(&fleet, "fleet", "", "`script` with the fleet, the behaviour of clients and the faults")
 	c.MarkFlagRequired("fleet")
 	c.Flags().StringVar(&flows, "flows", "", "write the clients to this `file`")
-	c.Flags().DurationVar(&from, "from", 0, "moment of the captures at which the script begins; captures of play and live\nbegin 3s before it")
-	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed in place of the script's own")
-	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "another seed for the nodes' own chance")
-	out.flags(c)
+	c.Flags().DurationVar(&from, "from", 0, "time in the captures at which the script begins; captures of play and live\nbegin 3s before it")
+	c.Flags().Uint64Var(&opt.Seed, "seed", 0, "seed instead of the script's")
+	c.Flags().Uint64Var(&opt.NodeSeed, "node-seed", 0, "separate seed for the nodes' random choices")
+	out.addFlags(c)
 	return c
 }
 
-func readCaptures(paths []string) (all []*capture.Capture, err error) {
+// readCaptures reads capture files.
+func readCaptures(paths []string) (captures []*capture.Capture, err error) {
 	for _, path := range paths {
 		f, err := os.Open(path)
 		if err != nil {
@@ -89,7 +86,17 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		all = append(all, c)
+		captures = append(captures, c)
+	}
+	return captures, nil
+}
+
+// writeFlows writes the recorded clients of a script to a file.
+func writeFlows(path string, s *scenario.Script) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
 	}
-	return all, nil
+	defer f.Close()
+	return scenario.WriteFlows(f, s, s.Recorded)
 }
