--- a/rehearsal/live/cluster_test.go
+++ b/rehearsal/live/cluster_test.go
@@ -12,24 +12,24 @@
 	"coursewinch/rehearsal/virtual"
 )
 
-// watched are the figures of all nodes, by second and node.
-type watched struct {
+// nodeMetrics are the figures of all nodes, by second and node.
+type nodeMetrics struct {
 	sync.Mutex
-	at map[int64][]map[string]float64
+	bySecond map[int64][]map[string]float64
 }
 
-// least is what has to be served of the best that full knowledge could make, from one second on up to another.
-type least struct {
+// minServed is what has to be served of the best that full knowledge could make, from one second on up to another.
+type minServed struct {
 	from, to int
 	share    float64
 }
 
-// serves checks a run against what has to be served, and what cold hosts are sent: a quarter of what the rule allows at least,
+// checkServed checks a run against what has to be served, and what cold hosts are sent: a quarter of what the rule allows at least,
 // and never what pushes one over.
-func serves(t *testing.T, where string, s *scenario.Script, r *record.Run, want []least) {
+func checkServed(t *testing.T, where string, s *scenario.Script, r *record.Run, want []minServed) {
 	t.Helper()
 	for _, l := range want {
-		if got := share(s, r, l.from, l.to); got < l.share {
+		if got := shareOfBest(s, r, l.from, l.to); got < l.share {
 			t.Errorf("%s: %.2f of the best is served from second %d to %d, at least %.2f", where, got, l.from, l.to, l.share)
 		} else {
 			t.Logf("%s: %.2f of the best from second %d to %d", where, got, l.from, l.to)
@@ -46,10 +46,10 @@
 // the machine starves the processes, and their run says nothing.
 const virtualSeeds = 3
 
-// overload plays ten times the usual demand against processes that talk, with faults between them. What is asserted of them
+// playOverload plays ten times the usual demand against processes that talk, with faults between them. What is asserted of them
 // rests on hosts that answer a millisecond late being taken for full ones: a rig that is as late itself shows nothing, and
 // neither do nodes that have no core a tenth of the time.
-func overload(t *testing.T, nodes int, want []least, changes ...string) (*record.Run, *watched) {
+func playOverload(t *testing.T, nodes int, want []minServed, changes ...string) (*record.Run, *nodeMetrics) {
 	t.Helper()
 	s, err := scenario.LoadWith("fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\"", "length=\"24s\""}, changes...))
 	if err != nil {
@@ -63,24 +63,24 @@
 		for _, b := range rules.Check(r) {
 			t.Error(b.Report(r))
 		}
-		serves(t, fmt.Sprintf("in virtual time, seed %d", seed+1), s, r, want)
+		checkServed(t, fmt.Sprintf("in virtual time, seed %d", seed+1), s, r, want)
 	}
-	w := &watched{at: map[int64][]map[string]float64{}}
-	r := played(t, s, Options{Program: program, MostLate: 1000, MostWait: 0.1, Watch: func(at int64, metrics func(int) map[string]float64) {
+	w := &nodeMetrics{bySecond: map[int64][]map[string]float64{}}
+	r := playLive(t, s, Options{Program: program, MaxDelayP99: 1000, MaxCPUWaitShare: 0.1, OnSecond: func(at int64, metrics func(int) map[string]float64) {
 		var all []map[string]float64
 		for no := range nodes {
 			all = append(all, metrics(no))
 		}
 		w.Lock()
 		defer w.Unlock()
-		w.at[at/1_000_000] = all
+		w.bySecond[at/1_000_000] = all
 	}})
-	serves(t, "live, "+r.Late, s, r, want)
+	checkServed(t, "live, "+r.Late, s, r, want)
 	return r, w
 }
 
-// share is what was served of the best that full knowledge could make, from one second on up to another.
-func share(s *scenario.Script, r *record.Run, from, to int) float64 {
+// shareOfBest is what was served of the best that full knowledge could make, from one second on up to another.
+func shareOfBest(s *scenario.Script, r *record.Run, from, to int) float64 {
 	served, best := 0.0, 0.0
 	for _, sec := range r.Seconds[from:to] {
 		wanted := make([]float64, len(s.Types))
@@ -93,11 +93,11 @@
 	return served / best
 }
 
-// each calls for the figures of all nodes in a second; one that didn't answer is left out.
-func (w *watched) each(second int64, do func(no int, m map[string]float64)) (answered int) {
+// eachNode calls for the figures of all nodes in a second; one that didn't answer is left out.
+func (w *nodeMetrics) eachNode(second int64, do func(no int, m map[string]float64)) (answered int) {
 	w.Lock()
 	defer w.Unlock()
-	for no, m := range w.at[second] {
+	for no, m := range w.bySecond[second] {
 		if m != nil {
 			answered++
 			do(no, m)
@@ -107,12 +107,12 @@
 }
 
 // TestFleetCutInTwo: six processes in overload, their links cut in two, whole again, then losing four in ten datagrams.
-func TestFleetCutInTwo(t *testing.T) {
-	r, w := overload(t, 6, []least{{16, 21, 0.5}, {23, 30, 0.6}}, "nodes.0.count=2", "nodes.1.count=2", "nodes.2.count=2",
+func TestPartitionedLinks(t *testing.T) {
+	r, w := playOverload(t, 6, []minServed{{16, 21, 0.5}, {23, 30, 0.6}}, "nodes.0.count=2", "nodes.1.count=2", "nodes.2.count=2",
 		"length=\"30s\"", `faults=[{at="15s",kind="link_split",parts=2,for="6s"},{at="24s",kind="link_loss",share=1.0,size=0.4,for="4s"}]`)
 	// While four in ten datagrams are lost, a link may be down by chance: it wants one of some six each way within 1.4 s.
 	for second, linked := range map[int64][2]float64{13: {5, 5}, 19: {2, 2}, 23: {5, 5}, 27: {2, 5}, 30: {5, 5}} {
-		n := w.each(second, func(no int, m map[string]float64) {
+		n := w.eachNode(second, func(no int, m map[string]float64) {
 			if v := m["cluster_linked"]; v < linked[0] || v > linked[1] {
 				t.Errorf("second %d: n-%d is linked with %v others, not %v", second, no, v, linked)
 			}
@@ -124,7 +124,7 @@
 			t.Errorf("second %d: %d nodes answered", second, n)
 		}
 	}
-	w.each(27, func(no int, m map[string]float64) {
+	w.eachNode(27, func(no int, m map[string]float64) {
 		if m["overload_shed"] < 50 {
 			t.Errorf("n-%d shed %v flows of ten times the demand", no, m["overload_shed"])
 		}
@@ -142,13 +142,13 @@
 // TestFleetOfTrouble: five processes in overload; two are stopped for 3 s and wake together, one is killed and back with
 // nothing known, a second process runs under one's name, one's words are nonsense, and datagrams come bent, twice, mixed
 // up and again.
-func TestFleetOfTrouble(t *testing.T) {
-	_, w := overload(t, 5, []least{{18, 24, 0.6}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=2",
+func TestNodePausesAndCorruptedDatagrams(t *testing.T) {
+	_, w := playOverload(t, 5, []minServed{{18, 24, 0.6}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=2",
 		`faults=[{at="7s",kind="node_pause",nodes=["n-1","n-2"],for="3s"},{at="8s",kind="link_liar",nodes=["n-0"],for="5s"},
 		{at="9s",kind="node_twin",nodes=["n-3"],for="5s"},{at="11s",kind="node_kill",nodes=["n-4"],for="700ms"},
 		{at="8s",kind="link_bent",share=1.0,size=0.3,for="6s"},{at="8s",kind="link_again",share=1.0,size=0.5,for="6s"},
 		{at="8s",kind="link_twice",share=1.0,size=0.3,for="6s"},{at="8s",kind="link_mixed",share=1.0,size=0.3,for="6s"}]`)
-	if n := w.each(22, func(no int, m map[string]float64) {
+	if n := w.eachNode(22, func(no int, m map[string]float64) {
 		if m["cluster_linked"] != 4 {
 			t.Errorf("n-%d is linked with %v others at the end", no, m["cluster_linked"])
 		}
@@ -162,12 +162,12 @@
 
 // TestFleetOfLosses: six processes in overload, one of them with five times the others' traffic; one is heard by none, a
 // third of the hosts dies and is back cold, then every client comes again within a second.
-func TestFleetOfLosses(t *testing.T) {
+func TestHostLossAndMassReconnect(t *testing.T) {
 	// Live 0.50 to 0.69 and 0.42 to 0.60 seen; 0.62 to 0.73 and 0.60 to 0.74 without grants for cold hosts.
-	r, w := overload(t, 6, []least{{21, 27, 0.35}, {31, 36, 0.35}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=3", "demand.skew={north=1.0,port=0.4,town=0.6}",
+	r, w := playOverload(t, 6, []minServed{{21, 27, 0.35}, {31, 36, 0.35}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=3", "demand.skew={north=1.0,port=0.4,town=0.6}",
 		"length=\"36s\"", `cluster.limits=[{over="cold",promise="strict"}]`, `faults=[{at="14s",kind="link_mute",nodes=["n-2"],for="5s"},{at="20s",kind="crash",count=4,for="3s"},
 		{at="28s",kind="reconnect",size=1.0,for="1s"}]`)
-	if n := w.each(18, func(no int, m map[string]float64) {
+	if n := w.eachNode(18, func(no int, m map[string]float64) {
 		want := 4.0 // none of the others can show that the mute one is heard, and it sees that it isn't
 		if no == 2 {
 			want = 0
--- a/rehearsal/live/links.go
+++ b/rehearsal/live/links.go
@@ -17,9 +17,9 @@
 // through the world, which does to it what the script says; what is let go leaves from the relay of the other direction,
 // since that is the address by which the receiver knows the sender.
 type relay struct {
-	p        *player
+	player   *player
 	from, to int
-	c        *net.UDPConn
+	udp      *net.UDPConn
 	addr     string
 }
 
@@ -29,26 +29,26 @@
 	p.relays = make([][]*relay, n)
 	for from := range n {
 		p.relays[from] = make([]*relay, n)
-		addr, err := freeDatagramPort(loopback(4, from))
+		addr, err := freeDatagramPort(loopbackIP(4, from))
 		if err != nil {
 			return err
 		}
-		p.nodes[from].links = addr
+		p.nodes[from].linkAddr = addr
 		for to := range n {
 			if to == from {
 				continue
 			}
-			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(loopback(5, to))})
+			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(loopbackIP(5, to))})
 			if err != nil {
 				return err
 			}
-			p.relays[from][to] = &relay{p: p, from: from, to: to, c: c, addr: c.LocalAddr().String()}
+			p.relays[from][to] = &relay{player: p, from: from, to: to, udp: c, addr: c.LocalAddr().String()}
 		}
 	}
 	for _, row := range p.relays {
 		for _, r := range row {
 			if r != nil {
-				go r.carry()
+				go r.forward()
 			}
 		}
 	}
@@ -65,33 +65,33 @@
 	return c.LocalAddr().String(), nil
 }
 
-// links are a node's address for what others tell it, and where it reaches them, in order.
-func (p *player) links(no int) (listen string, others []string) {
+// linkAddresses are a node's address for what others tell it, and where it reaches them, in order.
+func (p *player) linkAddresses(no int) (listen string, others []string) {
 	for to, r := range p.relays[no] {
 		if to != no {
 			others = append(others, r.addr)
 		}
 	}
-	return p.nodes[no].links, others
+	return p.nodes[no].linkAddr, others
 }
 
-// carry takes datagrams until the relay is closed.
-func (r *relay) carry() {
+// forward takes datagrams until the relay is closed.
+func (r *relay) forward() {
 	b := make([]byte, 64<<10)
 	for {
-		n, _, err := r.c.ReadFromUDP(b)
+		n, _, err := r.udp.ReadFromUDP(b)
 		if err != nil {
-			if r.p.over() {
+			if r.player.isDone() {
 				return
 			}
 			continue // the receiver is away
 		}
 		d := append([]byte(nil), b[:n]...)
-		r.p.post(func() { r.p.w.Told(r.from, r.to, d) })
+		r.player.post(func() { r.player.world.Told(r.from, r.to, d) })
 	}
 }
 
-func (p *player) over() bool {
+func (p *player) isDone() bool {
 	select {
 	case <-p.done:
 		return true
@@ -102,9 +102,9 @@
 
 // Datagram lets go what a node sent another.
 func (p *player) Datagram(no, from int, d []byte) {
-	at, err := net.ResolveUDPAddr("udp4", p.nodes[no].links)
+	at, err := net.ResolveUDPAddr("udp4", p.nodes[no].linkAddr)
 	if err == nil {
-		p.relays[no][from].c.WriteToUDP(d, at)
+		p.relays[no][from].udp.WriteToUDP(d, at)
 	}
 }
 
@@ -122,35 +122,35 @@
 	p.fail(fmt.Errorf("clocks can be changed in virtual time only"))
 }
 
-// twinFile is the file of a second process: it serves elsewhere, and has no address for operators.
-func (n *process) twinFile(conf fleet.Conf, listen string) string {
+// duplicateConfig is the file of a second process: it serves elsewhere, and has no address for operators.
+func (n *process) duplicateConfig(conf fleet.Conf, listen string) string {
 	text := strings.Replace(conf.JSON, strconv.Quote(conf.Listen), strconv.Quote(listen), 1)
-	return strings.Replace(text, `"admin":`+strconv.Quote(n.admin)+",", "", 1)
+	return strings.Replace(text, `"admin":`+strconv.Quote(n.adminAddr)+",", "", 1)
 }
 
 // Twin starts or ends a second process under a node's name and at its address for links. It serves nobody.
 func (p *player) Twin(no int, conf fleet.Conf, on bool) {
 	n := p.nodes[no]
-	if t := n.twin; t != nil {
+	if t := n.duplicate; t != nil {
 		t.Process.Kill()
 		t.Wait()
-		n.twin = nil
+		n.duplicate = nil
 	}
 	if !on {
 		return
 	}
-	file := filepath.Join(p.dir, fmt.Sprintf("n-%d.twin.json", no))
-	addr, err := freePort(loopback(6, no))
+	file := filepath.Join(p.folder, fmt.Sprintf("n-%d.twin.json", no))
+	addr, err := freePort(loopbackIP(6, no))
 	if err == nil {
-		err = os.WriteFile(file, []byte(n.twinFile(conf, addr)), 0o600)
+		err = os.WriteFile(file, []byte(n.duplicateConfig(conf, addr)), 0o600)
 	}
 	if err == nil {
-		n.twin = exec.Command(p.opt.Program)
-		n.twin.Env = append(os.Environ(), "GW_CONFIG="+file)
-		err = n.twin.Start()
+		n.duplicate = exec.Command(p.options.Program)
+		n.duplicate.Env = append(os.Environ(), "GW_CONFIG="+file)
+		err = n.duplicate.Start()
 	}
 	if err != nil {
-		n.twin = nil
+		n.duplicate = nil
 		p.fail(err)
 	}
 }
--- a/rehearsal/live/live_test.go
+++ b/rehearsal/live/live_test.go
@@ -22,11 +22,11 @@
 
 var program string
 
-const spinning = "REHEARSAL_SPINS"
+const spinVariable = "REHEARSAL_SPINS"
 
 // TestMain builds the node that the tests start.
 func TestMain(m *testing.M) {
-	if os.Getenv(spinning) != "" { // what a test has started: it takes a core until it is killed, a minute at most
+	if os.Getenv(spinVariable) != "" { // what a test has started: it takes a core until it is killed, a minute at most
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 		}
 		os.Exit(0)
@@ -97,8 +97,8 @@
 	return s
 }
 
-// played plays a script whose rules have to be kept. On a machine that ran late it says nothing, and is played once more.
-func played(t *testing.T, s *scenario.Script, opt Options) *record.Run {
+// playLive plays a script whose rules have to be kept. On a machine that ran late it says nothing, and is played once more.
+func playLive(t *testing.T, s *scenario.Script, opt Options) *record.Run {
 	t.Helper()
 	r, err := Play(s, opt)
 	if err == nil && r.Void != "" {
@@ -121,7 +121,7 @@
 // again, and the captures of all their lives can be read. On a machine that ran late the run says nothing.
 func TestSignals(t *testing.T) {
 	dir := t.TempDir()
-	r := played(t, load(t, script), Options{Program: program, Capture: dir, Logs: filepath.Join(dir, "logs")})
+	r := playLive(t, load(t, script), Options{Program: program, Capture: dir, Logs: filepath.Join(dir, "logs")})
 	late := map[int]int{}
 	for _, f := range r.Flows {
 		if word, at := f.Answer(); word == "established" && at > 4_800_000 {
@@ -158,11 +158,11 @@
 	}
 }
 
-// TestLateMachine stops the goroutine that plays the fleet: the run must be void, and not the node's fault.
-func TestLateMachine(t *testing.T) {
+// TestLateMachineVoidsRun stops the goroutine that plays the fleet: the run must be void, and not the node's fault.
+func TestLateMachineVoidsRun(t *testing.T) {
 	s := load(t, strings.Replace(script[:strings.Index(script, "[[faults]]")], "6s", "2s", 1))
-	r, err := Play(s, Options{Program: program, stall: func(p *player) {
-		p.w.At(1_000_000, func() { time.Sleep(2 * lateWorst * time.Microsecond) })
+	r, err := Play(s, Options{Program: program, testHook: func(p *player) {
+		p.world.At(1_000_000, func() { time.Sleep(2 * maxDelay * time.Microsecond) })
 	}})
 	if err != nil {
 		t.Fatal(err)
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestStarvedMachine takes most of the nodes' cores without the script's word: the run is void, and not the nodes' fault. By
+// TestStarvedNodesVoidRun takes most of the nodes' cores without the script's word: the run is void, and not the nodes' fault. By
 // the script's word it counts.
-func TestStarvedMachine(t *testing.T) {
+func TestStarvedNodesVoidRun(t *testing.T) {
 	text := "[cluster]\non = true\n" + script[strings.Index(script, "[clients]"):strings.Index(script, "[[faults]]")]
 	text = script[:strings.Index(script, "[clients]")] + text
 	for _, own := range []bool{false, true} {
@@ -182,13 +182,13 @@
 		if own {
 			s.Faults = append(s.Faults, scenario.Fault{Kind: "node_starve", Nodes: []string{"n-0", "n-1"}, Size: 0.6, At: 500_000, For: 3_500_000})
 		}
-		var late *lateness
-		r, err := Play(s, Options{Program: program, Watch: func(_ int64, metrics func(int) map[string]float64) {
+		var late *lateCounter
+		r, err := Play(s, Options{Program: program, OnSecond: func(_ int64, metrics func(int) map[string]float64) {
 			metrics(0)
 			metrics(1)
-		}, stall: func(p *player) {
-			if late = &p.own; !own {
-				p.w.At(500_000, func() { p.Starve(0, 0.6); p.Starve(1, 0.6) })
+		}, testHook: func(p *player) {
+			if late = &p.lateReports; !own {
+				p.world.At(500_000, func() { p.Starve(0, 0.6); p.Starve(1, 0.6) })
 			}
 		}})
 		if err != nil {
@@ -197,7 +197,7 @@
 		if strings.Contains(r.Void, "ran late") {
 			t.Skip(r.Void) // beside what the test takes, and it comes first
 		}
-		if void := strings.Contains(r.Void, "starved the nodes"); void == own || late.share() <= starved {
+		if void := strings.Contains(r.Void, "starved the nodes"); void == own || late.share() <= maxLateShare {
 			t.Errorf("by the script %t: void %q, late in %.2f of their seconds", own, r.Void, late.share())
 		}
 	}
@@ -205,12 +205,12 @@
 
 // TestBusyMachine: nodes that waited for a core for too long make the run void, though the fleet's own events are in time, and
 // without that it counts.
-func TestBusyMachine(t *testing.T) {
+func TestCPUWaitVoidsRun(t *testing.T) {
 	s := load(t, strings.Replace(script[:strings.Index(script, "[[faults]]")], "6s", "2s", 1))
 	for _, busy := range []bool{false, true} {
-		r, err := Play(s, Options{Program: program, stall: func(p *player) {
+		r, err := Play(s, Options{Program: program, testHook: func(p *player) {
 			if busy {
-				p.nodes[0].waits = time.Minute
+				p.nodes[0].pastCPUWait = time.Minute
 			}
 		}})
 		if err != nil {
@@ -226,7 +226,7 @@
 }
 
 // TestWaitsForACore: of two programs that never rest and share a core, each waits for it half of the time.
-func TestWaitsForACore(t *testing.T) {
+func TestMeasuresCPUWait(t *testing.T) {
 	if _, err := os.Stat("/proc/self/schedstat"); err != nil {
 		t.Skip("the system keeps no account: ", err)
 	}
@@ -242,7 +242,7 @@
 	var both [2]*process
 	for i := range both {
 		spins := exec.Command(os.Args[0])
-		spins.Env = append(os.Environ(), spinning+"=1")
+		spins.Env = append(os.Environ(), spinVariable+"=1")
 		if err := spins.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -252,7 +252,7 @@
 		})
 		both[i] = &process{cmd: spins}
 	}
-	for end := time.Now().Add(10 * time.Second); both[0].waited() < 50*time.Millisecond || both[1].waited() < 50*time.Millisecond; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); both[0].cpuWait() < 50*time.Millisecond || both[1].cpuWait() < 50*time.Millisecond; time.Sleep(time.Millisecond) {
 		for _, p := range both { // again and again: a thread may have been made just as the others were told
 			threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", p.cmd.Process.Pid))
 			for _, thread := range threads {
@@ -261,12 +261,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("waited %v and %v in ten seconds", both[0].waited(), both[1].waited())
+			t.Fatalf("waited %v and %v in ten seconds", both[0].cpuWait(), both[1].cpuWait())
 		}
 	}
 }
 
-func TestBadProgram(t *testing.T) {
+func TestRejectsBadOptions(t *testing.T) {
 	if _, err := Play(load(t, script), Options{Program: "/nowhere/at/all"}); err == nil {
 		t.Error("a program that is not there was started")
 	}
@@ -282,7 +282,7 @@
 	text = strings.NewReplacer("\"6s\"", "\"5s\"", "count = 2", "count = 1").Replace(text) +
 		"[[faults]]\nat = \"1s\"\nkind = \"node_starve\"\nnodes = [\"n-0\"]\nsize = 0.6\nfor = \"3s\"\n"
 	dir := t.TempDir()
-	r := played(t, load(t, text), Options{Program: program, Logs: dir})
+	r := playLive(t, load(t, text), Options{Program: program, Logs: dir})
 	log, _ := os.ReadFile(filepath.Join(dir, "n-0.log"))
 	if n := strings.Count(string(log), "skipped"); n > 0 {
 		t.Errorf("%d hosts skipped:\n%s", n, log)
--- a/rehearsal/live/process.go
+++ b/rehearsal/live/process.go
@@ -18,21 +18,21 @@
 
 // process is one node's.
 type process struct {
-	p     *player
-	no    int
-	addr  string
-	conf  string // its file
-	log   string
-	cmd   *exec.Cmd
-	life  int // counted at each start
-	share float64
-	admin string        // where operators reach it; empty: nowhere
-	links string        // where it hears other nodes; empty where it does not
-	twin  *exec.Cmd     // a second process under its name
-	pause chan struct{} // ends the thread that starves it
-	waits time.Duration // for a core, in lives that have ended
+	player       *player
+	index        int
+	addr         string
+	configFile   string // its file
+	logFile      string
+	cmd          *exec.Cmd
+	generation   int // counted at each start
+	starvedShare float64
+	adminAddr    string        // where operators reach it; empty: nowhere
+	linkAddr     string        // where it hears other nodes; empty where it does not
+	duplicate    *exec.Cmd     // a second process under its name
+	stopStarving chan struct{} // ends the thread that starves it
+	pastCPUWait  time.Duration // for a core, in lives that have ended
 
-	gone chan struct{} // closed when the process has ended
+	exited chan struct{} // closed when the process has ended
 }
 
 // freePort finds a port at an address that nothing uses.
@@ -54,58 +54,58 @@
 // Start writes a node's file and starts its process.
 func (p *player) Start(no int, conf fleet.Conf) {
 	n := p.nodes[no]
-	if err := os.WriteFile(n.conf, n.text(conf), 0o600); err != nil {
+	if err := os.WriteFile(n.configFile, n.configText(conf), 0o600); err != nil {
 		p.fail(err)
 		return
 	}
-	out, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	out, err := os.OpenFile(n.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		p.fail(err)
 		return
 	}
 	defer out.Close()
-	n.cmd = exec.Command(p.opt.Program)
-	n.cmd.Env = append(os.Environ(), "GW_CONFIG="+n.conf, "GW_NAME="+conf.Name, "GW_LISTEN="+conf.Listen,
+	n.cmd = exec.Command(p.options.Program)
+	n.cmd.Env = append(os.Environ(), "GW_CONFIG="+n.configFile, "GW_NAME="+conf.Name, "GW_LISTEN="+conf.Listen,
 		"GW_DISCOVERY="+conf.Discovery)
 	n.cmd.Stdout, n.cmd.Stderr = out, out
 	if err := n.cmd.Start(); err != nil {
 		p.fail(err)
 		return
 	}
-	n.life++
-	life, cmd, gone := n.life, n.cmd, make(chan struct{})
-	n.gone = gone
+	n.generation++
+	life, cmd, gone := n.generation, n.cmd, make(chan struct{})
+	n.exited = gone
 	go func() {
 		err := cmd.Wait()
 		close(gone)
 		p.post(func() {
-			if n.life == life && n.cmd == cmd {
+			if n.generation == life && n.cmd == cmd {
 				n.cmd = nil
-				p.w.Exited(no, fmt.Sprint(err))
+				p.world.Exited(no, fmt.Sprint(err))
 			}
 		})
 	}()
-	go n.await(gone, func() {
+	go n.awaitListening(gone, func() {
 		p.post(func() {
-			if n.life == life {
-				p.w.Ready(no)
+			if n.generation == life {
+				p.world.Ready(no)
 			}
 		})
 	})
-	n.starve()
+	n.applyStarvation()
 }
 
-// text is the node's file; each of its lives has a capture of its own.
-func (n *process) text(conf fleet.Conf) []byte {
-	if n.p.opt.Capture == "" {
+// configText is the node's file; each of its lives has a capture of its own.
+func (n *process) configText(conf fleet.Conf) []byte {
+	if n.player.options.Capture == "" {
 		return []byte(conf.JSON)
 	}
-	file := filepath.Join(n.p.opt.Capture, fmt.Sprintf("n-%d.%d.capture", n.no, n.life))
+	file := filepath.Join(n.player.options.Capture, fmt.Sprintf("n-%d.%d.capture", n.index, n.generation))
 	return fmt.Appendf(nil, `%s,"capture":{"file":%q}}`, strings.TrimSuffix(conf.JSON, "}"), file)
 }
 
-// await waits for the process to listen.
-func (n *process) await(gone chan struct{}, then func()) {
+// awaitListening waits for the process to listen.
+func (n *process) awaitListening(gone chan struct{}, then func()) {
 	for {
 		c, err := net.DialTimeout("tcp", n.addr, time.Second)
 		if err == nil {
@@ -116,7 +116,7 @@
 		select {
 		case <-gone:
 			return
-		case <-n.p.done:
+		case <-n.player.done:
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -129,57 +129,57 @@
 	}
 }
 
-func (p *player) Kill(no int) { p.nodes[no].end() }
+func (p *player) Kill(no int) { p.nodes[no].kill() }
 
-// end kills the process and waits for its end.
-func (n *process) end() {
+// kill kills the process and waits for its end.
+func (n *process) kill() {
 	if n.cmd == nil {
 		return
 	}
-	n.waits += n.waited()
+	n.pastCPUWait += n.cpuWait()
 	n.signal(syscall.SIGCONT)
 	n.signal(syscall.SIGKILL)
-	<-n.gone
+	<-n.exited
 	n.cmd = nil
-	n.life++
-	n.starve()
+	n.generation++
+	n.applyStarvation()
 }
 
 func (p *player) Stop(no int) { p.nodes[no].signal(syscall.SIGTERM) }
 
 func (p *player) Reload(no int, conf fleet.Conf) {
 	n := p.nodes[no]
-	if err := os.WriteFile(n.conf+".new", n.text(conf), 0o600); err != nil {
+	if err := os.WriteFile(n.configFile+".new", n.configText(conf), 0o600); err != nil {
 		p.fail(err)
 		return
 	}
-	if err := os.Rename(n.conf+".new", n.conf); err != nil {
+	if err := os.Rename(n.configFile+".new", n.configFile); err != nil {
 		p.fail(err)
 		return
 	}
 	n.signal(syscall.SIGHUP)
 }
 
-const starveStep = 20 * time.Millisecond
+const starvePeriod = 20 * time.Millisecond
 
 // Starve takes a share of a node's time by stopping it for a part of each step.
 func (p *player) Starve(no int, share float64) {
-	p.nodes[no].share = share
-	p.nodes[no].starve()
+	p.nodes[no].starvedShare = share
+	p.nodes[no].applyStarvation()
 }
 
-func (n *process) starve() {
-	if n.pause != nil {
-		close(n.pause)
-		n.pause = nil
+func (n *process) applyStarvation() {
+	if n.stopStarving != nil {
+		close(n.stopStarving)
+		n.stopStarving = nil
 	}
-	if n.share == 0 || n.cmd == nil {
+	if n.starvedShare == 0 || n.cmd == nil {
 		return
 	}
-	stop, proc, share := make(chan struct{}), n.cmd.Process, n.share
-	n.pause = stop
+	stop, proc, share := make(chan struct{}), n.cmd.Process, n.starvedShare
+	n.stopStarving = stop
 	go func() {
-		still := time.Duration(share * float64(starveStep))
+		still := time.Duration(share * float64(starvePeriod))
 		for {
 			proc.Signal(syscall.SIGSTOP)
 			time.Sleep(still)
@@ -187,14 +187,14 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(starveStep - still):
+			case <-time.After(starvePeriod - still):
 			}
 		}
 	}()
 }
 
-// cpu is what the process has used, in seconds; 0 where the system doesn't tell.
-func (n *process) cpu() float64 {
+// cpuSeconds is what the process has used, in seconds; 0 where the system doesn't tell.
+func (n *process) cpuSeconds() float64 {
 	if n.cmd == nil {
 		return 0
 	}
@@ -212,9 +212,9 @@
 	return float64(user+system) / perSecond
 }
 
-// waited is how long its threads could have run and had no core; 0 where the system doesn't tell. What a stopped process
+// cpuWait is how long its threads could have run and had no core; 0 where the system doesn't tell. What a stopped process
 // misses is not in it.
-func (n *process) waited() (sum time.Duration) {
+func (n *process) cpuWait() (sum time.Duration) {
 	if n.cmd == nil {
 		return 0
 	}
@@ -229,18 +229,18 @@
 	return sum
 }
 
-var panicsLine = regexp.MustCompile(`panics=(\d+)`)
+var panicsPattern = regexp.MustCompile(`panics=(\d+)`)
 
-// panics asks all nodes for their counters and sums their panics; a log that names none counts as none.
-func (p *player) panics() (total int) {
+// panicCount asks all nodes for their counters and sums their panics; a log that names none counts as none.
+func (p *player) panicCount() (total int) {
 	for _, n := range p.nodes {
 		n.signal(syscall.SIGUSR1)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for _, n := range p.nodes {
-		text, _ := os.ReadFile(n.log)
+		text, _ := os.ReadFile(n.logFile)
 		last := 0
-		for _, m := range panicsLine.FindAllSubmatch(text, -1) {
+		for _, m := range panicsPattern.FindAllSubmatch(text, -1) {
 			last, _ = strconv.Atoi(string(m[1]))
 			total = max(total, last)
 		}
@@ -254,7 +254,7 @@
 // logTail is the last line of the first node that wrote one, for an error's text.
 func (p *player) logTail() string {
 	for _, n := range p.nodes {
-		text, _ := os.ReadFile(n.log)
+		text, _ := os.ReadFile(n.logFile)
 		if text = bytes.TrimSpace(text); len(text) > 0 {
 			return string(text[bytes.LastIndexByte(text, '\n')+1:])
 		}
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -11,85 +11,85 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// gate takes the connections of one node to one host, or to discovery.
-type gate struct {
-	p    *player
-	node int
-	addr string
-	l    net.Listener
+// listener takes the connections of one node to one host, or to discovery.
+type listener struct {
+	player *player
+	node   int
+	addr   string
+	tcp    net.Listener
 }
 
-func newGate(p *player, node int, ip string) (*gate, error) {
+func newListener(p *player, node int, ip string) (*listener, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		return nil, err
 	}
-	return &gate{p: p, node: node, addr: l.Addr().String(), l: l}, nil
+	return &listener{player: p, node: node, addr: l.Addr().String(), tcp: l}, nil
 }
 
 // serve takes connections until the gate is closed.
-func (g *gate) serve() {
-	l := g.l
+func (g *listener) serve() {
+	l := g.tcp
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s := &sock{p: g.p, c: c.(*net.TCPConn), up: true}
-			g.p.post(func() {
-				s.conn = g.p.w.Dialed(g.node, g.addr, s)
-				s.read()
+			s := &socket{player: g.player, tcp: c.(*net.TCPConn), connected: true}
+			g.player.post(func() {
+				s.conn = g.player.world.Dialed(g.node, g.addr, s)
+				s.startReading()
 			})
 		}
 	}()
 }
 
-func (g *gate) close() {
-	if g.l != nil {
-		g.l.Close()
-		g.l = nil
+func (g *listener) close() {
+	if g.tcp != nil {
+		g.tcp.Close()
+		g.tcp = nil
 	}
 }
 
 // Listening closes a dead host's gates, so that connects to it are refused, and opens them again.
 func (p *player) Listening(host int, listening bool) {
-	for n := range p.hosts {
-		g := p.hosts[n][host]
+	for n := range p.hostListeners {
+		g := p.hostListeners[n][host]
 		switch {
 		case !listening:
 			g.close()
-		case g.l == nil:
+		case g.tcp == nil:
 			l, err := net.Listen("tcp", g.addr)
 			if err != nil {
 				p.fail(err)
 				return
 			}
-			g.l = l
+			g.tcp = l
 			g.serve()
 		}
 	}
 }
 
-// sock is one connection to a node. All but the queue belongs to the goroutine that plays the world.
-type sock struct {
-	p      *player
-	conn   *fleet.Conn
-	c      *net.TCPConn
-	up     bool
-	eof    bool // the node sends no more
-	ended  bool // we send no more
-	closed bool
+// socket is one connection to a node. All but the queue belongs to the goroutine that plays the world.
+type socket struct {
+	player     *player
+	conn       *fleet.Conn
+	tcp        *net.TCPConn
+	connected  bool
+	readClosed bool // the node sends no more
+	writeEnded bool // we send no more
+	closed     bool
 
-	mu      sync.Mutex
-	queue   []byte // what the socket didn't take at once
-	writing bool   // a goroutine writes the queue
-	shut    bool   // the sending ends once the queue is empty
+	mu            sync.Mutex
+	queue         []byte // what the socket didn't take at once
+	writing       bool   // a goroutine writes the queue
+	closeWhenSent bool   // the sending ends once the queue is empty
 }
 
 // Arrive opens a client's connection.
 func (p *player) Arrive(c *fleet.Conn) bool {
-	s := &sock{p: p, conn: c}
+	s := &socket{player: p, conn: c}
 	c.Ref = s
 	addr := p.nodes[c.Node].addr
 	go func() {
@@ -98,65 +98,65 @@
 		p.post(func() {
 			if err != nil {
 				s.closed = true
-				p.w.Broke(c)
+				p.world.Broke(c)
 				return
 			}
-			s.c = got.(*net.TCPConn)
+			s.tcp = got.(*net.TCPConn)
 			if s.closed {
-				s.c.Close()
+				s.tcp.Close()
 				return
 			}
 			s.mu.Lock()
-			s.up = true
+			s.connected = true
 			s.flush()
 			s.mu.Unlock()
-			s.read()
+			s.startReading()
 		})
 	}()
 	return true
 }
 
-// read starts the goroutine that tells what the node sends.
-func (s *sock) read() {
-	p, c := s.p, s.c
+// startReading starts the goroutine that tells what the node sends.
+func (s *socket) startReading() {
+	p, c := s.player, s.tcp
 	go func() {
 		for {
 			b := make([]byte, 16<<10)
 			n, err := c.Read(b)
 			if n > 0 {
-				p.post(func() { p.w.Wrote(s.conn, b[:n]) })
+				p.post(func() { p.world.Wrote(s.conn, b[:n]) })
 			}
 			if err != nil {
-				p.post(func() { s.over(err) })
+				p.post(func() { s.handleReadError(err) })
 				return
 			}
 		}
 	}()
 }
 
-// over is that the node's side has ended.
-func (s *sock) over(err error) {
-	s.eof = true
+// handleReadError is that the node's side has ended.
+func (s *socket) handleReadError(err error) {
+	s.readClosed = true
 	if !errors.Is(err, io.EOF) {
-		s.p.w.Broke(s.conn)
+		s.player.world.Broke(s.conn)
 		s.close()
 		return
 	}
-	if s.ended {
-		s.p.w.Closed(s.conn)
+	if s.writeEnded {
+		s.player.world.Closed(s.conn)
 		s.close()
 		return
 	}
-	s.p.w.Shut(s.conn)
+	s.player.world.Shut(s.conn)
 }
 
-func (s *sock) close() {
+func (s *socket) close() {
 	if s.closed {
 		return
 	}
 	s.closed = true
-	if s.c != nil {
-		s.c.Close()
+	if s.tcp != nil {
+		s.tcp.Close()
 	}
 }
 
@@ -165,8 +165,8 @@
 func (p *player) Refused(c *fleet.Conn) { p.Broken(c) }
 
 func (p *player) Bytes(c *fleet.Conn, b []byte) {
-	s, ok := c.Ref.(*sock)
-	if !ok || s.closed || s.ended {
+	s, ok := c.Ref.(*socket)
+	if !ok || s.closed || s.writeEnded {
 		return
 	}
 	s.mu.Lock()
@@ -176,12 +176,12 @@
 }
 
 // flush writes what the socket takes at once; a goroutine writes the rest. The caller holds the lock.
-func (s *sock) flush() {
-	if s.writing || !s.up {
+func (s *socket) flush() {
+	if s.writing || !s.connected {
 		return
 	}
 	if len(s.queue) > 0 {
-		raw, err := s.c.SyscallConn()
+		raw, err := s.tcp.SyscallConn()
 		if err != nil {
 			s.queue = nil
 			return
@@ -199,27 +199,27 @@
 	switch {
 	case len(s.queue) > 0:
 		s.writing = true
-		go s.write()
-	case s.shut:
-		s.c.CloseWrite()
+		go s.writeQueue()
+	case s.closeWhenSent:
+		s.tcp.CloseWrite()
 	}
 }
 
-func (s *sock) write() {
+func (s *socket) writeQueue() {
 	for {
 		s.mu.Lock()
 		b := s.queue
 		s.queue = nil
 		if len(b) == 0 {
 			s.writing = false
-			if s.shut {
-				s.c.CloseWrite()
+			if s.closeWhenSent {
+				s.tcp.CloseWrite()
 			}
 			s.mu.Unlock()
 			return
 		}
 		s.mu.Unlock()
-		if _, err := s.c.Write(b); err != nil {
+		if _, err := s.tcp.Write(b); err != nil {
 			s.mu.Lock()
 			s.writing, s.queue = false, nil
 			s.mu.Unlock()
@@ -229,16 +229,16 @@
 }
 
 func (p *player) End(c *fleet.Conn) {
-	s, ok := c.Ref.(*sock)
-	if !ok || s.closed || s.ended {
+	s, ok := c.Ref.(*socket)
+	if !ok || s.closed || s.writeEnded {
 		return // its client had left before its connection came
 	}
-	s.ended = true
-	if s.eof {
-		s.p.w.Closed(c)
+	s.writeEnded = true
+	if s.readClosed {
+		s.player.world.Closed(c)
 		s.mu.Lock()
 		waits := len(s.queue) > 0 || s.writing
-		s.shut = true
+		s.closeWhenSent = true
 		s.mu.Unlock()
 		if !waits {
 			s.close()
@@ -247,17 +247,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shut = true
+	s.closeWhenSent = true
 	s.flush()
 }
 
 func (p *player) Broken(c *fleet.Conn) {
-	s, ok := c.Ref.(*sock)
+	s, ok := c.Ref.(*socket)
 	if !ok {
 		return
 	}
-	if s.c != nil && !s.closed {
-		s.c.SetLinger(0)
+	if s.tcp != nil && !s.closed {
+		s.tcp.SetLinger(0)
 	}
 	s.close()
 }
--- a/rehearsal/live/watch.go
+++ b/rehearsal/live/watch.go
@@ -9,36 +9,38 @@
 	"time"
 )
 
-const watchWait = 400 * time.Millisecond // for a node's figures
+const metricsTimeout = 400 * time.Millisecond // for a node's figures
 
-// lateness is how often nodes that bound each other said that their own loops were late. They judge no host then, and what
+// lateCounter is how often nodes that bound each other said that their own loops were late. They judge no host then, and what
 // the fleet serves without that is the machine's doing and not theirs.
-type lateness struct{ asked, late atomic.Int64 }
+type lateCounter struct{ samples, late atomic.Int64 }
 
-func (l *lateness) note(late bool) {
-	if l.asked.Add(1); late {
+func (l *lateCounter) add(late bool) {
+	if l.samples.Add(1); late {
 		l.late.Add(1)
 	}
 }
 
-func (l *lateness) share() float64 { return float64(l.late.Load()) / float64(max(l.asked.Load(), 1)) }
+func (l *lateCounter) share() float64 {
+	return float64(l.late.Load()) / float64(max(l.samples.Load(), 1))
+}
 
-// adminOr is nil where nobody watches.
-func (p *player) adminOr() func(int) string {
-	if p.opt.Watch == nil {
+// adminFunc is nil where nobody watches.
+func (p *player) adminFunc() func(int) string {
+	if p.options.OnSecond == nil {
 		return nil
 	}
-	return func(no int) string { return p.nodes[no].admin }
+	return func(no int) string { return p.nodes[no].adminAddr }
 }
 
-// watch calls the watcher each second from the start of the run on.
-func (p *player) watch() {
-	if p.opt.Watch == nil {
+// startWatching calls the watcher each second from the start of the run on.
+func (p *player) startWatching() {
+	if p.options.OnSecond == nil {
 		return
 	}
-	client := &http.Client{Timeout: watchWait, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: metricsTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	read := func(no int) map[string]float64 {
-		answer, err := client.Get("http://" + p.nodes[no].admin + "/-/metrics")
+		answer, err := client.Get("http://" + p.nodes[no].adminAddr + "/-/metrics")
 		if err != nil {
 			return nil
 		}
@@ -50,7 +52,7 @@
 				all[name] = v
 			}
 		}
-		p.own.note(all["overload_late"] > 0)
+		p.lateReports.add(all["overload_late"] > 0)
 		return all
 	}
 	go func() {
@@ -58,8 +60,8 @@
 			select {
 			case <-p.done:
 				return
-			case <-time.After(time.Until(p.start.Add(time.Duration(at) * time.Second))):
-				p.opt.Watch(at*1_000_000, read)
+			case <-time.After(time.Until(p.startTime.Add(time.Duration(at) * time.Second))):
+				p.options.OnSecond(at*1_000_000, read)
 			}
 		}
 	}()
--- a/rehearsal/record/held.go
+++ b/rehearsal/record/held.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// held is from when to when a flow was held, as its client saw it: its end up to late before it was heard. What its node
+// heldInterval is from when to when a flow was held, as its client saw it: its end up to late before it was heard. What its node
 // held while it was stopped is left out.
-func (r *Run) held(f *Flow, late int64) (from, to int64) {
+func (r *Run) heldInterval(f *Flow, late int64) (from, to int64) {
 	to = r.Length
 	for _, e := range f.Events {
 		switch e.Kind {
@@ -40,7 +40,7 @@
 		if word, _ := f.Answer(); word != "established" {
 			continue
 		}
-		if from, to := r.held(f, late); to > from {
+		if from, to := r.heldInterval(f, late); to > from {
 			all = append(all, edge{from, 1, key(f)}, edge{to, -1, key(f)})
 		}
 	}
--- a/rehearsal/record/record.go
+++ b/rehearsal/record/record.go
@@ -33,10 +33,10 @@
 	NodeKilled             // the node that held it was killed
 )
 
-var kinds = [...]string{"asked", "sent", "came", "ran", "said", "refused", "stopped", "lost", "answered", "cut", "moved",
+var kindNames = [...]string{"asked", "sent", "came", "ran", "said", "refused", "stopped", "lost", "answered", "cut", "moved",
 	"left", "held", "unended", "nonsense", "node killed"}
 
-func (k Kind) String() string { return kinds[k] }
+func (k Kind) String() string { return kindNames[k] }
 
 // Event is one step of a flow.
 type Event struct {
@@ -225,8 +225,8 @@
 			asked = e.At
 		}
 		fmt.Fprintf(b, "%s %s n-%d %.3f", f.ID, r.Types[f.Type].Name, f.Node, float64(asked)/1000)
-		for _, c := range f.tries() {
-			fmt.Fprintf(b, " %s:%s:%.3f", r.Hosts[c.host].Name, c.outcome, float64(c.took)/1000)
+		for _, c := range f.attempts() {
+			fmt.Fprintf(b, " %s:%s:%.3f", r.Hosts[c.host].Name, c.outcome, float64(c.duration)/1000)
 		}
 		word, at := f.Answer()
 		fmt.Fprintf(b, " %s %.3f\n", word, float64(at)/1000)
@@ -234,21 +234,21 @@
 	return b.Flush()
 }
 
-type try struct {
-	host    int
-	outcome string
-	from    int64
-	took    int64
+type attempt struct {
+	host     int
+	outcome  string
+	sentAt   int64
+	duration int64
 }
 
-// tries are the connects with how each came out: the first thing that settled it.
-func (f *Flow) tries() []try {
-	var all []try
+// attempts are the connects with how each came out: the first thing that settled it.
+func (f *Flow) attempts() []attempt {
+	var all []attempt
 	settled := map[int]bool{}
 	for _, e := range f.Events {
 		if e.Kind == Sent || e.Kind == Refused && e.Try >= len(all) {
 			for len(all) <= e.Try {
-				all = append(all, try{host: e.Host, outcome: "open", from: e.At})
+				all = append(all, attempt{host: e.Host, outcome: "open", sentAt: e.At})
 			}
 		}
 		if e.Try >= len(all) || e.Host < 0 || settled[e.Try] {
@@ -267,7 +267,7 @@
 		}
 		if outcome != "" {
 			settled[e.Try] = true
-			all[e.Try].outcome, all[e.Try].took = outcome, e.At-all[e.Try].from
+			all[e.Try].outcome, all[e.Try].duration = outcome, e.At-all[e.Try].sentAt
 		}
 	}
 	return all
--- a/rehearsal/replay/clients.go
+++ b/rehearsal/replay/clients.go
@@ -19,10 +19,10 @@
 	Key   string
 	Loads []capture.Load // as told, microseconds after its start
 	Life  int64          // how long it wanted its connection
-	Tries int
+	Flows int
 }
 
-const backWithin = 10_000_000 // a key that comes again so soon is the same client's
+const sameClientWithin = 10_000_000 // a key that comes again so soon is the same client's
 
 // Clients puts the flows of captures together by key. Where a client never stood, or its end is not in the capture, it
 // is given the mean life of its type, or stays until the capture's end, whichever it shows.
@@ -77,9 +77,9 @@
 			p := parts[i]
 			c := Client{At: p.from, Type: p.flow.Type, Zone: p.zone, Group: p.flow.Group, Key: key}
 			end, stood, open, stay := p.to, false, false, false
-			for ; i < len(parts) && (c.Tries == 0 || parts[i].from-end < backWithin && !stay); i++ {
+			for ; i < len(parts) && (c.Flows == 0 || parts[i].from-end < sameClientWithin && !stay); i++ {
 				q := parts[i]
-				c.Tries++
+				c.Flows++
 				end, open, stay = max(end, q.to), q.open, q.stay
 				stood = stood || q.flow.Answer == capture.Established
 				for _, l := range q.loads {
--- a/rehearsal/replay/replay_test.go
+++ b/rehearsal/replay/replay_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("%d clients: %+v", len(all), all)
 	}
 	a, open, never, later := all[0], all[1], all[2], all[3]
-	if a.At != 1*s || a.Life != 9*s || a.Tries != 3 || a.Zone != 0 || len(a.Loads) != 2 || a.Loads[1].At != 3*s {
+	if a.At != 1*s || a.Life != 9*s || a.Flows != 3 || a.Zone != 0 || len(a.Loads) != 2 || a.Loads[1].At != 3*s {
 		t.Errorf("the one that came three times: %+v", a)
 	}
 	if open.Life != 58*s {
--- a/rehearsal/report/html.go
+++ b/rehearsal/report/html.go
@@ -20,14 +20,14 @@
 var Colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {230, 159, 0, 255}, {90, 90, 90, 255}, {0, 0, 0, 255}}
 
-// Line is one named line of a plot; Y has a value a second.
-type Line struct {
+// Series is one named line of a plot; Y has a value a second.
+type Series struct {
 	Name string
 	Y    []float64
 }
 
 // SVG draws lines over seconds, as text that a page can hold.
-func SVG(title, y string, all []Line) (template.HTML, error) {
+func SVG(title, y string, all []Series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second", y
 	p.Legend.Top = true
@@ -69,7 +69,7 @@
 	return template.HTML(text), nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Sum.Script}}</title>
 <style>body{font-family:sans-serif;max-width:62rem;margin:1rem auto;padding:0 1rem}table{border-collapse:collapse}
 td,th{padding:.2rem .7rem;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child{text-align:left}
@@ -114,67 +114,67 @@
 	}
 	for _, part := range []struct {
 		title, y string
-		lines    []Line
-	}{{"Service over time", "share of benefit", serviceLines(r)}, {"Load a host", "load over capacity", hostLines(r)},
-		{"Answers a second", "flows", answerLines(r)}} {
+		lines    []Series
+	}{{"Service over time", "share of benefit", serviceSeries(r)}, {"Load a host", "load over capacity", hostLoadSeries(r)},
+		{"Answers a second", "flows", answerSeries(r)}} {
 		svg, err := SVG(part.title, part.y, part.lines)
 		if err != nil {
 			return err
 		}
 		data.Plots = append(data.Plots, svg)
 	}
-	return page.Execute(w, data)
+	return pageTemplate.Execute(w, data)
 }
 
-func serviceLines(r *record.Run) []Line {
-	all := []Line{{Name: "all"}}
+func serviceSeries(r *record.Run) []Series {
+	all := []Series{{Name: "all"}}
 	for _, t := range r.Types {
-		all = append(all, Line{Name: t.Name})
+		all = append(all, Series{Name: t.Name})
 	}
 	for _, s := range r.Seconds {
 		wanted, served := 0.0, 0.0
 		for t := range r.Types {
 			wanted, served = wanted+s.Wanted[t], served+s.Served[t]
-			all[t+1].Y = append(all[t+1].Y, share(s.Served[t], s.Wanted[t]))
+			all[t+1].Y = append(all[t+1].Y, ratio(s.Served[t], s.Wanted[t]))
 		}
-		all[0].Y = append(all[0].Y, share(served, wanted))
+		all[0].Y = append(all[0].Y, ratio(served, wanted))
 	}
 	return all
 }
 
-func share(x, of float64) float64 {
+func ratio(x, of float64) float64 {
 	if of == 0 {
 		return 1
 	}
 	return x / of
 }
 
-const mostHosts = 16 // lines of the plot; of more hosts, the most loaded
+const maxPlottedHosts = 16 // lines of the plot; of more hosts, the most loaded
 
-func hostLines(r *record.Run) []Line {
-	var all []Line
+func hostLoadSeries(r *record.Run) []Series {
+	var all []Series
 	for _, h := range r.Hosts {
 		load := make([]float64, len(h.Load))
 		for i, v := range h.Load {
 			load[i] = min(v, 3)
 		}
 		if len(load) > 0 {
-			all = append(all, Line{h.Name, load})
+			all = append(all, Series{h.Name, load})
 		}
 	}
-	if len(all) > mostHosts {
-		slices.SortStableFunc(all, func(x, y Line) int {
+	if len(all) > maxPlottedHosts {
+		slices.SortStableFunc(all, func(x, y Series) int {
 			if slices.Max(x.Y) > slices.Max(y.Y) {
 				return -1
 			}
 			return 1
 		})
-		all = all[:mostHosts]
+		all = all[:maxPlottedHosts]
 	}
 	return all
 }
 
-func answerLines(r *record.Run) []Line {
+func answerSeries(r *record.Run) []Series {
 	by := map[string][]float64{}
 	for _, f := range r.Flows {
 		word, at := f.Answer()
@@ -187,10 +187,10 @@
 		}
 		by[word][second]++
 	}
-	var all []Line
-	for _, word := range answerWords {
+	var all []Series
+	for _, word := range outcomeOrder {
 		if y := by[word]; y != nil {
-			all = append(all, Line{word, y})
+			all = append(all, Series{word, y})
 		}
 	}
 	return all
--- a/rehearsal/report/text.go
+++ b/rehearsal/report/text.go
@@ -80,8 +80,8 @@
 	return e.Encode(s)
 }
 
-// answerWords are the answers in the order in which they are told.
-var answerWords = []string{"established", "rejected", "aborted", "unreached", "killed", "left", "cut", "none"}
+// outcomeOrder are the answers in the order in which they are told.
+var outcomeOrder = []string{"established", "rejected", "aborted", "unreached", "killed", "left", "cut", "none"}
 
 // Text writes a run for people: who was served where, how well, and what was broken.
 func Text(w io.Writer, r *record.Run, broken []rules.Breach) {
@@ -91,7 +91,7 @@
 		fmt.Fprintf(w, "VOID: %s\n", s.Void)
 	}
 	fmt.Fprintf(w, "  service %.3f, worst 10 s %.3f, worst type %.3f\n ", s.Service, s.Worst10, s.WorstType)
-	for _, word := range answerWords {
+	for _, word := range outcomeOrder {
 		if n := s.Answers[word]; n > 0 {
 			fmt.Fprintf(w, " %s %d", word, n)
 		}
@@ -110,30 +110,30 @@
 		fmt.Fprintf(w, "  %-16s %8.3f %7.1f ms %7.1f ms %7.0f ms %7.1f%%\n", t.Name, s.ByType[t.Name], u.P50, u.P99, u.Target,
 			u.Late*100)
 	}
-	where(w, r)
-	shed(w, r)
+	writePlacement(w, r)
+	writeRejections(w, r)
 	if len(broken) == 0 {
 		fmt.Fprintf(w, "\n  rules: all kept\n")
 	}
 	told := map[rules.Rule]int{}
 	for _, b := range broken {
-		if told[b.Rule]++; told[b.Rule] <= mostTold {
+		if told[b.Rule]++; told[b.Rule] <= maxReportsPerRule {
 			fmt.Fprintf(w, "\n%s", b.Report(r))
 		}
 	}
 	for _, rule := range rules.All {
-		if n := told[rule]; n > mostTold {
-			fmt.Fprintf(w, "and %d more of: %s\n", n-mostTold, rule)
+		if n := told[rule]; n > maxReportsPerRule {
+			fmt.Fprintf(w, "and %d more of: %s\n", n-maxReportsPerRule, rule)
 		}
 	}
 }
 
-const mostNodes = 12 // that are told one by one
+const maxListedNodes = 12 // that are told one by one
 
-const mostTold = 3 // breaches of a rule that are told in full
+const maxReportsPerRule = 3 // breaches of a rule that are told in full
 
-// shed tells which node had how many flows and turned away how many of each service type, where any did.
-func shed(w io.Writer, r *record.Run) {
+// writeRejections tells which node had how many flows and turned away how many of each service type, where any did.
+func writeRejections(w io.Writer, r *record.Run) {
 	type cell struct{ all, no int }
 	var cells [][]cell
 	any := false
@@ -149,7 +149,7 @@
 			any = true
 		}
 	}
-	if !any || len(cells) > mostNodes {
+	if !any || len(cells) > maxListedNodes {
 		return
 	}
 	fmt.Fprintf(w, "\n  %-10s", "turned away")
@@ -171,16 +171,16 @@
 	}
 }
 
-// where tells which node sent how many flows to which host.
-func where(w io.Writer, r *record.Run) {
+// writePlacement tells which node sent how many flows to which host.
+func writePlacement(w io.Writer, r *record.Run) {
 	nodes := 0
 	for _, f := range r.Flows {
 		nodes = max(nodes, f.Node+1)
 	}
-	if nodes == 0 || nodes > mostNodes {
+	if nodes == 0 || nodes > maxListedNodes {
 		return
 	}
-	cold(w, r)
+	writeColdHosts(w, r)
 	fmt.Fprintf(w, "\n  %-10s", "host")
 	for n := range nodes {
 		fmt.Fprintf(w, " %6s", fmt.Sprintf("n-%d", n))
@@ -205,8 +205,8 @@
 	}
 }
 
-// cold tells what hosts that came back were sent, where any did.
-func cold(w io.Writer, r *record.Run) {
+// writeColdHosts tells what hosts that came back were sent, where any did.
+func writeColdHosts(w io.Writer, r *record.Run) {
 	if sent, may, worst := r.Cold(); may > 0 {
 		fmt.Fprintf(w, "\n  cold hosts were sent %d connects, %.0f%% of what the rule allows; the worst stretch had %.2f of what pushes one over\n",
 			sent, 100*float64(sent)/may, worst)
--- a/rehearsal/rules/rules_test.go
+++ b/rehearsal/rules/rules_test.go
@@ -12,17 +12,17 @@
 
 // rogue is a small node that keeps the rules but for the one that its mode breaks.
 type rogue struct {
-	w    *fleet.World
-	mode string
-	live map[*fleet.Conn]*pair // by either side
-	held bool
+	world   *fleet.World
+	mode    string
+	pairs   map[*fleet.Conn]*pair // by either side
+	crashed bool
 }
 
 type pair struct {
 	client, host *fleet.Conn
 	line         string
-	up           bool
-	tried        int
+	established  bool
+	connects     int
 }
 
 const script = `name = "planted"
@@ -47,7 +47,7 @@
 message_target = "60ms"
 `
 
-func (r *rogue) Start(no int, _ fleet.Conf)  { r.w.Ready(no) }
+func (r *rogue) Start(no int, _ fleet.Conf)  { r.world.Ready(no) }
 func (r *rogue) Kill(int)                    {}
 func (r *rogue) Stop(int)                    {}
 func (r *rogue) Reload(int, fleet.Conf)      {}
@@ -58,11 +58,11 @@
 func (r *rogue) Twin(int, fleet.Conf, bool)  {}
 func (r *rogue) Clock(int, int64, float64)   {}
 func (r *rogue) Refused(c *fleet.Conn)       { r.finish(c) }
-func (r *rogue) Arrive(c *fleet.Conn) bool   { r.live[c] = &pair{client: c}; return true }
-func (r *rogue) after(us int64, what func()) { r.w.At(r.w.Now()+us, what) }
+func (r *rogue) Arrive(c *fleet.Conn) bool   { r.pairs[c] = &pair{client: c}; return true }
+func (r *rogue) after(us int64, what func()) { r.world.At(r.world.Now()+us, what) }
 
 func (r *rogue) Bytes(c *fleet.Conn, b []byte) {
-	p := r.live[c]
+	p := r.pairs[c]
 	if p == nil {
 		return
 	}
@@ -72,18 +72,18 @@
 	}
 	text := string(b)
 	switch {
-	case p.up && r.mode == "hold":
-		r.after(1_200_000, func() { r.w.Wrote(p.host, b) })
-	case p.up:
-		r.w.Wrote(p.host, b)
+	case p.established && r.mode == "hold":
+		r.after(1_200_000, func() { r.world.Wrote(p.host, b) })
+	case p.established:
+		r.world.Wrote(p.host, b)
 	case text == "PING\r\n":
-		r.w.Wrote(c, []byte("PONG\r\n"))
+		r.world.Wrote(c, []byte("PONG\r\n"))
 	case strings.HasPrefix(text, "OPEN ") && strings.Count(text, "\n") == 1 && strings.Contains(text, "c=t,"):
 		p.line = text
 		r.open(p)
 	case r.mode != "deaf" && strings.Contains(text, "\n"):
-		r.w.Wrote(c, []byte("ERR\r\n"))
-		r.w.Closed(c)
+		r.world.Wrote(c, []byte("ERR\r\n"))
+		r.world.Closed(c)
 	}
 }
 
@@ -92,14 +92,14 @@
 	case "silent":
 		return
 	case "shut":
-		r.w.Closed(p.client)
+		r.world.Closed(p.client)
 		return
 	case "forged":
-		r.w.Wrote(p.client, []byte("UP h-0.0.77\r\n"))
+		r.world.Wrote(p.client, []byte("UP h-0.0.77\r\n"))
 		return
 	case "twice":
-		r.w.Wrote(p.client, []byte("BUSY\r\n"))
-		r.after(100, func() { r.w.Wrote(p.client, []byte("UP h-0.0.1\r\n")) })
+		r.world.Wrote(p.client, []byte("BUSY\r\n"))
+		r.after(100, func() { r.world.Wrote(p.client, []byte("UP h-0.0.1\r\n")) })
 		return
 	case "mangled":
 		p.line = strings.Replace(p.line, " ", " x", 1)
@@ -113,60 +113,60 @@
 }
 
 func (r *rogue) dial(p *pair, to string) {
-	p.host = r.w.Dialed(0, to, nil)
-	r.live[p.host] = p
-	p.tried++
+	p.host = r.world.Dialed(0, to, nil)
+	r.pairs[p.host] = p
+	p.connects++
 }
 
 func (r *rogue) Up(c *fleet.Conn) {
-	if p := r.live[c]; p != nil {
-		r.w.Wrote(c, []byte(p.line))
+	if p := r.pairs[c]; p != nil {
+		r.world.Wrote(c, []byte(p.line))
 	}
 }
 
 func (r *rogue) fromHost(p *pair, b []byte) {
-	if !p.up && r.mode == "again" && p.tried == 1 { // it ran, and is sent elsewhere
-		r.w.Closed(p.host)
+	if !p.established && r.mode == "again" && p.connects == 1 { // it ran, and is sent elsewhere
+		r.world.Closed(p.host)
 		r.after(100_000, func() { r.dial(p, "host-1") })
 		return
 	}
-	if !p.up && r.mode == "refused though it ran" {
-		r.w.Closed(p.host)
-		r.w.Wrote(p.client, []byte("BUSY\r\n"))
+	if !p.established && r.mode == "refused though it ran" {
+		r.world.Closed(p.host)
+		r.world.Wrote(p.client, []byte("BUSY\r\n"))
 		return
 	}
-	up := !p.up && strings.HasPrefix(string(b), "UP ")
-	p.up = p.up || up
-	r.w.Wrote(p.client, b)
+	up := !p.established && strings.HasPrefix(string(b), "UP ")
+	p.established = p.established || up
+	r.world.Wrote(p.client, b)
 	if up && r.mode == "cut" {
 		r.after(500_000, func() {
-			r.w.Closed(p.client)
-			r.w.Closed(p.host)
+			r.world.Closed(p.client)
+			r.world.Closed(p.host)
 		})
 	}
-	if up && r.mode == "crash" && !r.held {
-		r.held = true
-		r.after(1000, func() { r.w.Exited(0, "exit status 2") })
+	if up && r.mode == "crash" && !r.crashed {
+		r.crashed = true
+		r.after(1000, func() { r.world.Exited(0, "exit status 2") })
 	}
 }
 
 func (r *rogue) finish(c *fleet.Conn) {
-	p := r.live[c]
+	p := r.pairs[c]
 	if p == nil {
 		return
 	}
 	end := func() {
-		r.w.Closed(p.client)
+		r.world.Closed(p.client)
 		if p.host != nil {
-			r.w.Closed(p.host)
+			r.world.Closed(p.host)
 		}
 	}
 	if r.mode == "slow to end" && c == p.host {
 		r.after(1_500_000, end)
 		return
 	}
-	if c == p.host && !p.up {
-		r.w.Wrote(p.client, []byte("ERR\r\n"))
+	if c == p.host && !p.established {
+		r.world.Wrote(p.client, []byte("ERR\r\n"))
 	}
 	end()
 }
@@ -180,15 +180,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rogue{mode: mode, live: map[*fleet.Conn]*pair{}}
-	r.w = fleet.New(s, 1, r, fleet.Places{Discovery: func(_, n int) string { return "discovery" }, Lead: 100_000})
-	r.w.Begin()
-	r.w.Advance(r.w.End())
-	return r.w.Run()
+	r := &rogue{mode: mode, pairs: map[*fleet.Conn]*pair{}}
+	r.world = fleet.New(s, 1, r, fleet.Places{Discovery: func(_, n int) string { return "discovery" }, Lead: 100_000})
+	r.world.Begin()
+	r.world.Advance(r.world.End())
+	return r.world.Run()
 }
 
-// TestPlanted breaks each rule once, by a node that does nothing else wrong, and wants that rule told and no other.
-func TestPlanted(t *testing.T) {
+// TestEachRuleFindsItsBreach breaks each rule once, by a node that does nothing else wrong, and wants that rule told and no other.
+func TestEachRuleFindsItsBreach(t *testing.T) {
 	const crash = "\n[[faults]]\nat = \"2s\"\nkind = \"crash\"\nhosts = [\"h-0\"]\n"
 	for _, c := range []struct {
 		mode     string
@@ -196,26 +196,26 @@
 		more     string
 		from, to string
 	}{
-		{mode: "silent", rule: rules.Answer},
-		{mode: "shut", rule: rules.Answer},
-		{mode: "forged", rule: rules.Answer},
-		{mode: "twice", rule: rules.Answer},
-		{mode: "two at once", rule: rules.Effect},
-		{mode: "again", rule: rules.Effect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
-		{mode: "again", rule: rules.Effect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"referenced\"\nwindow = \"1ms\""},
-		{mode: "refused though it ran", rule: rules.Effect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
-		{mode: "to a drained host", rule: rules.Drain,
+		{mode: "silent", rule: rules.FinalAnswer},
+		{mode: "shut", rule: rules.FinalAnswer},
+		{mode: "forged", rule: rules.FinalAnswer},
+		{mode: "twice", rule: rules.FinalAnswer},
+		{mode: "two at once", rule: rules.SingleEffect},
+		{mode: "again", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
+		{mode: "again", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"referenced\"\nwindow = \"1ms\""},
+		{mode: "refused though it ran", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
+		{mode: "to a drained host", rule: rules.DrainObserved,
 			more: "\n[[faults]]\nat = \"2s\"\nkind = \"drain\"\nhosts = [\"h-0\"]\nfor = \"30s\"\n"},
-		{mode: "to a cold host", rule: rules.Cold, from: "rate = 4.0", to: "rate = 40.0",
+		{mode: "to a cold host", rule: rules.ColdHostSpared, from: "rate = 4.0", to: "rate = 40.0",
 			more: "\n[[faults]]\nat = \"2s\"\nkind = \"crash\"\nhosts = [\"h-0\"]\nfor = \"500ms\"\n"},
-		{mode: "cut", rule: rules.Cutting},
-		{mode: "hold", rule: rules.Holding},
-		{mode: "slow to end", rule: rules.Ending, more: crash},
-		{mode: "mangled", rule: rules.Form},
-		{mode: "invented", rule: rules.Form},
-		{mode: "deaf", rule: rules.BadPeers,
+		{mode: "cut", rule: rules.NoDisconnect},
+		{mode: "hold", rule: rules.PromptLines},
+		{mode: "slow to end", rule: rules.PromptClose, more: crash},
+		{mode: "mangled", rule: rules.ValidLines},
+		{mode: "invented", rule: rules.ValidLines},
+		{mode: "deaf", rule: rules.BadClients,
 			more: "\n[[demand.bad]]\nat = \"1s\"\nfor = \"2s\"\nrate = 5.0\nkind = \"garbage\"\n"},
-		{mode: "crash", rule: rules.Process},
+		{mode: "crash", rule: rules.ProcessRuns},
 	} {
 		r := play(t, c.mode, c.more, c.from, c.to)
 		broken := rules.Check(r)
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestHonest guards against a checker that finds fault with everything.
-func TestHonest(t *testing.T) {
+// TestNoBreachOfCorrectNode guards against a checker that finds fault with everything.
+func TestNoBreachOfCorrectNode(t *testing.T) {
 	r := play(t, "honest", "\n[[demand.bad]]\nat = \"1s\"\nfor = \"2s\"\nrate = 5.0\nkind = \"garbage\"\n", "", "")
 	for _, b := range rules.Check(r) {
 		t.Error(b.Report(r))
--- a/rehearsal/trial/html.go
+++ b/rehearsal/trial/html.go
@@ -12,7 +12,7 @@
 	"coursewinch/rehearsal/report"
 )
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Experiment</title>
 <style>body{font-family:sans-serif;max-width:70rem;margin:1rem auto;padding:0 1rem}table{border-collapse:collapse}
 td,th{padding:.2rem .6rem;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child{text-align:left}
@@ -27,7 +27,7 @@
 `))
 
 type row struct {
-	Cell
+	Result
 	Difference, Broken string
 }
 
@@ -38,33 +38,33 @@
 }
 
 // HTML writes an experiment as one page that opens without a network.
-func HTML(w io.Writer, cells []Cell, seeds int) error {
+func HTML(w io.Writer, cells []Result, seeds int) error {
 	var all []section
 	for i := 0; i < len(cells); {
 		s := section{Name: cells[i].Script}
 		from := i
 		for ; i < len(cells) && cells[i].Script == s.Name; i++ {
-			r := row{Cell: cells[i], Broken: broken(cells[i])}
+			r := row{Result: cells[i], Broken: breachSummary(cells[i])}
 			if d, ok := cells[i].Diff["service"]; ok {
 				r.Difference = fmt.Sprintf("%+.3f (%+.3f to %+.3f)", d.Mean, d.Low, d.High)
 			}
 			s.Rows = append(s.Rows, r)
 		}
-		svg, err := boxes(cells[from:i])
+		svg, err := serviceBoxPlot(cells[from:i])
 		if err != nil {
 			return err
 		}
 		s.Plot = svg
 		all = append(all, s)
 	}
-	return page.Execute(w, struct {
+	return pageTemplate.Execute(w, struct {
 		Seeds   int
 		Scripts []section
 	}{seeds, all})
 }
 
-// boxes shows how service is spread over the seeds.
-func boxes(cells []Cell) (template.HTML, error) {
+// serviceBoxPlot shows how service is spread over the seeds.
+func serviceBoxPlot(cells []Result) (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "service"
 	var names []string
--- a/rehearsal/trial/sweep.go
+++ b/rehearsal/trial/sweep.go
@@ -27,37 +27,37 @@
 	Workers int // 0: one a core
 }
 
-// Load is what a fleet did at one size and multiple: each figure is the median over the seeds, but for Spread, which is of
+// SweepResult is what a fleet did at one size and multiple: each figure is the median over the seeds, but for Spread, which is of
 // all seeds together, and Broken.
-type Load struct {
-	Nodes    int     `json:"nodes"`
-	Times    float64 `json:"times"`
-	Goodput  float64 `json:"goodput"` // benefit served, in units of what the script's own rate asks for
-	Best     float64 `json:"best"`    // the same, of the best split that full knowledge could make
-	Worst10  float64 `json:"worst_10s"`
-	Rejected float64 `json:"rejected"` // share of answers
-	Spread   float64 `json:"spread"`   // of the share rejected of one service type between nodes, p90 less p10, beyond chance
-	Up       float64 `json:"established_per_s"`
-	Connects float64 `json:"connects_per_flow"`
-	Probes   float64 `json:"probes_per_s"`
-	Busy     float64 `json:"hosts_busy"` // hosts' load over what they can do: mean of the last half
-	Top      float64 `json:"hosts_top"`  // of the fullest host: mean of the last half
-	spread   []float64
-	Broken   int `json:"broken"` // rules, over all seeds
+type SweepResult struct {
+	Nodes                int     `json:"nodes"`
+	DemandFactor         float64 `json:"times"`
+	Goodput              float64 `json:"goodput"` // benefit served, in units of what the script's own rate asks for
+	BestGoodput          float64 `json:"best"`    // the same, of the best split that full knowledge could make
+	Worst10              float64 `json:"worst_10s"`
+	Rejected             float64 `json:"rejected"` // share of answers
+	RejectionSpread      float64 `json:"spread"`   // of the share rejected of one service type between nodes, p90 less p10, beyond chance
+	EstablishedPerSecond float64 `json:"established_per_s"`
+	ConnectsPerFlow      float64 `json:"connects_per_flow"`
+	ProbesPerSecond      float64 `json:"probes_per_s"`
+	MeanHostLoad         float64 `json:"hosts_busy"` // hosts' load over what they can do: mean of the last half
+	MaxHostLoad          float64 `json:"hosts_top"`  // of the fullest host: mean of the last half
+	rejectionVariances   []float64
+	Breaches             int `json:"broken"` // rules, over all seeds
 }
 
 // Run plays the sweep, in parallel over cores. The result does not depend on how many.
-func (p Sweep) Run() ([]Load, error) {
+func (p Sweep) Run() ([]SweepResult, error) {
 	type job struct{ cell, seed int }
-	var all []Load
+	var all []SweepResult
 	for _, n := range p.Nodes {
 		for _, t := range p.Times {
-			all = append(all, Load{Nodes: n, Times: t})
+			all = append(all, SweepResult{Nodes: n, DemandFactor: t})
 		}
 	}
-	runs := make([][]Load, len(all))
+	runs := make([][]SweepResult, len(all))
 	for i := range runs {
-		runs[i] = make([]Load, p.Seeds)
+		runs[i] = make([]SweepResult, p.Seeds)
 	}
 	jobs, errs := make(chan job), make([]error, len(all)*p.Seeds)
 	var wait sync.WaitGroup
@@ -85,17 +85,17 @@
 		}
 	}
 	for i := range all {
-		all[i] = median(all[i], runs[i])
+		all[i] = medianResult(all[i], runs[i])
 	}
 	return all, nil
 }
 
-func (p Sweep) play(to *Load, at Load, seed uint64) error {
+func (p Sweep) play(to *SweepResult, at SweepResult, seed uint64) error {
 	s, err := scenario.LoadWith(p.Script, p.Changes)
 	if err != nil {
 		return err
 	}
-	s.Demand.Rate *= at.Times
+	s.Demand.Rate *= at.DemandFactor
 	for i := range s.Nodes {
 		s.Nodes[i].Count = at.Nodes
 	}
@@ -103,13 +103,13 @@
 	if err != nil {
 		return err
 	}
-	*to = measure(s, r, at.Times)
+	*to = measure(s, r, at.DemandFactor)
 	to.Nodes = at.Nodes * len(s.Nodes)
 	return nil
 }
 
 // measure sums up a run at so many times the usual demand.
-func measure(s *scenario.Script, r *record.Run, times float64) (l Load) {
+func measure(s *scenario.Script, r *record.Run, times float64) (l SweepResult) {
 	f, unit := r.Sum(), 0.0
 	for _, sec := range r.Seconds {
 		wanted := make([]float64, len(s.Types))
@@ -118,38 +118,38 @@
 			unit += sec.Wanted[t] / times
 			l.Goodput += sec.Served[t]
 		}
-		l.Best += fleet.Best(s, wanted)
+		l.BestGoodput += fleet.Best(s, wanted)
 	}
 	unit = max(unit, 1e-9)
-	l.Times, l.Goodput, l.Best, l.Worst10 = times, l.Goodput/unit, l.Best/unit, f.Worst10
+	l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10 = times, l.Goodput/unit, l.BestGoodput/unit, f.Worst10
 	answers := 0
 	for _, v := range f.Answers {
 		answers += v
 	}
 	seconds := float64(r.Length) / 1e6
 	l.Rejected = float64(f.Answers["rejected"]+f.Answers["aborted"]) / float64(max(answers, 1))
-	l.Up, l.Connects, l.Probes = float64(f.Answers["established"])/seconds, f.PerFlow, float64(r.Counts.Probes)/seconds
-	l.spread = spreadOf(r)
+	l.EstablishedPerSecond, l.ConnectsPerFlow, l.ProbesPerSecond = float64(f.Answers["established"])/seconds, f.PerFlow, float64(r.Counts.Probes)/seconds
+	l.rejectionVariances = rejectionVariances(r)
 	for _, h := range r.Hosts {
 		sum, n := 0.0, 0.0
 		for _, v := range h.Load[len(h.Load)/2:] {
 			sum, n = sum+v, n+1
 		}
-		l.Busy += sum / max(n, 1) / float64(len(r.Hosts))
-		l.Top = max(l.Top, sum/max(n, 1))
+		l.MeanHostLoad += sum / max(n, 1) / float64(len(r.Hosts))
+		l.MaxHostLoad = max(l.MaxHostLoad, sum/max(n, 1))
 	}
-	l.Broken = len(rules.Check(r))
+	l.Breaches = len(rules.Check(r))
 	return l
 }
 
 // leastAnswers of a node and type: fewer say nothing of the share that it rejects.
-const tenToNinety = 2.56 // standard deviations
+const deviationsP10ToP90 = 2.56 // standard deviations
 
-const leastAnswers = 20
+const minAnswers = 20
 
-// spreadOf is by how much nodes differ in what share of each service type they reject: the variance, less what so few flows
+// rejectionVariances is by how much nodes differ in what share of each service type they reject: the variance, less what so few flows
 // a node differ by chance alone. Of one run it may be under 0.
-func spreadOf(r *record.Run) []float64 {
+func rejectionVariances(r *record.Run) []float64 {
 	spread := make([]float64, len(r.Types))
 	type cell struct{ all, no float64 }
 	cells := map[[2]int]*cell{}
@@ -168,7 +168,7 @@
 		var shares []float64
 		all, no, parts := 0.0, 0.0, 0.0
 		for at, c := range cells {
-			if at[0] == t && c.all >= leastAnswers {
+			if at[0] == t && c.all >= minAnswers {
 				shares, parts = append(shares, c.no/c.all), parts+1/c.all
 				all, no = all+c.all, no+c.no
 			}
@@ -184,9 +184,9 @@
 	return spread
 }
 
-func median(l Load, runs []Load) Load {
+func medianResult(l SweepResult, runs []SweepResult) SweepResult {
 	l.Nodes = runs[0].Nodes
-	of := func(get func(*Load) *float64) {
+	of := func(get func(*SweepResult) *float64) {
 		var all []float64
 		for i := range runs {
 			all = append(all, *get(&runs[i]))
@@ -194,35 +194,35 @@
 		slices.Sort(all)
 		*get(&l) = all[len(all)/2]
 	}
-	for _, get := range []func(*Load) *float64{
-		func(l *Load) *float64 { return &l.Goodput }, func(l *Load) *float64 { return &l.Best },
-		func(l *Load) *float64 { return &l.Worst10 }, func(l *Load) *float64 { return &l.Rejected },
-		func(l *Load) *float64 { return &l.Spread }, func(l *Load) *float64 { return &l.Up },
-		func(l *Load) *float64 { return &l.Connects }, func(l *Load) *float64 { return &l.Probes },
-		func(l *Load) *float64 { return &l.Busy }, func(l *Load) *float64 { return &l.Top }} {
+	for _, get := range []func(*SweepResult) *float64{
+		func(l *SweepResult) *float64 { return &l.Goodput }, func(l *SweepResult) *float64 { return &l.BestGoodput },
+		func(l *SweepResult) *float64 { return &l.Worst10 }, func(l *SweepResult) *float64 { return &l.Rejected },
+		func(l *SweepResult) *float64 { return &l.RejectionSpread }, func(l *SweepResult) *float64 { return &l.EstablishedPerSecond },
+		func(l *SweepResult) *float64 { return &l.ConnectsPerFlow }, func(l *SweepResult) *float64 { return &l.ProbesPerSecond },
+		func(l *SweepResult) *float64 { return &l.MeanHostLoad }, func(l *SweepResult) *float64 { return &l.MaxHostLoad }} {
 		of(get)
 	}
-	for t := range runs[0].spread {
+	for t := range runs[0].rejectionVariances {
 		sum := 0.0
 		for i := range runs {
-			sum += runs[i].spread[t] / float64(len(runs))
+			sum += runs[i].rejectionVariances[t] / float64(len(runs))
 		}
-		l.Spread = max(l.Spread, tenToNinety*math.Sqrt(max(sum, 0)))
+		l.RejectionSpread = max(l.RejectionSpread, deviationsP10ToP90*math.Sqrt(max(sum, 0)))
 	}
 	for i := range runs {
-		l.Broken += runs[i].Broken
+		l.Breaches += runs[i].Breaches
 	}
 	return l
 }
 
 // SweepText writes a sweep for people.
-func SweepText(w io.Writer, all []Load) {
+func SweepText(w io.Writer, all []SweepResult) {
 	fmt.Fprintf(w, "%6s %6s %8s %8s %8s %9s %7s %8s %9s %8s %7s %7s %7s\n", "nodes", "times", "goodput", "best", "worst10s",
 		"rejected", "spread", "up a s", "connects", "probes", "busy", "top", "broken")
 	for _, l := range all {
 		fmt.Fprintf(w, "%6d %6g %8.3f %8.3f %8.3f %8.1f%% %7.3f %8.1f %9.2f %8.1f %6.0f%% %6.0f%% %7d\n",
-			l.Nodes, l.Times, l.Goodput, l.Best, l.Worst10, l.Rejected*100, l.Spread, l.Up, l.Connects, l.Probes,
-			l.Busy*100, l.Top*100, l.Broken)
+			l.Nodes, l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10, l.Rejected*100, l.RejectionSpread, l.EstablishedPerSecond, l.ConnectsPerFlow, l.ProbesPerSecond,
+			l.MeanHostLoad*100, l.MaxHostLoad*100, l.Breaches)
 	}
 	fmt.Fprintln(w, "goodput and best in units of what the script's own rate asks for; medians over the seeds")
 }
--- a/rehearsal/trial/sweep_test.go
+++ b/rehearsal/trial/sweep_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestOverloadedFleet holds what the bounds are for: at five and ten times its demand a fleet that talks does 0.85 of its
+// TestGoodputOfOverloadedFleet holds what the bounds are for: at five and ten times its demand a fleet that talks does 0.85 of its
 // peak, one without a word 0.6, and one that nothing bounds little.
-func TestOverloadedFleet(t *testing.T) {
-	play := func(changes ...string) []Load {
+func TestGoodputOfOverloadedFleet(t *testing.T) {
+	play := func(changes ...string) []SweepResult {
 		all, err := Sweep{Script: "fleet-overload", Changes: changes, Times: []float64{2, 5, 10}, Nodes: []int{4}, Seeds: 2}.Run()
 		if err != nil {
 			t.Fatal(err)
@@ -20,13 +20,13 @@
 	// A second: twelve nodes, each half of twelve hosts, four seconds apart at least, and a tenth for hosts that are skipped.
 	const mostProbes = 1.1 * 12 * 6 / 4
 	for i, part := range []float64{0, 0.85, 0.85} {
-		asked := linked[i].Times
+		asked := linked[i].DemandFactor
 		if linked[i].Goodput < min(part*peak, 0.9*asked) || alone[i].Goodput < min(0.6*peak, 0.8*asked) {
 			t.Errorf("%g times: %.2f with links, %.2f alone, of a peak of %.2f", asked, linked[i].Goodput, alone[i].Goodput, peak)
 		}
-		if calm := linked[0].Probes; linked[i].Probes > min(1.1*calm, mostProbes) || linked[i].Connects > 1.1 || linked[i].Broken+alone[i].Broken > 0 {
-			t.Errorf("%g times: %.1f probes a second (calm %.1f), %.2f connects a flow, %d rules broken", asked, linked[i].Probes, calm,
-				linked[i].Connects, linked[i].Broken+alone[i].Broken)
+		if calm := linked[0].ProbesPerSecond; linked[i].ProbesPerSecond > min(1.1*calm, mostProbes) || linked[i].ConnectsPerFlow > 1.1 || linked[i].Breaches+alone[i].Breaches > 0 {
+			t.Errorf("%g times: %.1f probes a second (calm %.1f), %.2f connects a flow, %d rules broken", asked, linked[i].ProbesPerSecond, calm,
+				linked[i].ConnectsPerFlow, linked[i].Breaches+alone[i].Breaches)
 		}
 	}
 	if off[2].Goodput > 0.5*linked[2].Goodput {
--- a/rehearsal/trial/text.go
+++ b/rehearsal/trial/text.go
@@ -7,7 +7,7 @@
 )
 
 // Text writes an experiment as a table a script.
-func Text(w io.Writer, cells []Cell, seeds int) {
+func Text(w io.Writer, cells []Result, seeds int) {
 	width := 8
 	for _, c := range cells {
 		width = max(width, len(c.Variant))
@@ -25,11 +25,11 @@
 		}
 		fmt.Fprintf(w, "  %-*s %8.3f %26s %9.3f %9.3f %9.2f %9.2f %7.3f %7.3f %8.3f  %s\n", width, c.Variant, c.Mean["service"],
 			diff, c.Mean["worst_10s"], c.Mean["worst_type"], c.Mean["connects"], c.Mean["crossings"], c.Mean["moves"],
-			c.Mean["breaks"], c.Mean["rejected"], broken(c))
+			c.Mean["breaks"], c.Mean["rejected"], breachSummary(c))
 	}
 }
 
-func broken(c Cell) string {
+func breachSummary(c Result) string {
 	var names []string
 	for rule := range c.Breaches {
 		names = append(names, rule)
--- a/rehearsal/trial/trial.go
+++ b/rehearsal/trial/trial.go
@@ -27,10 +27,10 @@
 
 // Variant is one of what is compared.
 type Variant struct {
-	Name    string
-	Base    string   // a baseline in place of the module
-	Program string   // another build of rehearse
-	Changes []string // of the script, KEY=VALUE
+	Name     string
+	Baseline string   // a baseline in place of the module
+	Program  string   // another build of rehearse
+	Changes  []string // of the script, KEY=VALUE
 }
 
 // ParseVariant reads module, baseline:NAME, build:PROGRAM or set:KEY=VALUE[;KEY=VALUE]; a name and @ may stand before.
@@ -46,7 +46,7 @@
 		if _, err := baseline.New(rest); err != nil {
 			return v, err
 		}
-		v.Base = rest
+		v.Baseline = rest
 	case kind == "build":
 		if _, err := os.Stat(rest); err != nil {
 			return v, err
@@ -70,8 +70,8 @@
 		return report.Sum{}, err
 	}
 	opt := virtual.Options{Seed: seed}
-	if v.Base != "" {
-		if opt.Decide, err = baseline.New(v.Base); err != nil {
+	if v.Baseline != "" {
+		if opt.Decide, err = baseline.New(v.Baseline); err != nil {
 			return report.Sum{}, err
 		}
 	}
@@ -104,8 +104,8 @@
 	Progress func(done, all int)
 }
 
-// Cell is a variant on a script, over all seeds.
-type Cell struct {
+// Result is a variant on a script, over all seeds.
+type Result struct {
 	Script   string                  `json:"script"`
 	Variant  string                  `json:"variant"`
 	Runs     []report.Sum            `json:"-"`
@@ -122,10 +122,10 @@
 	High float64 `json:"high"`
 }
 
-// Metrics are what is compared, in order.
-var Metrics = []string{"service", "worst_10s", "worst_type", "connects", "crossings", "moves", "breaks", "rejected"}
+// MetricNames are what is compared, in order.
+var MetricNames = []string{"service", "worst_10s", "worst_type", "connects", "crossings", "moves", "breaks", "rejected"}
 
-func metrics(s report.Sum) map[string]float64 {
+func metricValues(s report.Sum) map[string]float64 {
 	n := float64(max(s.Flows, 1))
 	return map[string]float64{"service": s.Service, "worst_10s": s.Worst10, "worst_type": s.WorstType, "connects": s.Connects,
 		"crossings": s.Crossings, "moves": s.Moves, "breaks": float64(s.Breaks) / n,
@@ -133,11 +133,11 @@
 }
 
 // Run plays the plan, in parallel over cores. The result does not depend on how many.
-func (p Plan) Run() ([]Cell, error) {
-	cells := make([]Cell, 0, len(p.Scripts)*len(p.Variants))
+func (p Plan) Run() ([]Result, error) {
+	cells := make([]Result, 0, len(p.Scripts)*len(p.Variants))
 	for _, s := range p.Scripts {
 		for _, v := range p.Variants {
-			cells = append(cells, Cell{Script: s, Variant: v.Name, Runs: make([]report.Sum, p.Seeds)})
+			cells = append(cells, Result{Script: s, Variant: v.Name, Runs: make([]report.Sum, p.Seeds)})
 		}
 	}
 	workers := p.Workers
@@ -191,7 +191,7 @@
 }
 
 // sum computes a cell's means and its differences from the first variant on the same script.
-func (c *Cell) sum(first *Cell) {
+func (c *Result) sum(first *Result) {
 	c.Mean, c.Breaches, c.Setup = map[string]float64{}, map[string]int{}, map[string]report.Setup{}
 	n := float64(len(c.Runs))
 	for _, r := range c.Runs {
@@ -206,12 +206,12 @@
 	if c != first {
 		c.Diff = map[string]Interval{}
 	}
-	for _, name := range Metrics {
+	for _, name := range MetricNames {
 		var values, diffs []float64
 		for i, r := range c.Runs {
-			v := metrics(r)[name]
+			v := metricValues(r)[name]
 			values = append(values, v)
-			diffs = append(diffs, v-metrics(first.Runs[i])[name])
+			diffs = append(diffs, v-metricValues(first.Runs[i])[name])
 		}
 		c.Mean[name] = stat.Mean(values, nil)
 		if c != first {
@@ -220,12 +220,12 @@
 	}
 }
 
-const resamples = 2000
+const bootstrapResamples = 2000
 
 // Bootstrap gives the mean and its 95 % interval. The same values give the same interval.
 func Bootstrap(values []float64) Interval {
 	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
-	means := make([]float64, resamples)
+	means := make([]float64, bootstrapResamples)
 	again := make([]float64, len(values))
 	for i := range means {
 		for j := range again {
--- a/rehearsal/trial/trial_test.go
+++ b/rehearsal/trial/trial_test.go
@@ -29,8 +29,8 @@
 	return p
 }
 
-// TestSameWhateverWorkers wants the same figures from one worker and from many, and every baseline to serve.
-func TestSameWhateverWorkers(t *testing.T) {
+// TestResultIndependentOfWorkers wants the same figures from one worker and from many, and every baseline to serve.
+func TestResultIndependentOfWorkers(t *testing.T) {
 	variants := []string{"module", "few@set:node.max_connects=1"}
 	for _, name := range baseline.Names {
 		variants = append(variants, "baseline:"+name)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestVariants(t *testing.T) {
+func TestRejectsBadVariants(t *testing.T) {
 	for _, bad := range []string{"", "modul", "baseline:best", "build:/nowhere/at/all", "set:"} {
 		if _, err := ParseVariant(bad); err == nil {
 			t.Errorf("%q was taken", bad)
--- a/rehearsal/virtual/bytes_test.go
+++ b/rehearsal/virtual/bytes_test.go
@@ -45,7 +45,7 @@
 					begun = bytes // leases stand by now
 				}
 			}
-			if _, err := Play(s, Options{Tune: tune, Watch: watch}); err != nil {
+			if _, err := Play(s, Options{Configure: tune, Watch: watch}); err != nil {
 				t.Fatal(err)
 			}
 			got[i] = float64(bytes-begun) / (seconds - from/1e6) / float64(n)
--- a/rehearsal/virtual/cluster_test.go
+++ b/rehearsal/virtual/cluster_test.go
@@ -10,8 +10,8 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// served is the benefit served a second from one second on up to another.
-func served(r *record.Run, from, to int) (v float64) {
+// servedPerSecond is the benefit served a second from one second on up to another.
+func servedPerSecond(r *record.Run, from, to int) (v float64) {
 	for _, sec := range r.Seconds[from:to] {
 		for _, s := range sec.Served {
 			v += s / float64(to-from)
@@ -20,14 +20,14 @@
 	return v
 }
 
-func overloaded(t *testing.T, changes ...string) *record.Run {
+func playOverload(t *testing.T, changes ...string) *record.Run {
 	t.Helper()
-	return run(t, "fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\""}, changes...)...)
+	return playChecked(t, "fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\""}, changes...)...)
 }
 
-// hardCases are what befalls twelve nodes at ten times their demand, from second 30 to 40 where nothing else is said. Of
+// overloadFaults are what befalls twelve nodes at ten times their demand, from second 30 to 40 where nothing else is said. Of
 // what the fleet serves without it, at least these parts have to be served during it, and from ten seconds after it on.
-var hardCases = []struct {
+var overloadFaults = []struct {
 	name          string
 	during, after float64
 	changes       []string
@@ -54,12 +54,12 @@
 	{"two processes under one name", 0.75, 0.8, []string{`faults=[{at="30s",kind="node_twin",nodes=["n-3"],for="10s"}]`}},
 }
 
-func TestHardCases(t *testing.T) {
-	calm := overloaded(t)
-	for _, c := range hardCases {
+func TestOverloadUnderFaults(t *testing.T) {
+	calm := playOverload(t)
+	for _, c := range overloadFaults {
 		t.Run(strings.ReplaceAll(c.name, " ", "_"), func(t *testing.T) {
-			r := overloaded(t, c.changes...)
-			during, after := served(r, 30, 40)/served(calm, 30, 40), served(r, 50, 60)/served(calm, 50, 60)
+			r := playOverload(t, c.changes...)
+			during, after := servedPerSecond(r, 30, 40)/servedPerSecond(calm, 30, 40), servedPerSecond(r, 50, 60)/servedPerSecond(calm, 50, 60)
 			if during < c.during || after < c.after {
 				t.Errorf("%.2f and %.2f of what is served without; at least %.2f and %.2f", during, after, c.during, c.after)
 			}
@@ -70,14 +70,14 @@
 
 // TestThirdOfHostsGone: what is left is in overload by that alone, and serves seven tenths of what it can at least, over
 // three seeds: single ones differ by a third.
-func TestThirdOfHostsGone(t *testing.T) {
+func TestOverloadAfterHostLoss(t *testing.T) {
 	s, err := scenario.LoadWith("fleet-overload", []string{"hosts.2.count=1"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	best, got := 0.0, 0.0
 	for seed := range 3 {
-		r := overloaded(t, fmt.Sprintf("seed=%d", seed+1), "demand.rate=7.5", `faults=[{at="30s",kind="crash",hosts=["h-8","h-9","h-10","h-11"]}]`)
+		r := playOverload(t, fmt.Sprintf("seed=%d", seed+1), "demand.rate=7.5", `faults=[{at="30s",kind="crash",hosts=["h-8","h-9","h-10","h-11"]}]`)
 		for _, sec := range r.Seconds[40:60] {
 			wanted := make([]float64, len(s.Types))
 			for i, k := range s.Types {
@@ -85,7 +85,7 @@
 			}
 			best += fleet.Best(s, wanted) / 20
 		}
-		got += served(r, 40, 60)
+		got += servedPerSecond(r, 40, 60)
 	}
 	if got < 0.7*best {
 		t.Errorf("%.0f served of %.0f", got, best)
@@ -94,9 +94,9 @@
 
 // TestSpike: ten times the demand for five seconds, at nodes that talk and at such that don't: ten seconds later nothing of
 // it is left but its clients.
-func TestSpike(t *testing.T) {
+func TestRecoveryAfterDemandSpike(t *testing.T) {
 	for _, alone := range []string{"false", "true"} {
-		r := overloaded(t, "demand.rate=2.5", "cluster.alone="+alone, `demand.waves=[{at="0s",times=1.0},{at="20s",times=1.0},
+		r := playOverload(t, "demand.rate=2.5", "cluster.alone="+alone, `demand.waves=[{at="0s",times=1.0},{at="20s",times=1.0},
 			{at="20s",times=10.0},{at="25s",times=10.0},{at="25s",times=1.0}]`)
 		wanted := 0.0
 		for _, sec := range r.Seconds[35:60] {
@@ -104,17 +104,17 @@
 				wanted += v / 25
 			}
 		}
-		if got := served(r, 35, 60); got < 0.9*wanted {
+		if got := servedPerSecond(r, 35, 60); got < 0.9*wanted {
 			t.Errorf("alone %s: %.0f served of %.0f asked for", alone, got, wanted)
 		}
 	}
 }
 
 // TestOneNodeAlone: without any other node it bounds itself by what it sees.
-func TestOneNodeAlone(t *testing.T) {
+func TestSingleNodeInOverload(t *testing.T) {
 	one := []string{"nodes=[{zone=\"north\",count=1}]"}
-	with, without := overloaded(t, one...), overloaded(t, append(one, "cluster.on=false")...)
-	if a, b := served(with, 30, 60), served(without, 30, 60); a < 3*b || a < 100 {
+	with, without := playOverload(t, one...), playOverload(t, append(one, "cluster.on=false")...)
+	if a, b := servedPerSecond(with, 30, 60), servedPerSecond(without, 30, 60); a < 3*b || a < 100 {
 		t.Errorf("%.0f served, %.0f with nothing bounded", a, b)
 	}
 }
--- a/rehearsal/virtual/cold_test.go
+++ b/rehearsal/virtual/cold_test.go
@@ -8,7 +8,7 @@
 
 // TestColdByGrant: four hosts of twelve come back cold into overload. By grants of the fleet they get more than by the
 // parts that nodes guess, and are not pushed over, whatever befalls links and nodes meanwhile.
-func TestColdByGrant(t *testing.T) {
+func TestColdHostGrants(t *testing.T) {
 	const back = `{at="25s",kind="crash",count=4,for="5s"}`
 	for _, c := range []struct {
 		name, faults string
@@ -27,7 +27,7 @@
 		t.Run(strings.ReplaceAll(c.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
 			play := func(seed int, limits string) (share, worst float64, falls int) {
-				r := overloaded(t, fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, c.nodes), fmt.Sprintf("seed=%d", seed), "cluster.limits=["+limits+"]", "faults=["+back+c.faults+"]")
+				r := playOverload(t, fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, c.nodes), fmt.Sprintf("seed=%d", seed), "cluster.limits=["+limits+"]", "faults=["+back+c.faults+"]")
 				sent, may, worst := r.Cold()
 				return float64(sent) / may, worst, r.Counts.Falls
 			}
--- a/rehearsal/virtual/fleet_cold_test.go
+++ b/rehearsal/virtual/fleet_cold_test.go
@@ -9,7 +9,7 @@
 // itself. A host falls when it is sent more than the rule allows it then, N, and twice the root of N and two, which are chance.
 func coldStart(t *testing.T, nodes int, rate float64) {
 	for seed := range 4 {
-		r := run(t, "fleet-overload", fmt.Sprintf("nodes.0.count=%d", nodes/3), fmt.Sprintf("nodes.1.count=%d", nodes/3),
+		r := playChecked(t, "fleet-overload", fmt.Sprintf("nodes.0.count=%d", nodes/3), fmt.Sprintf("nodes.1.count=%d", nodes/3),
 			fmt.Sprintf("nodes.2.count=%d", nodes-nodes/3*2), fmt.Sprintf("demand.rate=%g", rate), "length=\"45s\"", "fleet.fall_roots=2.0",
 			fmt.Sprintf("seed=%d", seed+1), `faults=[{at="15s",kind="crash",hosts=["h-0","h-4","h-8"],for="4s"}]`)
 		sent := 0
@@ -24,7 +24,7 @@
 }
 
 // TestColdHostsByTheSum: all nodes together keep to it, up to five times the demand that scripts call once.
-func TestColdHostsByTheSum(t *testing.T) {
+func TestColdHostBudgetOfAllNodes(t *testing.T) {
 	for _, nodes := range []int{20, 30} {
 		for _, rate := range []float64{2.5, 6, 12} {
 			coldStart(t, nodes, rate)
--- a/rehearsal/virtual/limits_test.go
+++ b/rehearsal/virtual/limits_test.go
@@ -8,16 +8,16 @@
 	"coursewinch/rehearsal/record"
 )
 
-// loop plays one address that opens and closes as fast as it can, sixteen at once, against so many nodes from second 5 to
+// playLoop plays one address that opens and closes as fast as it can, sixteen at once, against so many nodes from second 5 to
 // 25; known clients come beside it.
-func loop(t *testing.T, nodes int, changes ...string) *record.Run {
+func playLoop(t *testing.T, nodes int, changes ...string) *record.Run {
 	t.Helper()
-	return run(t, "one-address", append([]string{"length=\"26s\"", fmt.Sprintf("nodes=[{count=%d}]", nodes), "node.sockets=1024",
+	return playChecked(t, "one-address", append([]string{"length=\"26s\"", fmt.Sprintf("nodes=[{count=%d}]", nodes), "node.sockets=1024",
 		"node.admission={rate=20.0,burst=10.0}", "cluster.on=true", `demand.loops=[{at="5s",for="20s",count=16,one_address=true}]`}, changes...)...)
 }
 
-// passed is when flows of the loop were established; looping clients want next to nothing.
-func passed(r *record.Run) (all []int64) {
+// establishedTimes is when flows of the loop were established; looping clients want next to nothing.
+func establishedTimes(r *record.Run) (all []int64) {
 	for _, f := range r.Flows {
 		if word, at := f.Answer(); f.Load == 0.01 && word == "established" {
 			all = append(all, at)
@@ -26,8 +26,8 @@
 	return all
 }
 
-// over is by how many the most crowded stretch passes a limit; an answer may come so much after the word for it.
-func over(all []int64, l limits.Limit, nodes int, late int64) (most float64) {
+// maxExcess is by how many the most crowded stretch passes a limit; an answer may come so much after the word for it.
+func maxExcess(all []int64, l limits.Limit, nodes int, late int64) (most float64) {
 	most = -1e9
 	for i := range all {
 		for j := i; j < len(all); j++ {
@@ -39,16 +39,16 @@
 
 // TestLimitOfTheFleet: the loop has at four and twelve nodes what it has at one, within a fifth, and its neighbours are
 // set up all the same. Without the fleet's limit it has it at each node.
-func TestLimitOfTheFleet(t *testing.T) {
-	one := len(passed(loop(t, 1, "cluster.on=false")))
-	apart := len(passed(loop(t, 12, "cluster.on=false")))
+func TestFleetRateLimit(t *testing.T) {
+	one := len(establishedTimes(playLoop(t, 1, "cluster.on=false")))
+	apart := len(establishedTimes(playLoop(t, 12, "cluster.on=false")))
 	if apart < 3*one {
 		t.Errorf("%d let pass by one node, %d by twelve that keep it each: there is nothing to mend", one, apart)
 	}
 	for _, strict := range []string{"true", "false"} {
 		for _, n := range []int{4, 12} {
-			r := loop(t, n, "cluster.strict="+strict)
-			got, others, set := len(passed(r)), 0, 0
+			r := playLoop(t, n, "cluster.strict="+strict)
+			got, others, set := len(establishedTimes(r)), 0, 0
 			for _, f := range r.Flows {
 				if f.Load != 0.01 {
 					others++
@@ -66,7 +66,7 @@
 }
 
 // TestLimitUnderFaults: a strict limit is not passed whatever fails, an available one not beyond its formula.
-func TestLimitUnderFaults(t *testing.T) {
+func TestFleetRateLimitUnderFaults(t *testing.T) {
 	const late = 60_000 // between the word for a flow and its answer: a connect and a set-up, microseconds
 	for _, c := range []struct{ name, faults string }{
 		{"cut in two", `{at="8s",kind="link_split",parts=2,for="6s"}`},
@@ -81,12 +81,12 @@
 			{at="7s",kind="node_rate",nodes=["n-2"],size=1.05,for="9s"}`},
 	} {
 		for _, strict := range []bool{true, false} {
-			all := passed(loop(t, 6, fmt.Sprintf("cluster.strict=%t", strict), "faults=["+c.faults+"]"))
+			all := establishedTimes(playLoop(t, 6, fmt.Sprintf("cluster.strict=%t", strict), "faults=["+c.faults+"]"))
 			l := limits.Limit{Rate: 20, Burst: 10, Strict: strict}
-			if most := over(all, l, 6, late); most > 0 {
+			if most := maxExcess(all, l, 6, late); most > 0 {
 				t.Errorf("%s, strict %t: %.1f over", c.name, strict, most)
 			}
-			t.Logf("%s, strict %t: %d let pass, %.1f over", c.name, strict, len(all), over(all, l, 6, late))
+			t.Logf("%s, strict %t: %d let pass, %.1f over", c.name, strict, len(all), maxExcess(all, l, 6, late))
 		}
 	}
 }
@@ -96,7 +96,7 @@
 func TestLateListCostsLess(t *testing.T) {
 	unsent := func(changes ...string) (n int) {
 		for seed := range 16 {
-			n += run(t, "fleet-overload", append([]string{"discovery.notice=\"8s\"", "demand.rate=20", "demand.life=\"3s\"", "length=\"40s\"",
+			n += playChecked(t, "fleet-overload", append([]string{"discovery.notice=\"8s\"", "demand.rate=20", "demand.life=\"3s\"", "length=\"40s\"",
 				fmt.Sprintf("seed=%d", seed+1), `faults=[{at="20s",kind="crash",hosts=["h-0","h-4"]}]`}, changes...)...).Counts.Unsent
 		}
 		return n
@@ -110,12 +110,12 @@
 
 // TestLimitOfALargeFleet: more nodes than one word has bits for votes keep a strict limit and use it, also while they are cut in
 // three.
-func TestLimitOfALargeFleet(t *testing.T) {
+func TestStrictLimitWithManyNodes(t *testing.T) {
 	const nodes = 70
-	all := passed(loop(t, nodes, "cluster.strict=true", "length=\"13s\"", `demand.loops=[{at="5s",for="8s",count=16,one_address=true}]`,
+	all := establishedTimes(playLoop(t, nodes, "cluster.strict=true", "length=\"13s\"", `demand.loops=[{at="5s",for="8s",count=16,one_address=true}]`,
 		`faults=[{at="8s",kind="link_split",parts=3,for="2s"}]`))
 	l := limits.Limit{Rate: 20, Burst: 10, Strict: true}
-	if most := over(all, l, nodes, 60_000); most > 0 {
+	if most := maxExcess(all, l, nodes, 60_000); most > 0 {
 		t.Errorf("%.1f over", most)
 	}
 	before := 0
--- a/rehearsal/virtual/permits_test.go
+++ b/rehearsal/virtual/permits_test.go
@@ -9,7 +9,7 @@
 
 // TestAtOnceUnderFaults: six nodes keep one number of flows of a service type, and of each host's connections. Strict ones
 // are never passed whatever fails, and available ones not beyond their formula; without faults they are used up.
-func TestAtOnceUnderFaults(t *testing.T) {
+func TestConcurrencyLimitsUnderFaults(t *testing.T) {
 	const ofType, ofHost = 20, 8
 	const late = 60_000 // microseconds that a client may hear of an end after its node
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 			{at="15s",kind="node_rate",nodes=["n-2"],size=1.05,for="20s"}`, 2},
 	} {
 		for _, promise := range []string{"strict", "available"} {
-			r := run(t, "fleet-overload", `nodes=[{count=6,zone="port"}]`, "cluster.on=true", "demand.rate=8", "faults=["+c.faults+"]",
+			r := playChecked(t, "fleet-overload", `nodes=[{count=6,zone="port"}]`, "cluster.on=true", "demand.rate=8", "faults=["+c.faults+"]",
 				fmt.Sprintf(`cluster.limits=[{over="type",of="studio-feed",at_once=%d,promise=%q},{over="host",at_once=%d,promise=%q}]`, ofType, promise, ofHost, promise))
 			types := r.AtOnce(late, func(f *record.Flow) string { return r.Types[f.Type].Name })
 			hosts := r.AtOnce(late, func(f *record.Flow) string { return r.Hosts[f.Host].Name })
--- a/rehearsal/virtual/virtual.go
+++ b/rehearsal/virtual/virtual.go
@@ -20,41 +20,41 @@
 )
 
 const (
-	epoch       = int64(1_700_000_000_000_000) // the time of day at the start of a run, microseconds
-	lead        = int64(3_000_000)             // before the first client, as in live play: nodes have probed idle hosts by then
-	leastT      = int64(1)                     // of a turn: guards against a node that asks for now, again and again
-	poll        = int64(1000)                  // the loop's waits are whole milliseconds
-	mostCapture = 1 << 30
-	others      = 16 // descriptors of a process besides its sockets
+	startTimeOfDay      = int64(1_700_000_000_000_000) // the time of day at the start of a run, microseconds
+	leadTime            = int64(3_000_000)             // before the first client, as in live play: nodes have probed idle hosts by then
+	minIteration        = int64(1)                     // of a turn: guards against a node that asks for now, again and again
+	timerStep           = int64(1000)                  // the loop's waits are whole milliseconds
+	maxCaptureBytes     = 1 << 30
+	reservedDescriptors = 16 // descriptors of a process besides its sockets
 )
 
 // Options are what a run may have besides its script.
 type Options struct {
-	Seed     uint64                                               // 0: the script's
-	Capture  string                                               // folder for captures; empty: none are written
-	NodeSeed uint64                                               // changes the nodes' own chance and nothing else
-	Decide   func(*settings.Settings, int64) node.Decider         // nil: the decision module
-	Watch    func(at int64, holdings map[int][]node.Hold)         // called every virtual second
-	Tune     func(no int, set *settings.Settings, c *node.Config) // before a node is made
+	Seed      uint64                                               // 0: the script's
+	Capture   string                                               // folder for captures; empty: none are written
+	NodeSeed  uint64                                               // changes the nodes' own chance and nothing else
+	Decide    func(*settings.Settings, int64) node.Decider         // nil: the decision module
+	Watch     func(at int64, holdings map[int][]node.Hold)         // called every virtual second
+	Configure func(no int, set *settings.Settings, c *node.Config) // before a node is made
 }
 
 // player is the Nodes of a run.
 type player struct {
-	w     *fleet.World
-	s     *scenario.Script
-	opt   Options
-	nodes []*vnode
-	twins map[int]*vnode // second processes under a node's name
-	err   error
-	count node.Counters
+	world      *fleet.World
+	script     *scenario.Script
+	options    Options
+	nodes      []*vnode
+	duplicates map[int]*vnode // second processes under a node's name
+	err        error
+	counters   node.Counters
 }
 
 // Holdings are what each running node holds now, by its number.
 func (p *player) holdings() map[int][]node.Hold {
 	all := map[int][]node.Hold{}
 	for _, v := range p.nodes {
-		if v.n != nil {
-			all[v.no] = v.n.Holdings()
+		if v.core != nil {
+			all[v.index] = v.core.Holdings()
 		}
 	}
 	return all
@@ -66,25 +66,25 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	p := &player{s: s, opt: opt, twins: map[int]*vnode{}}
-	p.w = fleet.New(s, seed, p, fleet.Places{Discovery: func(_, which int) string { return [2]string{"discovery-0", "discovery-1"}[which] }, Epoch: epoch, Lead: lead})
+	p := &player{script: s, options: opt, duplicates: map[int]*vnode{}}
+	p.world = fleet.New(s, seed, p, fleet.Places{Discovery: func(_, which int) string { return [2]string{"discovery-0", "discovery-1"}[which] }, Epoch: startTimeOfDay, Lead: leadTime})
 	for no := range s.NodeCount() {
-		p.nodes = append(p.nodes, &vnode{p: p, no: no, turnAt: never})
+		p.nodes = append(p.nodes, &vnode{player: p, index: no, iterationAt: never})
 	}
-	p.w.Begin()
-	for at := int64(0); p.err == nil && at < p.w.End(); {
-		at = min(at+1_000_000, p.w.End())
-		p.w.Advance(at)
+	p.world.Begin()
+	for at := int64(0); p.err == nil && at < p.world.End(); {
+		at = min(at+1_000_000, p.world.End())
+		p.world.Advance(at)
 		if opt.Watch != nil {
 			opt.Watch(at, p.holdings())
 		}
 	}
-	run := p.w.Run()
+	run := p.world.Run()
 	for _, v := range p.nodes {
-		v.tally()
+		v.collectCounters()
 	}
-	run.NodePanics = p.count.Panics
-	run.Counts.Unsent = p.count.Connects - p.count.Asked
+	run.NodePanics = p.counters.Panics
+	run.Counts.Unsent = p.counters.Connects - p.counters.Asked
 	return run, p.err
 }
 
@@ -92,68 +92,68 @@
 
 // vnode is one node with its sockets.
 type vnode struct {
-	p       *player
-	no      int
-	n       *node.Node
-	life    int // counted at each start
-	clock   clock
-	paused  bool
-	stillAt int64 // when it was stopped; 0 when it has made a turn since
-	socks   []*sock
-	held    int // sockets open
-	arrived []*sock
-	inbox   []input
-	told    []datagram
-	turnAt  int64
-	busy    int64   // its core is, until then
-	length  int64   // of the last turn
-	starved float64 // share of its core that others take
-	cost    float64 // of this turn so far
-	stop    bool
-	follow  string
-	capture *capture.Writer
-}
-
-type what uint8
+	player        *player
+	index         int
+	core          *node.Node
+	generation    int // counted at each start
+	clock         clock
+	paused        bool
+	pausedAt      int64 // when it was stopped; 0 when it has made a turn since
+	sockets       []*socket
+	openSockets   int // sockets open
+	backlog       []*socket
+	inbox         []input
+	datagrams     []datagram
+	iterationAt   int64
+	busyUntil     int64   // its core is, until then
+	lastCost      int64   // of the last turn
+	starvedShare  float64 // share of its core that others take
+	cost          float64 // of this turn so far
+	stopRequested bool
+	newDiscovery  string
+	capture       *capture.Writer
+}
+
+type inputKind uint8
 
 const (
-	isUp what = iota
-	isRefused
-	hasBytes
-	isEnded
-	isBroken
+	inputConnected inputKind = iota
+	inputRefused
+	inputBytes
+	inputClosed
+	inputReset
 )
 
 // input is something that came to a socket.
 type input struct {
-	s    *sock
-	what what
+	socket *socket
+	kind   inputKind
 }
 
-// sock is one connection as the node's machine has it.
-type sock struct {
-	id      uint64
-	c       *fleet.Conn
-	v       *vnode
-	in, out *lines.Ring
-	life    int
-	dialing bool
-	closed  bool
-	eof     bool
-	asked   bool   // in the inbox for its bytes
-	pending []byte // come and not read
+// socket is one connection as the node's machine has it.
+type socket struct {
+	id         uint64
+	conn       *fleet.Conn
+	node       *vnode
+	in, out    *lines.Ring
+	generation int
+	dialing    bool
+	closed     bool
+	readClosed bool
+	queued     bool   // in the inbox for its bytes
+	unread     []byte // come and not read
 }
 
 // What reaches the nodes.
 
 func (p *player) Start(no int, conf fleet.Conf) {
 	p.nodes[no].start(conf)
-	p.w.Ready(no)
+	p.world.Ready(no)
 }
 
 // start begins a process.
 func (v *vnode) start(conf fleet.Conf) {
-	p, no := v.p, v.no
+	p, no := v.player, v.index
 	set, err := settings.JSON([]byte(conf.Settings))
 	if err != nil {
 		p.fail(fmt.Errorf("settings of node n-%d: %w", no, err))
@@ -164,15 +164,15 @@
 		p.fail(fmt.Errorf("list of node n-%d: %w", no, err))
 		return
 	}
-	v.clear()
-	conf.Seed ^= p.opt.NodeSeed * 0x9e3779b97f4a7c15
-	c := node.Config{Discovery: conf.Discovery, Seed: int64(conf.Seed >> 1), Decide: p.opt.Decide}
-	a := p.s.Node.Admission
+	v.discardProcess()
+	conf.Seed ^= p.options.NodeSeed * 0x9e3779b97f4a7c15
+	c := node.Config{Discovery: conf.Discovery, Seed: int64(conf.Seed >> 1), Decide: p.options.Decide}
+	a := p.script.Node.Admission
 	c.Admission = admission.Limits{PerAddress: a.PerAddress, Rate: a.Rate, Burst: a.Burst, Reserve: a.Reserve}
-	c.Limits = node.Limits{Idle: p.s.Node.Holding.Idle.Us(), Stalled: p.s.Node.Holding.Stalled.Us()} // buffers are the process's
-	if p.opt.Capture != "" {
-		file := filepath.Join(p.opt.Capture, fmt.Sprintf("n-%d.%d.capture", no, v.life))
-		w, err := capture.Create(file, mostCapture, capture.Start{Node: conf.Name, Zone: set.Zone, At: epoch + p.w.Now()})
+	c.Limits = node.Limits{Idle: p.script.Node.Holding.Idle.Us(), Stalled: p.script.Node.Holding.Stalled.Us()} // buffers are the process's
+	if p.options.Capture != "" {
+		file := filepath.Join(p.options.Capture, fmt.Sprintf("n-%d.%d.capture", no, v.generation))
+		w, err := capture.Create(file, maxCaptureBytes, capture.Start{Node: conf.Name, Zone: set.Zone, At: startTimeOfDay + p.world.Now()})
 		if err != nil {
 			p.fail(err)
 			return
@@ -180,16 +180,16 @@
 		v.capture, c.Capture = w, w
 	}
 	c.Cluster.Name = conf.Name
-	v.join(&c, conf.Seed)
+	v.configureCluster(&c, conf.Seed)
 	if len(c.Cluster.Limits) > 0 {
 		c.Admission.Rate, c.Admission.Burst = 0, 0 // the fleet keeps them
 	}
-	if p.opt.Tune != nil {
-		p.opt.Tune(no, set, &c)
+	if p.options.Configure != nil {
+		p.options.Configure(no, set, &c)
 	}
-	v.n = node.New(set, c, v)
-	v.n.Begin(v.now(), known)
-	v.plan()
+	v.core = node.New(set, c, v)
+	v.core.Begin(v.now(), known)
+	v.scheduleNext()
 }
 
 func (p *player) fail(err error) {
@@ -198,168 +198,168 @@
 	}
 }
 
-func (p *player) Kill(no int)         { p.nodes[no].clear() }
+func (p *player) Kill(no int)         { p.nodes[no].discardProcess() }
 func (p *player) Listening(int, bool) {}
 
 func (p *player) Stop(no int) {
-	p.nodes[no].stop = true
-	p.nodes[no].wake()
+	p.nodes[no].stopRequested = true
+	p.nodes[no].scheduleNow()
 }
 
 func (p *player) Reload(no int, conf fleet.Conf) {
-	p.nodes[no].follow = conf.Discovery
-	p.nodes[no].wake()
+	p.nodes[no].newDiscovery = conf.Discovery
+	p.nodes[no].scheduleNow()
 }
 
-func (p *player) Starve(no int, share float64) { p.nodes[no].starved = min(share, 0.999) }
+func (p *player) Starve(no int, share float64) { p.nodes[no].starvedShare = min(share, 0.999) }
 
 func (p *player) Arrive(c *fleet.Conn) bool {
 	v := p.nodes[c.Node]
-	if len(v.arrived) >= p.s.Node.Backlog {
+	if len(v.backlog) >= p.script.Node.Backlog {
 		return false // the system drops it
 	}
-	s := &sock{c: c, v: v, life: v.life}
+	s := &socket{conn: c, node: v, generation: v.generation}
 	c.Ref = s
-	v.arrived = append(v.arrived, s)
-	v.wake()
+	v.backlog = append(v.backlog, s)
+	v.scheduleNow()
 	return true
 }
 
-// came notes what came for a socket; nil when the node doesn't have it any more.
-func (p *player) came(c *fleet.Conn, w what) *sock {
-	s, ok := c.Ref.(*sock)
-	if !ok || s.closed || s.life != s.v.life {
+// enqueue notes what came for a socket; nil when the node doesn't have it any more.
+func (p *player) enqueue(c *fleet.Conn, w inputKind) *socket {
+	s, ok := c.Ref.(*socket)
+	if !ok || s.closed || s.generation != s.node.generation {
 		return nil
 	}
-	v := s.v
+	v := s.node
 	v.inbox = append(v.inbox, input{s, w})
-	v.wake()
+	v.scheduleNow()
 	return s
 }
 
-func (p *player) Up(c *fleet.Conn)      { p.came(c, isUp) }
-func (p *player) Refused(c *fleet.Conn) { p.came(c, isRefused) }
-func (p *player) End(c *fleet.Conn)     { p.came(c, isEnded) }
-func (p *player) Broken(c *fleet.Conn)  { p.came(c, isBroken) }
+func (p *player) Up(c *fleet.Conn)      { p.enqueue(c, inputConnected) }
+func (p *player) Refused(c *fleet.Conn) { p.enqueue(c, inputRefused) }
+func (p *player) End(c *fleet.Conn)     { p.enqueue(c, inputClosed) }
+func (p *player) Broken(c *fleet.Conn)  { p.enqueue(c, inputReset) }
 
 func (p *player) Bytes(c *fleet.Conn, b []byte) {
-	s, ok := c.Ref.(*sock)
+	s, ok := c.Ref.(*socket)
 	if !ok || s.closed {
 		return
 	}
-	s.pending = append(s.pending, b...)
-	if !s.asked {
-		s.asked = true
-		p.came(c, hasBytes)
+	s.unread = append(s.unread, b...)
+	if !s.queued {
+		s.queued = true
+		p.enqueue(c, inputBytes)
 	}
 }
 
 // The loop.
 
-func (v *vnode) clear() {
-	v.tally()
-	v.life++
-	v.n, v.socks, v.held, v.arrived, v.inbox, v.told, v.turnAt, v.stop, v.follow = nil, nil, 0, nil, nil, nil, never, false, ""
-	v.busy, v.length = v.p.w.Now(), 0
+func (v *vnode) discardProcess() {
+	v.collectCounters()
+	v.generation++
+	v.core, v.sockets, v.openSockets, v.backlog, v.inbox, v.datagrams, v.iterationAt, v.stopRequested, v.newDiscovery = nil, nil, 0, nil, nil, nil, never, false, ""
+	v.busyUntil, v.lastCost = v.player.world.Now(), 0
 }
 
-func (v *vnode) tally() {
+func (v *vnode) collectCounters() {
 	if v.capture != nil {
 		v.capture.Close()
 		v.capture = nil
 	}
-	if v.n != nil {
-		v.p.count.Panics += v.n.Count.Panics
-		v.p.count.Connects += v.n.Count.Connects
-		v.p.count.Asked += v.n.Count.Asked
+	if v.core != nil {
+		v.player.counters.Panics += v.core.Count.Panics
+		v.player.counters.Connects += v.core.Count.Connects
+		v.player.counters.Asked += v.core.Count.Asked
 	}
 }
 
-func (v *vnode) wake() { v.turn(max(v.p.w.Now(), v.busy)) }
+func (v *vnode) scheduleNow() { v.schedule(max(v.player.world.Now(), v.busyUntil)) }
 
-// turn asks for a turn at a moment; only the earliest that was asked for is held.
-func (v *vnode) turn(at int64) {
-	if v.n == nil || at >= v.turnAt {
+// schedule asks for a turn at a moment; only the earliest that was asked for is held.
+func (v *vnode) schedule(at int64) {
+	if v.core == nil || at >= v.iterationAt {
 		return
 	}
-	v.turnAt = at
-	v.p.w.At(at, func() {
-		if v.turnAt == at {
-			v.turnAt = never
+	v.iterationAt = at
+	v.player.world.At(at, func() {
+		if v.iterationAt == at {
+			v.iterationAt = never
 			if v.paused {
 				return
 			}
-			v.round()
+			v.runIteration()
 		}
 	})
 }
 
-// plan asks for the turn at the node's next deadline.
-func (v *vnode) plan() {
-	if len(v.inbox) > 0 || len(v.arrived) > 0 && v.room() {
-		v.wake()
+// scheduleNext asks for the turn at the node's next deadline.
+func (v *vnode) scheduleNext() {
+	if len(v.inbox) > 0 || len(v.backlog) > 0 && v.hasRoom() {
+		v.scheduleNow()
 	}
-	next, ok := v.n.Next()
+	next, ok := v.core.Next()
 	if !ok {
 		return
 	}
-	now := v.p.w.Now()
-	wait := v.clock.until(now, next-epoch)
-	v.turn(max(now+(wait+poll-1)/poll*poll, v.busy))
+	now := v.player.world.Now()
+	wait := v.clock.durationUntil(now, next-startTimeOfDay)
+	v.schedule(max(now+(wait+timerStep-1)/timerStep*timerStep, v.busyUntil))
 }
 
-func (v *vnode) room() bool { return v.Room() > 0 }
+func (v *vnode) hasRoom() bool { return v.Room() > 0 }
 
-func (v *vnode) round() {
-	now := v.p.w.Now()
-	node := &v.p.s.Node
+func (v *vnode) runIteration() {
+	now := v.player.world.Now()
+	node := &v.player.script.Node
 	v.cost = float64(node.Turn)
 	late := int64(0)
-	if now <= v.busy+leastT {
-		late = v.length // what came meanwhile has waited so long at the most
-	}
-	if v.stillAt > 0 {
-		late, v.stillAt = now-v.stillAt, 0
-	}
-	v.n.Late(late, v.length)
-	v.n.Turn(v.now(), v.dispatch)
-	cost := int64(v.cost / (1 - v.starved))
-	v.busy, v.length = now+max(cost, leastT), cost
-	if v.n.Done() {
-		life := v.life
-		v.p.w.At(v.busy, func() {
-			if v.life == life {
-				v.clear()
-				v.p.w.Exited(v.no, "stopped")
+	if now <= v.busyUntil+minIteration {
+		late = v.lastCost // what came meanwhile has waited so long at the most
+	}
+	if v.pausedAt > 0 {
+		late, v.pausedAt = now-v.pausedAt, 0
+	}
+	v.core.Late(late, v.lastCost)
+	v.core.Turn(v.now(), v.dispatch)
+	cost := int64(v.cost / (1 - v.starvedShare))
+	v.busyUntil, v.lastCost = now+max(cost, minIteration), cost
+	if v.core.Done() {
+		life := v.generation
+		v.player.world.At(v.busyUntil, func() {
+			if v.generation == life {
+				v.discardProcess()
+				v.player.world.Exited(v.index, "stopped")
 			}
 		})
 		return
 	}
-	v.plan()
+	v.scheduleNext()
 }
 
 func (v *vnode) dispatch() {
-	if v.stop {
-		v.stop = false
-		v.n.Stop()
+	if v.stopRequested {
+		v.stopRequested = false
+		v.core.Stop()
 	}
-	if v.follow != "" {
-		v.n.Follow(v.follow)
-		v.follow = ""
+	if v.newDiscovery != "" {
+		v.core.Follow(v.newDiscovery)
+		v.newDiscovery = ""
 	}
 	inbox := v.inbox
 	v.inbox = nil
-	told := v.told
-	v.told = nil
+	told := v.datagrams
+	v.datagrams = nil
 	for _, d := range told {
-		v.cost += float64(v.p.s.Node.Event)
-		v.n.HeardFrom(nth(v.no, d.from), d.p)
+		v.cost += float64(v.player.script.Node.Event)
+		v.core.HeardFrom(peerIndex(v.index, d.from), d.payload)
 	}
 	for _, i := range inbox {
-		if !i.s.closed && i.s.in != nil {
-			v.cost += float64(v.p.s.Node.Event)
-			v.take(i)
-		} else if !i.s.closed {
+		if !i.socket.closed && i.socket.in != nil {
+			v.cost += float64(v.player.script.Node.Event)
+			v.deliver(i)
+		} else if !i.socket.closed {
 			v.inbox = append(v.inbox, i) // not accepted yet
 		}
 	}
@@ -367,119 +367,119 @@
 }
 
 func (v *vnode) accept() {
-	take, refuse := v.n.Quota()
-	for i := 0; len(v.arrived) > 0 && i < take+refuse; i++ {
+	take, refuse := v.core.Quota()
+	for i := 0; len(v.backlog) > 0 && i < take+refuse; i++ {
 		if i >= take {
-			s := v.arrived[0]
-			v.arrived = v.arrived[1:]
-			v.cost += float64(v.p.s.Node.Socket)
-			v.refuse(s)
-			v.n.Refused()
+			s := v.backlog[0]
+			v.backlog = v.backlog[1:]
+			v.cost += float64(v.player.script.Node.Socket)
+			v.rejectConnection(s)
+			v.core.Refused()
 			continue
 		}
-		if !v.n.Spare() || v.Room() < 1 {
+		if !v.core.Spare() || v.Room() < 1 {
 			return
 		}
-		s := v.arrived[0]
-		v.arrived = v.arrived[1:]
-		v.cost += float64(v.p.s.Node.Socket + v.p.s.Node.Event)
+		s := v.backlog[0]
+		v.backlog = v.backlog[1:]
+		v.cost += float64(v.player.script.Node.Socket + v.player.script.Node.Event)
 		var ok bool
-		if s.id, s.in, s.out, ok = v.n.Accept(s.c.From); !ok {
-			v.refuse(s)
+		if s.id, s.in, s.out, ok = v.core.Accept(s.conn.From); !ok {
+			v.rejectConnection(s)
 			continue
 		}
-		v.put(s)
+		v.addSocket(s)
 	}
 }
 
-// refuse turns a connection away as the loop does.
-func (v *vnode) refuse(s *sock) {
+// rejectConnection turns a connection away as the loop does.
+func (v *vnode) rejectConnection(s *socket) {
 	s.closed = true
-	v.emit(func() {
-		v.p.w.Wrote(s.c, []byte("BUSY\r\n"))
-		v.p.w.Closed(s.c)
+	v.afterCost(func() {
+		v.player.world.Wrote(s.conn, []byte("BUSY\r\n"))
+		v.player.world.Closed(s.conn)
 	})
 }
 
-func (v *vnode) put(s *sock) {
+func (v *vnode) addSocket(s *socket) {
 	no := int(uint32(s.id))
-	for len(v.socks) <= no {
-		v.socks = append(v.socks, nil)
+	for len(v.sockets) <= no {
+		v.sockets = append(v.sockets, nil)
 	}
-	v.socks[no] = s
-	v.held++
+	v.sockets[no] = s
+	v.openSockets++
 }
 
-func (v *vnode) get(id uint64) *sock {
-	if no := int(uint32(id)); no < len(v.socks) && v.socks[no] != nil && v.socks[no].id == id {
-		return v.socks[no]
+func (v *vnode) socketByID(id uint64) *socket {
+	if no := int(uint32(id)); no < len(v.sockets) && v.sockets[no] != nil && v.sockets[no].id == id {
+		return v.sockets[no]
 	}
 	return nil
 }
 
-func (v *vnode) take(i input) {
-	s := i.s
-	switch i.what {
-	case isUp:
+func (v *vnode) deliver(i input) {
+	s := i.socket
+	switch i.kind {
+	case inputConnected:
 		s.dialing = false
-		v.n.Connected(s.id)
-	case isRefused:
-		v.n.Ended(s.id, syscall.ECONNREFUSED)
-	case hasBytes:
-		v.read(s)
-	case isEnded:
-		if len(s.pending) > 0 { // after what came before it
-			v.read(s)
-			if !s.closed && len(s.pending) > 0 {
+		v.core.Connected(s.id)
+	case inputRefused:
+		v.core.Ended(s.id, syscall.ECONNREFUSED)
+	case inputBytes:
+		v.receive(s)
+	case inputClosed:
+		if len(s.unread) > 0 { // after what came before it
+			v.receive(s)
+			if !s.closed && len(s.unread) > 0 {
 				v.inbox = append(v.inbox, i)
 				return
 			}
 		}
 		if !s.closed {
-			s.eof = true
-			v.n.Ended(s.id, nil)
+			s.readClosed = true
+			v.core.Ended(s.id, nil)
 		}
-	case isBroken:
-		v.n.Ended(s.id, syscall.ECONNRESET)
+	case inputReset:
+		v.core.Ended(s.id, syscall.ECONNRESET)
 	}
 }
 
-// read moves what has come into the ring, as much as it takes, and tells the node.
-func (v *vnode) read(s *sock) {
+// receive moves what has come into the ring, as much as it takes, and tells the node.
+func (v *vnode) receive(s *socket) {
 	got := 0
-	for len(s.pending) > 0 {
+	for len(s.unread) > 0 {
 		space := s.in.Space()
-		n := copy(space, s.pending)
+		n := copy(space, s.unread)
 		if n == 0 {
 			break
 		}
 		s.in.Grow(n)
-		s.pending = s.pending[n:]
+		s.unread = s.unread[n:]
 		got += n
 	}
 	s.in.Drop(0)
-	v.cost += float64(v.p.s.Node.KB) * float64(got) / 1024
+	v.cost += float64(v.player.script.Node.KB) * float64(got) / 1024
 	if got > 0 {
-		v.n.Received(s.id)
+		v.core.Received(s.id)
 	}
-	s.asked = len(s.pending) > 0 && !s.closed
-	if s.asked {
-		v.inbox = append(v.inbox, input{s, hasBytes})
+	s.queued = len(s.unread) > 0 && !s.closed
+	if s.queued {
+		v.inbox = append(v.inbox, input{s, inputBytes})
 	} else {
-		s.pending = nil
+		s.unread = nil
 	}
 }
 
-// emit lets something go out when the turn has come so far.
-func (v *vnode) emit(do func()) {
-	cost := int64(v.cost / (1 - v.starved))
+// afterCost lets something go out when the turn has come so far.
+func (v *vnode) afterCost(do func()) {
+	cost := int64(v.cost / (1 - v.starvedShare))
 	if cost == 0 {
 		do()
 		return
 	}
-	life := v.life
-	v.p.w.At(v.p.w.Now()+cost, func() {
-		if v.life == life {
+	life := v.generation
+	v.player.world.At(v.player.world.Now()+cost, func() {
+		if v.generation == life {
 			do()
 		}
 	})
@@ -487,44 +487,44 @@
 
 // The node's Net.
 
-func (v *vnode) Room() int { return v.p.s.Node.Sockets - others - v.held }
+func (v *vnode) Room() int { return v.player.script.Node.Sockets - reservedDescriptors - v.openSockets }
 
 func (v *vnode) Dial(id uint64, to string, in, out *lines.Ring) {
-	s := &sock{id: id, v: v, in: in, out: out, dialing: true, life: v.life}
+	s := &socket{id: id, node: v, in: in, out: out, dialing: true, generation: v.generation}
 	if v.Room() < 1 {
-		v.put(s)
-		v.inbox = append(v.inbox, input{s, isRefused})
+		v.addSocket(s)
+		v.inbox = append(v.inbox, input{s, inputRefused})
 		return
 	}
-	v.put(s)
-	v.cost += float64(v.p.s.Node.Socket)
-	v.emit(func() {
+	v.addSocket(s)
+	v.cost += float64(v.player.script.Node.Socket)
+	v.afterCost(func() {
 		if !s.closed {
-			s.c = v.p.w.Dialed(v.no, to, s)
+			s.conn = v.player.world.Dialed(v.index, to, s)
 		}
 	})
 }
 
 func (v *vnode) Touch(id uint64) {
-	s := v.get(id)
+	s := v.socketByID(id)
 	if s == nil || s.dialing || s.out.Len() == 0 {
 		return
 	}
 	b := append([]byte(nil), s.out.Peek(s.out.Len())...)
 	s.out.Drop(len(b))
-	v.cost += float64(v.p.s.Node.KB) * float64(len(b)) / 1024
-	v.emit(func() { v.p.w.Wrote(s.c, b) })
+	v.cost += float64(v.player.script.Node.KB) * float64(len(b)) / 1024
+	v.afterCost(func() { v.player.world.Wrote(s.conn, b) })
 }
 
 func (v *vnode) Shut(id uint64) {
-	if s := v.get(id); s != nil && !s.dialing {
+	if s := v.socketByID(id); s != nil && !s.dialing {
 		v.Touch(id)
-		v.emit(func() { v.p.w.Shut(s.c) })
+		v.afterCost(func() { v.player.world.Shut(s.conn) })
 	}
 }
 
-func (v *vnode) Close(id uint64) { v.end(id, v.p.w.Closed) }
-func (v *vnode) Reset(id uint64) { v.end(id, v.p.w.Broke) }
+func (v *vnode) Close(id uint64) { v.closeSocket(id, v.player.world.Closed) }
+func (v *vnode) Reset(id uint64) { v.closeSocket(id, v.player.world.Broke) }
 
 // Part ends a connection in order. The emulated net loses nothing that was written before a close.
 func (v *vnode) Part(id uint64) {
@@ -534,24 +534,24 @@
 
 // Gone tells whether an end waits to be told.
 func (v *vnode) Gone(id uint64) bool {
-	s := v.get(id)
-	return s == nil || s.eof || slices.ContainsFunc(v.inbox, func(i input) bool {
-		return i.s == s && (i.what == isEnded || i.what == isBroken)
+	s := v.socketByID(id)
+	return s == nil || s.readClosed || slices.ContainsFunc(v.inbox, func(i input) bool {
+		return i.socket == s && (i.kind == inputClosed || i.kind == inputReset)
 	})
 }
 
-func (v *vnode) end(id uint64, how func(*fleet.Conn)) {
-	s := v.get(id)
+func (v *vnode) closeSocket(id uint64, how func(*fleet.Conn)) {
+	s := v.socketByID(id)
 	if s == nil {
 		return
 	}
 	s.closed = true
-	v.socks[uint32(id)] = nil
-	v.held--
-	v.cost += float64(v.p.s.Node.Socket)
-	v.emit(func() {
-		if s.c != nil {
-			how(s.c)
+	v.sockets[uint32(id)] = nil
+	v.openSockets--
+	v.cost += float64(v.player.script.Node.Socket)
+	v.afterCost(func() {
+		if s.conn != nil {
+			how(s.conn)
 		}
 	})
 }
--- a/rehearsal/virtual/virtual_test.go
+++ b/rehearsal/virtual/virtual_test.go
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// TestSameTwice plays every shipped script twice, on one core and on all: the answers must not differ in a byte.
-func TestSameTwice(t *testing.T) {
+// TestRunsAreDeterministic plays every shipped script twice, on one core and on all: the answers must not differ in a byte.
+func TestRunsAreDeterministic(t *testing.T) {
 	for _, name := range scenario.Shipped() {
 		if name == "full-size" || name == "full-core" { // long; the command measures them
 			continue
@@ -55,7 +55,7 @@
 	}
 }
 
-func run(t *testing.T, name string, changes ...string) *record.Run {
+func playChecked(t *testing.T, name string, changes ...string) *record.Run {
 	t.Helper()
 	s, err := scenario.LoadWith(name, changes)
 	if err != nil {
@@ -71,12 +71,12 @@
 	return r
 }
 
-// TestRestartBesideColdHost wants the killed node to serve again, and the warming host to get flows while it warms: a few,
+// TestNodeRestartWithColdHost wants the killed node to serve again, and the warming host to get flows while it warms: a few,
 // so that five evenings are counted.
-func TestRestartBesideColdHost(t *testing.T) {
+func TestNodeRestartWithColdHost(t *testing.T) {
 	again, warming := 0, 0
 	for seed := range 5 {
-		for _, f := range run(t, "node-restart-cold-host", fmt.Sprintf("seed=%d", seed+1)).Flows {
+		for _, f := range playChecked(t, "node-restart-cold-host", fmt.Sprintf("seed=%d", seed+1)).Flows {
 			word, at := f.Answer()
 			if word == "established" && f.Node == 0 && at > 24_000_000 {
 				again++
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestDrainBesideNeighbour wants nothing new on the drained host once every node must know, and moves away from it.
-func TestDrainBesideNeighbour(t *testing.T) {
-	r := run(t, "drain-beside-neighbour")
+// TestDrainWithNeighbour wants nothing new on the drained host once every node must know, and moves away from it.
+func TestDrainWithNeighbour(t *testing.T) {
+	r := playChecked(t, "drain-beside-neighbour")
 	moved := 0
 	for _, f := range r.Flows {
 		_, at := f.Answer()
@@ -110,7 +110,7 @@
 }
 
 func TestAllHostsDie(t *testing.T) {
-	r := run(t, "all-hosts-die")
+	r := playChecked(t, "all-hosts-die")
 	if n := r.Sum().Answers["none"]; n > 0 {
 		t.Errorf("%d flows without an answer", n)
 	}
@@ -124,19 +124,19 @@
 }
 
 func TestTenTimesDemand(t *testing.T) {
-	r := run(t, "ten-times")
+	r := playChecked(t, "ten-times")
 	a := r.Sum().Answers
 	if a["rejected"] < a["established"] || a["established"] < 100 || a["none"] > 0 {
 		t.Errorf("answers %v", a)
 	}
 }
 
-// TestFullCore plays a node whose core is full: what it sets up is bounded by what its core can do, and without a cost
+// TestCPUCostBoundsSetups plays a node whose core is full: what it sets up is bounded by what its core can do, and without a cost
 // it is not. Guards the cost model that shows the node's own limits in virtual time.
-func TestFullCore(t *testing.T) {
+func TestCPUCostBoundsSetups(t *testing.T) {
 	short := []string{"length=\"1s\"", "demand.loops=[{count=32,for=\"1s\"}]", "demand.bulk=[]"}
-	free := run(t, "full-core", append(short, `node={}`)...)
-	full := run(t, "full-core", append(short, `node={turn_cost="28us",event_cost="3us",socket_cost="100us"}`)...)
+	free := playChecked(t, "full-core", append(short, `node={}`)...)
+	full := playChecked(t, "full-core", append(short, `node={turn_cost="28us",event_cost="3us",socket_cost="100us"}`)...)
 	const perFlow = 4 * 100 // at least: taken, opened and two closed
 	n, most := full.Sum().Answers["established"]+full.Sum().Answers["left"], 1_000_000/perFlow
 	if n > most || n < most/4 {
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestStarved takes most of a node's core: its set-ups take longer, and all its flows have their answer.
-func TestStarved(t *testing.T) {
-	r := run(t, "full-core", "length=\"3s\"", "demand.bulk=[]", `demand.loops=[{count=4,for="3s"}]`,
+// TestStarvedNode takes most of a node's core: its set-ups take longer, and all its flows have their answer.
+func TestStarvedNode(t *testing.T) {
+	r := playChecked(t, "full-core", "length=\"3s\"", "demand.bulk=[]", `demand.loops=[{count=4,for="3s"}]`,
 		`faults=[{at="1s",kind="node_starve",nodes=["n-0"],size=0.95,for="1s"}]`)
 	var before, meanwhile []int64
 	for _, f := range r.Flows {
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestCaptureReplays wants a replay of a run's captures to serve what the run served.
-func TestCaptureReplays(t *testing.T) {
+// TestReplayMatchesCapturedRun wants a replay of a run's captures to serve what the run served.
+func TestReplayMatchesCapturedRun(t *testing.T) {
 	dir := t.TempDir()
 	s, err := scenario.Load("busy-evening")
 	if err != nil {
@@ -191,7 +191,7 @@
 		}
 		all = append(all, c)
 	}
-	s.Recorded, _ = replay.ToScript(all, s, lead)
+	s.Recorded, _ = replay.ToScript(all, s, leadTime)
 	s.Demand.Flows = "captured"
 	second, err := Play(s, Options{})
 	if err != nil {
@@ -202,9 +202,9 @@
 	}
 }
 
-// TestSilentCrowd is ten thousand connections that say nothing: the usual clients have their descriptors all the same.
-func TestSilentCrowd(t *testing.T) {
-	r := run(t, "calm-evening", "length=\"12s\"", "node.sockets=200", `faults=[]`,
+// TestManySilentConnections is ten thousand connections that say nothing: the usual clients have their descriptors all the same.
+func TestManySilentConnections(t *testing.T) {
+	r := playChecked(t, "calm-evening", "length=\"12s\"", "node.sockets=200", `faults=[]`,
 		`demand.bad=[{at="1s",for="10s",rate=1000.0,kind="mute"}]`)
 	if len(r.Bad) < 9000 {
 		t.Fatalf("%d silent connections", len(r.Bad))
@@ -214,18 +214,18 @@
 	}
 }
 
-// TestOneAddress is a tight loop from one address beside clients that come one each: with caps the others do not feel
+// TestPerAddressLimits is a tight loop from one address beside clients that come one each: with caps the others do not feel
 // it, and whoever is refused is told so.
-func TestOneAddress(t *testing.T) {
-	capped := run(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`)
-	open := run(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`, "node.admission={}")
+func TestPerAddressLimits(t *testing.T) {
+	capped := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`)
+	open := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`, "node.admission={}")
 	if c, o := capped.Sum(), open.Sum(); c.Service < 0.99 || c.LateShare[0] > 0.01 || c.Answers["none"] > 0 || o.Service > c.Service {
 		t.Errorf("service %.3f with caps, %.3f without; late %.3f; answers %v", c.Service, o.Service, c.LateShare[0], c.Answers)
 	}
 }
 
-// TestChurnHolds wants what a node holds to stay on its level while clients vanish and the list changes each second.
-func TestChurnHolds(t *testing.T) {
+// TestHoldingsStableUnderChurn wants what a node holds to stay on its level while clients vanish and the list changes each second.
+func TestHoldingsStableUnderChurn(t *testing.T) {
 	s, err := scenario.Load("churn")
 	if err != nil {
 		t.Fatal(err)
@@ -253,10 +253,10 @@
 	}
 }
 
-// TestGoodput offers ten times what one core can set up for four seconds: what it establishes stays at what it can do, in
+// TestGoodputInOverload offers ten times what one core can set up for four seconds: what it establishes stays at what it can do, in
 // time, and it is back to normal within two seconds.
-func TestGoodput(t *testing.T) {
-	r := run(t, "overload")
+func TestGoodputInOverload(t *testing.T) {
+	r := playChecked(t, "overload")
 	var by [9]int
 	for _, f := range r.Flows {
 		if word, at := f.Answer(); word == "established" && at < 9_000_000 {
