--- a/rehearsal/virtual/bytes_test.go
+++ b/rehearsal/virtual/bytes_test.go
@@ -9,49 +9,54 @@
 	"coursewinch/settings"
 )
 
-// TestBytesBetweenNodes: what a node sends a second with no limit and with ten, in calm. Leases cost each node an asking and
-// a vote for each other one within half of a lease; each flow an asking and an answer for each rate, and three for
-// each number: to have one, to renew it, to give it back.
+// TestBytesBetweenNodes bounds what a node sends in a second with no limit and with ten, without overload or faults. A
+// lease costs each node a request and a vote for each other node within half of its duration. A flow costs a request and
+// an answer for each rate limit, and three of both for each concurrency limit: to take a permit, renew it and return it.
 func TestBytesBetweenNodes(t *testing.T) {
-	const from, seconds, asking = 8_000_000, 12, 80 // bytes of a lease's or a limit's datagram at most
-	ten := ""
+	const (
+		from      = 8_000_000 // microseconds; leases are taken by then
+		seconds   = 12
+		maxAsking = 80 // bytes of a datagram for a lease or a limit
+	)
+	tenLimits := ""
 	for i, over := range []string{"address", "type", "group"} {
 		for _, kind := range []string{"rate=100.0,burst=100.0", "at_once=1000"} {
-			ten += fmt.Sprintf(`{over=%q,%s,promise="strict"},`, over, kind)
+			tenLimits += fmt.Sprintf(`{over=%q,%s,promise="strict"},`, over, kind)
 			if i == 1 {
-				ten += fmt.Sprintf(`{over="type",of="replay-view",%s,promise="strict"},`, kind)
+				tenLimits += fmt.Sprintf(`{over="type",of="replay-view",%s,promise="strict"},`, kind)
 			}
 		}
 	}
-	ten += `{over="host",at_once=200,promise="strict"},{over="cold",promise="strict"}`
+	tenLimits += `{over="host",at_once=200,promise="strict"},{over="cold",promise="strict"}`
 	for _, n := range []int{12, 60} {
 		var got [2]float64
-		for i, limits := range []string{"", ten} {
-			s, err := scenario.LoadWith("fleet-overload", []string{"cluster.on=true", fmt.Sprintf("length=\"%ds\"", seconds), "demand.rate=5", fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, n), "cluster.limits=[" + limits + "]"})
+		for i, limits := range []string{"", tenLimits} {
+			s, err := scenario.LoadWith("fleet-overload", []string{"cluster.on=true", fmt.Sprintf("length=\"%ds\"", seconds), "demand.rate=5",
+				fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, n), "cluster.limits=[" + limits + "]"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			bytes := 0
+			sent := 0
 			tune := func(_ int, _ *settings.Settings, c *node.Config) {
 				send := c.Cluster.Send
 				c.Cluster.Send = func(to int, p []byte) {
-					bytes += len(p)
+					sent += len(p)
 					send(to, p)
 				}
 			}
-			begun := 0
+			sentBefore := 0
 			watch := func(at int64, _ map[int][]node.Hold) {
 				if at == from {
-					begun = bytes // leases stand by now
+					sentBefore = sent
 				}
 			}
 			if _, err := Play(s, Options{Configure: tune, Watch: watch}); err != nil {
 				t.Fatal(err)
 			}
-			got[i] = float64(bytes-begun) / (seconds - from/1e6) / float64(n)
+			got[i] = float64(sent-sentBefore) / (seconds - from/1e6) / float64(n)
 		}
-		hosts := 12.0 // of which a number is in hand at each node
-		most := 1.05*got[0] + 2*asking*float64(n-1)/0.8 + 20*2*asking*5/float64(n) + 2*asking*hosts
+		hosts := 12.0 // each node holds permits of all of them
+		most := 1.05*got[0] + 2*maxAsking*float64(n-1)/0.8 + 20*2*maxAsking*5/float64(n) + 2*maxAsking*hosts
 		if got[1] > most {
 			t.Errorf("%d nodes: %.0f bytes a second and node with ten limits, at most %.0f", n, got[1], most)
 		}
--- a/rehearsal/virtual/cluster.go
+++ b/rehearsal/virtual/cluster.go
@@ -7,15 +7,16 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// What a node has besides its sockets where it is one of a fleet: links to the others, a clock of its own, a process that
-// can be stopped, and another of the same name.
+// This file holds what a node of a fleet has besides its sockets: links to the other nodes, a clock of its own, a process
+// that can be paused, and a second process of the same name.
 
-// clock is a node's own: it may have jumped, and run fast or slow.
+// clock is the clock of a node. It may have jumped, and may run fast or slow.
 type clock struct {
-	setAt, shownThen int64   // at this moment of the run it showed that
-	rate             float64 // 0 for 1
+	setAt, shownThen int64   // at time setAt of the run it showed shownThen, microseconds
+	rate             float64 // 0 stands for 1
 }
 
+// speed returns how much faster than the run the clock runs.
 func (c clock) speed() float64 {
 	if c.rate == 0 {
 		return 1
@@ -23,22 +24,25 @@
 	return c.rate
 }
 
-// timeAt is what the clock shows at a moment of the run.
+// timeAt returns what the clock shows at a time of the run.
 func (c clock) timeAt(now int64) int64 { return c.shownThen + int64(float64(now-c.setAt)*c.speed()) }
 
-// durationUntil is how long from a moment on it takes until the clock shows another.
+// durationUntil returns how long from now, in time of the run, the clock takes to show a given time.
 func (c clock) durationUntil(now, shown int64) int64 {
 	return max(int64(float64(shown-c.timeAt(now))/c.speed()), 0)
 }
 
+// now returns the time of day by the node's own clock, in microseconds.
 func (v *vnode) now() int64 { return startTimeOfDay + v.clock.timeAt(v.player.world.Now()) }
 
+// Clock makes a node's clock jump and sets its rate.
 func (p *player) Clock(no int, jump int64, rate float64) {
 	v, now := p.nodes[no], p.world.Now()
 	v.clock = clock{now, v.clock.timeAt(now) + jump, rate}
 	v.scheduleNow()
 }
 
+// Pause stops a node's process or lets it go on.
 func (p *player) Pause(no int, on bool) {
 	v := p.nodes[no]
 	v.paused = on
@@ -50,7 +54,7 @@
 	v.scheduleNow()
 }
 
-// configureCluster gives a node its links.
+// configureCluster sets a node's cluster configuration: its name, the limits of the fleet and its links to the other nodes.
 func (v *vnode) configureCluster(c *node.Config, seed uint64) {
 	s := v.player.script
 	if !s.Cluster.On {
@@ -59,7 +63,8 @@
 	c.Cluster = node.Cluster{On: true, Name: c.Cluster.Name, Process: seed*0x9e3779b97f4a7c15 + uint64(v.generation) + 1}
 	for _, l := range s.FleetLimits() {
 		strict := l.Promise == "strict"
-		c.Cluster.Limits = append(c.Cluster.Limits, node.FleetLimit{Over: l.Over, Of: l.Of, Rate: limits.Limit{Rate: l.Rate, Burst: l.Burst, Strict: strict},
+		c.Cluster.Limits = append(c.Cluster.Limits, node.FleetLimit{Over: l.Over, Of: l.Of,
+			Rate:   limits.Limit{Rate: l.Rate, Burst: l.Burst, Strict: strict},
 			AtOnce: permits.Limit{Most: l.AtOnce, Strict: strict}})
 	}
 	if s.Cluster.Alone {
@@ -68,26 +73,27 @@
 	c.Cluster.Others = s.NodeCount() - 1
 	c.Cluster.Send = func(to int, d []byte) {
 		if v.player.duplicates[v.index] == v {
-			return // its address is the other's: it can neither hear nor speak
+			return // the first process has its address, so it can neither receive nor send
 		}
-		life := v.generation
+		generation := v.generation
 		v.cost += float64(s.Node.Event)
 		v.afterCost(func() {
-			if v.generation == life {
+			if v.generation == generation {
 				v.player.world.Told(v.index, nodeAtPeerIndex(v.index, to), d)
 			}
 		})
 	}
 }
 
-// nodeAtPeerIndex is the number of the so-many-th of the other nodes, nth what it is to another.
-func nodeAtPeerIndex(no, nth int) int {
-	if nth >= no {
-		return nth + 1
+// nodeAtPeerIndex returns the number of the node that has an index among the other nodes of a node.
+func nodeAtPeerIndex(no, index int) int {
+	if index >= no {
+		return index + 1
 	}
-	return nth
+	return index
 }
 
+// peerIndex returns the index that another node has among the other nodes of a node.
 func peerIndex(no, other int) int {
 	if other > no {
 		return other - 1
@@ -95,7 +101,7 @@
 	return other
 }
 
-// Datagram brings what another node sent. Of two processes of one name the first has the address, until it ends.
+// Datagram delivers a datagram of another node. Of two processes of one name the first has the address until it ends.
 func (p *player) Datagram(no, from int, d []byte) {
 	v := p.nodes[no]
 	if v.core == nil {
@@ -105,12 +111,13 @@
 	v.scheduleNow()
 }
 
+// datagram is a datagram of another node that the node has not handled yet.
 type datagram struct {
-	from    int
+	from    int // number of the node that sent it
 	payload []byte
 }
 
-// Twin starts or ends a second process under a node's name. It serves nobody.
+// Twin starts or ends a second process under a node's name. It has no clients.
 func (p *player) Twin(no int, conf fleet.Conf, on bool) {
 	if t := p.duplicates[no]; t != nil {
 		t.discardProcess()
@@ -118,7 +125,7 @@
 	}
 	if on {
 		t := &vnode{player: p, index: no, iterationAt: never}
-		t.generation = 1 << 20 // never that of the first
+		t.generation = 1 << 20 // the first process never counts so far
 		p.duplicates[no] = t
 		conf.Seed ^= 1 << 40
 		t.start(conf)
--- a/rehearsal/virtual/fleet_cold_test.go
+++ b/rehearsal/virtual/fleet_cold_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// coldStart plays three of twelve hosts that die and come back cold, told to so many nodes at once, each of which goes by
-// itself. A host falls when it is sent more than the rule allows it then, N, and twice the root of N and two, which are chance.
+// coldStart plays three of twelve hosts that die and come back cold. All nodes learn of it at once, and each decides by
+// itself. A host is overloaded when it gets more than N + 2*sqrt(N) + 2 connects, where N is what the rule allows it by
+// then and the rest allows for chance.
 func coldStart(t *testing.T, nodes int, rate float64) {
 	for seed := range 4 {
 		r := playChecked(t, "fleet-overload", fmt.Sprintf("nodes.0.count=%d", nodes/3), fmt.Sprintf("nodes.1.count=%d", nodes/3),
@@ -16,14 +17,15 @@
 		for _, h := range r.Hosts {
 			sent += h.ColdSent
 		}
-		t.Logf("%d nodes, seed %d, rate %g: %d falls, %d sent to cold hosts", nodes, seed+1, rate, r.Counts.Falls, sent)
+		t.Logf("%d nodes, seed %d, rate %g: %d cold hosts overloaded, %d connects to cold hosts", nodes, seed+1, rate, r.Counts.Falls, sent)
 		if rate > 10 && sent < 10 {
-			t.Errorf("%d nodes, seed %d, rate %g: %d sent to cold hosts, which shows nothing", nodes, seed+1, rate, sent)
+			t.Errorf("%d nodes, seed %d, rate %g: %d connects to cold hosts, too few to show anything", nodes, seed+1, rate, sent)
 		}
 	}
 }
 
-// TestColdHostsByTheSum: all nodes together keep to it, up to five times the demand that scripts call once.
+// TestColdHostBudgetOfAllNodes checks that all nodes together keep the budget of cold hosts, up to five times the demand
+// that scripts call once.
 func TestColdHostBudgetOfAllNodes(t *testing.T) {
 	for _, nodes := range []int{20, 30} {
 		for _, rate := range []float64{2.5, 6, 12} {
@@ -32,7 +34,8 @@
 	}
 }
 
-// TestColdHostsInTenfoldDemand: and at ten times, twice what all hosts can bear and more, where each holds all that it can.
+// TestColdHostsInTenfoldDemand checks the same at ten times the demand, which is more than twice the capacity of all hosts,
+// so that each holds as many flows as it can.
 func TestColdHostsInTenfoldDemand(t *testing.T) {
 	coldStart(t, 30, 25)
 }
--- /dev/null
+++ b/rehearsal/virtual/net.go
@@ -0,0 +1,99 @@
+package virtual
+
+import (
+	"coursewinch/lines"
+	"coursewinch/rehearsal/fleet"
+)
+
+// Room returns how many more sockets the process may open.
+func (v *vnode) Room() int { return v.player.script.Node.Sockets - reservedDescriptors - v.openSockets }
+
+// Dial opens a connection. If the process has no descriptor left, the connection is refused.
+func (v *vnode) Dial(id uint64, to string, in, out *lines.Ring) {
+	s := &socket{id: id, node: v, in: in, out: out, dialing: true, generation: v.generation}
+	if v.Room() < 1 {
+		v.addSocket(s)
+		v.inbox = append(v.inbox, input{s, inputRefused})
+		return
+	}
+	v.addSocket(s)
+	v.cost += float64(v.player.script.Node.Socket)
+	v.afterCost(func() {
+		if !s.closed {
+			s.conn = v.player.world.Dialed(v.index, to, s)
+		}
+	})
+}
+
+// Touch sends what the node has written to a socket's ring.
+func (v *vnode) Touch(id uint64) {
+	s := v.socketByID(id)
+	if s == nil || s.dialing || s.out.Len() == 0 {
+		return
+	}
+	b := append([]byte(nil), s.out.Peek(s.out.Len())...)
+	s.out.Drop(len(b))
+	v.cost += float64(v.player.script.Node.KB) * float64(len(b)) / 1024
+	v.afterCost(func() { v.player.world.Wrote(s.conn, b) })
+}
+
+// Shut sends what is left and closes the sending side.
+func (v *vnode) Shut(id uint64) {
+	if s := v.socketByID(id); s != nil && !s.dialing {
+		v.Touch(id)
+		v.afterCost(func() { v.player.world.Shut(s.conn) })
+	}
+}
+
+// Close closes a connection.
+func (v *vnode) Close(id uint64) { v.closeSocket(id, v.player.world.Closed) }
+
+// Reset resets a connection.
+func (v *vnode) Reset(id uint64) { v.closeSocket(id, v.player.world.Broke) }
+
+// Part sends what is left and closes a connection. The emulated network loses nothing that was written before a close.
+func (v *vnode) Part(id uint64) {
+	v.Touch(id)
+	v.Close(id)
+}
+
+// Gone tells whether the other side has closed a connection, also if the node does not know it yet.
+func (v *vnode) Gone(id uint64) bool {
+	s := v.socketByID(id)
+	return s == nil || s.readClosed || v.hasUnreportedEnd(s)
+}
+
+// closeSocket closes a socket and then ends its connection in the given way.
+func (v *vnode) closeSocket(id uint64, how func(*fleet.Conn)) {
+	s := v.socketByID(id)
+	if s == nil {
+		return
+	}
+	s.closed = true
+	v.sockets[uint32(id)] = nil
+	v.openSockets--
+	v.cost += float64(v.player.script.Node.Socket)
+	v.afterCost(func() {
+		if s.conn != nil {
+			how(s.conn)
+		}
+	})
+}
+
+// addSocket adds a socket at the place that the low half of its id names.
+func (v *vnode) addSocket(s *socket) {
+	no := int(uint32(s.id))
+	for len(v.sockets) <= no {
+		v.sockets = append(v.sockets, nil)
+	}
+	v.sockets[no] = s
+	v.openSockets++
+}
+
+// socketByID returns the socket of an id, or nil if it is closed.
+func (v *vnode) socketByID(id uint64) *socket {
+	if no := int(uint32(id)); no < len(v.sockets) && v.sockets[no] != nil && v.sockets[no].id == id {
+		return v.sockets[no]
+	}
+	return nil
+}
--- a/rehearsal/virtual/virtual_test.go
+++ b/rehearsal/virtual/virtual_test.go
@@ -2,20 +2,19 @@
 
 import (
 	"fmt"
+	"io"
+	"log"
 	"math"
+	"os"
 	"path/filepath"
+	"runtime"
 	"slices"
+	"testing"
 
 	"coursewinch/capture"
 	"coursewinch/node"
 	"coursewinch/rehearsal/record"
 	"coursewinch/rehearsal/replay"
-	"io"
-	"log"
-	"os"
-	"runtime"
-	"testing"
-
 	"coursewinch/rehearsal/report"
 	"coursewinch/rehearsal/rules"
 	"coursewinch/rehearsal/scenario"
@@ -26,10 +25,10 @@
 	os.Exit(m.Run())
 }
 
-// TestRunsAreDeterministic plays every shipped script twice, on one core and on all: the answers must not differ in a byte.
+// TestRunsAreDeterministic plays every shipped script on one core and on all cores. The answers must be equal byte for byte.
 func TestRunsAreDeterministic(t *testing.T) {
 	for _, name := range scenario.Shipped() {
-		if name == "full-size" || name == "full-core" { // long; the command measures them
+		if name == "full-size" || name == "full-core" { // too long for a test; they are measured with the command
 			continue
 		}
 		s, err := scenario.Load(name)
@@ -55,6 +54,7 @@
 	}
 }
 
+// playChecked plays a shipped script with changes and reports every breach of a rule.
 func playChecked(t *testing.T, name string, changes ...string) *record.Run {
 	t.Helper()
 	s, err := scenario.LoadWith(name, changes)
@@ -71,27 +71,28 @@
 	return r
 }
 
-// TestNodeRestartWithColdHost wants the killed node to serve again, and the warming host to get flows while it warms: a few,
-// so that five evenings are counted.
+// TestNodeRestartWithColdHost checks that a killed node serves again and that a cold host gets flows while it warms up.
+// The host gets only a few in one run, so five runs are counted together.
 func TestNodeRestartWithColdHost(t *testing.T) {
-	again, warming := 0, 0
+	afterRestart, onColdHost := 0, 0
 	for seed := range 5 {
 		for _, f := range playChecked(t, "node-restart-cold-host", fmt.Sprintf("seed=%d", seed+1)).Flows {
 			word, at := f.Answer()
 			if word == "established" && f.Node == 0 && at > 24_000_000 {
-				again++
+				afterRestart++
 			}
 			if word == "established" && f.Host == 3 && at > 15_000_000 && at < 37_000_000 {
-				warming++
+				onColdHost++
 			}
 		}
 	}
-	if again < 50 || warming < 5 {
-		t.Errorf("%d flows at the node after its restart, %d on the warming host", again, warming)
+	if afterRestart < 50 || onColdHost < 5 {
+		t.Errorf("%d flows at the node after its restart, %d on the cold host", afterRestart, onColdHost)
 	}
 }
 
-// TestDrainWithNeighbour wants nothing new on the drained host once every node must know, and moves away from it.
+// TestDrainWithNeighbour checks that a drained host gets no new flows once every node must know of the drain, and that
+// flows are moved away from it.
 func TestDrainWithNeighbour(t *testing.T) {
 	r := playChecked(t, "drain-beside-neighbour")
 	moved := 0
@@ -105,10 +106,11 @@
 		}
 	}
 	if moved == 0 {
-		t.Error("nobody was moved")
+		t.Error("no flow was moved from the drained host")
 	}
 }
 
+// TestAllHostsDie checks that every flow has an answer and that none is served while all hosts are dead.
 func TestAllHostsDie(t *testing.T) {
 	r := playChecked(t, "all-hosts-die")
 	if n := r.Sum().Answers["none"]; n > 0 {
@@ -117,12 +119,13 @@
 	for _, s := range r.Seconds[22:29] {
 		for _, v := range s.Served {
 			if v > 0 {
-				t.Fatal("served while no host lived")
+				t.Fatal("a flow was served while all hosts were dead")
 			}
 		}
 	}
 }
 
+// TestTenTimesDemand offers ten times what the hosts can serve: most flows are rejected, and all have an answer.
 func TestTenTimesDemand(t *testing.T) {
 	r := playChecked(t, "ten-times")
 	a := r.Sum().Answers
@@ -131,42 +134,43 @@
 	}
 }
 
-// TestCPUCostBoundsSetups plays a node whose core is full: what it sets up is bounded by what its core can do, and without a cost
-// it is not. Guards the cost model that shows the node's own limits in virtual time.
+// TestCPUCostBoundsSetups plays a node whose core is saturated: the number of set-ups is bounded by what the core can do,
+// and is not bounded if the core's work costs nothing. It guards the cost model by which virtual time shows a node's own
+// limits.
 func TestCPUCostBoundsSetups(t *testing.T) {
 	short := []string{"length=\"1s\"", "demand.loops=[{count=32,for=\"1s\"}]", "demand.bulk=[]"}
 	free := playChecked(t, "full-core", append(short, `node={}`)...)
 	full := playChecked(t, "full-core", append(short, `node={turn_cost="28us",event_cost="3us",socket_cost="100us"}`)...)
-	const perFlow = 4 * 100 // at least: taken, opened and two closed
+	const perFlow = 4 * 100 // microseconds at least: a socket accepted, one opened and two closed
 	n, most := full.Sum().Answers["established"]+full.Sum().Answers["left"], 1_000_000/perFlow
 	if n > most || n < most/4 {
-		t.Errorf("%d flows with a full core, %d possible", n, most)
+		t.Errorf("%d flows with a saturated core, %d possible", n, most)
 	}
 	if m := free.Sum().Answers["established"]; m < 3*n {
-		t.Errorf("%d flows with a full core, %d with a free one", n, m)
+		t.Errorf("%d flows with a saturated core, %d with a free one", n, m)
 	}
 }
 
-// TestStarvedNode takes most of a node's core: its set-ups take longer, and all its flows have their answer.
+// TestStarvedNode takes most of a node's core: set-ups take longer, and every flow still has an answer.
 func TestStarvedNode(t *testing.T) {
 	r := playChecked(t, "full-core", "length=\"3s\"", "demand.bulk=[]", `demand.loops=[{count=4,for="3s"}]`,
 		`faults=[{at="1s",kind="node_starve",nodes=["n-0"],size=0.95,for="1s"}]`)
-	var before, meanwhile []int64
+	var before, during []int64
 	for _, f := range r.Flows {
 		if word, at := f.Answer(); word == "established" && at < 1_000_000 {
 			before = append(before, f.Establish)
 		} else if word == "established" && at > 1_050_000 && at < 2_000_000 {
-			meanwhile = append(meanwhile, f.Establish)
+			during = append(during, f.Establish)
 		}
 	}
 	slices.Sort(before)
-	slices.Sort(meanwhile)
-	if b, m := record.Quantile(before, 0.5), record.Quantile(meanwhile, 0.5); m < 2*b {
+	slices.Sort(during)
+	if b, m := record.Quantile(before, 0.5), record.Quantile(during, 0.5); m < 2*b {
 		t.Errorf("set-ups took %d us, and %d with a twentieth of the core", b, m)
 	}
 }
 
-// TestReplayMatchesCapturedRun wants a replay of a run's captures to serve what the run served.
+// TestReplayMatchesCapturedRun checks that a replay of a run's captures serves as much as the run did.
 func TestReplayMatchesCapturedRun(t *testing.T) {
 	dir := t.TempDir()
 	s, err := scenario.Load("busy-evening")
@@ -202,7 +206,8 @@
 	}
 }
 
-// TestManySilentConnections is ten thousand connections that say nothing: the usual clients have their descriptors all the same.
+// TestManySilentConnections opens ten thousand connections that send nothing. The other clients must still find free
+// descriptors.
 func TestManySilentConnections(t *testing.T) {
 	r := playChecked(t, "calm-evening", "length=\"12s\"", "node.sockets=200", `faults=[]`,
 		`demand.bad=[{at="1s",for="10s",rate=1000.0,kind="mute"}]`)
@@ -214,17 +219,18 @@
 	}
 }
 
-// TestPerAddressLimits is a tight loop from one address beside clients that come one each: with caps the others do not feel
-// it, and whoever is refused is told so.
+// TestPerAddressLimits plays a tight loop from one address beside clients of which each has an address of its own. With
+// limits by address the other clients are not affected, and every rejected client has an answer.
 func TestPerAddressLimits(t *testing.T) {
-	capped := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`)
-	open := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`, "node.admission={}")
-	if c, o := capped.Sum(), open.Sum(); c.Service < 0.99 || c.LateShare[0] > 0.01 || c.Answers["none"] > 0 || o.Service > c.Service {
-		t.Errorf("service %.3f with caps, %.3f without; late %.3f; answers %v", c.Service, o.Service, c.LateShare[0], c.Answers)
+	limited := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`)
+	unlimited := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`, "node.admission={}")
+	if c, o := limited.Sum(), unlimited.Sum(); c.Service < 0.99 || c.LateShare[0] > 0.01 || c.Answers["none"] > 0 || o.Service > c.Service {
+		t.Errorf("service %.3f with limits, %.3f without; late %.3f; answers %v", c.Service, o.Service, c.LateShare[0], c.Answers)
 	}
 }
 
-// TestHoldingsStableUnderChurn wants what a node holds to stay on its level while clients vanish and the list changes each second.
+// TestHoldingsStableUnderChurn checks that what a node holds does not grow while clients vanish and the list changes each
+// second.
 func TestHoldingsStableUnderChurn(t *testing.T) {
 	s, err := scenario.Load("churn")
 	if err != nil {
@@ -248,29 +254,29 @@
 	}
 	for _, purpose := range []string{"fd_client", "fd_new", "connections", "hosts", "groups", "logs", "deadlines"} {
 		if v := sums[purpose]; v[0] == 0 || math.Abs(v[1]/v[0]-1) > 0.15 {
-			t.Errorf("%s: %.0f in one twenty seconds, %.0f in the next", purpose, v[0]/20, v[1]/20)
+			t.Errorf("%s: mean of %.0f in the first twenty seconds, %.0f in the next twenty", purpose, v[0]/20, v[1]/20)
 		}
 	}
 }
 
-// TestGoodputInOverload offers ten times what one core can set up for four seconds: what it establishes stays at what it can do, in
-// time, and it is back to normal within two seconds.
+// TestGoodputInOverload offers ten times what one core can set up for four seconds. The node must establish as many flows
+// as it can, in time, and serve normally again within two seconds.
 func TestGoodputInOverload(t *testing.T) {
 	r := playChecked(t, "overload")
-	var by [9]int
+	var bySecond [9]int
 	for _, f := range r.Flows {
 		if word, at := f.Answer(); word == "established" && at < 9_000_000 {
-			by[at/1_000_000]++
+			bySecond[at/1_000_000]++
 		}
 	}
-	const can = 1340 // a second: the peak where demand is just that much, of the same costs
+	const capacity = 1340 // flows a second: what is established at the same costs if demand is no higher
 	for s := 2; s < 5; s++ {
-		if by[s] < can*9/10 {
-			t.Errorf("%d established in second %d, %d possible", by[s], s, can)
+		if bySecond[s] < capacity*9/10 {
+			t.Errorf("%d established in second %d, %d possible", bySecond[s], s, capacity)
 		}
 	}
-	if by[7] < 430 {
-		t.Errorf("two seconds after the flood %d of 500 are established", by[7])
+	if bySecond[7] < 430 {
+		t.Errorf("two seconds after the overload %d of 500 are established", bySecond[7])
 	}
 	s := r.Sum()
 	for typ, target := range r.Types {
