--- a/rehearsal/baseline/baseline.go
+++ b/rehearsal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has simple ways to choose a server, for comparison in rehearsals and nothing else: random, round
-// robin, least own connections, best of two. They keep the list, the watch and the retries that any of them needs, and
-// know nothing of rankings, warm-up, groups or loads.
+// Package baseline has simple policies to choose a server, for comparison in rehearsals only: random, round robin, least
+// own connections, and the better of two random servers. They handle the list, the list watch and retries, and know nothing
+// of rankings, warm-up, groups or loads.
 package baseline
 
 import (
@@ -14,20 +14,20 @@
 	"coursewinch/settings"
 )
 
-// Names are the baselines there are.
+// Names are the names of all baselines.
 var Names = []string{"random", "round-robin", "least-connections", "two-choices"}
 
-// server is what a baseline keeps of one.
+// server is a server with the number of flows that this node has there.
 type server struct {
 	server *balance.Server
 	flows  int
 }
 
-// decider is a node.Decider.
+// decider implements node.Decider with one of the policies.
 type decider struct {
 	settings        *settings.Settings
 	rng             *rand.Rand
-	pick            func(d *decider, from []*server) *server
+	pick            func(d *decider, candidates []*server) *server
 	writer          balance.Writer
 	now             int64
 	servers         []*server
@@ -35,19 +35,20 @@
 	lastIndex       int
 	failed          map[*balance.Flow][]*balance.Server
 	current         map[*balance.Flow]*server
-	mayHaveRun      map[*balance.Flow]*balance.Server // that may have run it first
-	nextCallAt      int64
+	mayHaveRun      map[*balance.Flow]*balance.Server // first server that may have run the set-up
+	nextCallAt      int64                             // time of the next list call, while there is no list
 	listReceived    bool
-	readingComplete bool // the list being read is a whole one
+	readingComplete bool // the list being read is complete
 	alarmAt         int64
 }
 
-// New gives the maker of a baseline's deciders.
+// New returns a function that makes deciders of the named baseline, from a node's settings and seed. It fails if there is no
+// such baseline.
 func New(name string) (func(*settings.Settings, int64) node.Decider, error) {
 	pick, ok := map[string]func(*decider, []*server) *server{
-		"random":            func(d *decider, from []*server) *server { return from[d.rng.Intn(len(from))] },
+		"random":            func(d *decider, candidates []*server) *server { return candidates[d.rng.Intn(len(candidates))] },
 		"round-robin":       roundRobin,
-		"least-connections": func(_ *decider, from []*server) *server { return slices.MinFunc(from, compareByFlows) },
+		"least-connections": func(_ *decider, candidates []*server) *server { return slices.MinFunc(candidates, compareByFlows) },
 		"two-choices":       twoChoices,
 	}[name]
 	if !ok {
@@ -60,38 +61,44 @@
 	}, nil
 }
 
+// compareByFlows orders servers by their flows over their size, then by name.
 func compareByFlows(x, y *server) int {
 	return cmp.Or(cmp.Compare(float64(x.flows)/x.server.Size, float64(y.flows)/y.server.Size), cmp.Compare(x.server.Name, y.server.Name))
 }
 
-func roundRobin(d *decider, from []*server) *server {
+// roundRobin picks the servers in turn.
+func roundRobin(d *decider, candidates []*server) *server {
 	d.lastIndex++
-	return from[d.lastIndex%len(from)]
+	return candidates[d.lastIndex%len(candidates)]
 }
 
-func twoChoices(d *decider, from []*server) *server {
-	x, y := from[d.rng.Intn(len(from))], from[d.rng.Intn(len(from))]
+// twoChoices picks the one of two random servers that has fewer flows for its size.
+func twoChoices(d *decider, candidates []*server) *server {
+	x, y := candidates[d.rng.Intn(len(candidates))], candidates[d.rng.Intn(len(candidates))]
 	if compareByFlows(y, x) < 0 {
 		return y
 	}
 	return x
 }
 
-func (d *decider) Round(now int64, in func(), out balance.Writer) {
-	d.now, d.writer = now, out
-	in()
+// Round handles the input of a loop iteration, and asks for the list while there is none.
+func (d *decider) Round(now int64, handleInput func(), writer balance.Writer) {
+	d.now, d.writer = now, writer
+	handleInput()
 	if !d.listReceived && now >= d.nextCallAt {
 		d.nextCallAt = now + d.settings.AskWithin/2
-		out.Watch()
+		writer.Watch()
 	}
 	if next := max(d.nextCallAt, now+1000); !d.listReceived && d.alarmAt != next {
 		d.alarmAt = next
-		out.Alarm(next)
+		writer.Alarm(next)
 	}
 }
 
+// Tick does nothing: Round handles what is due.
 func (d *decider) Tick() {}
 
+// List begins a list. After a refused list call the next one follows in half a second to a second.
 func (d *decider) List(kind balance.ListKind) {
 	switch kind {
 	case balance.Refused:
@@ -109,6 +116,7 @@
 	}
 }
 
+// Entry handles an entry of the list.
 func (d *decider) Entry(s *balance.Server, state balance.State, size float64, started int64) {
 	s.State, s.Size, s.Started, s.Seen = state, size, started, true
 	if d.byServer[s] == nil && state != balance.Removed {
@@ -120,12 +128,14 @@
 	}
 }
 
+// remove forgets a server.
 func (d *decider) remove(s *balance.Server) {
 	s.State = balance.Removed
 	delete(d.byServer, s)
 	d.servers = slices.DeleteFunc(d.servers, func(v *server) bool { return v.server == s })
 }
 
+// ListEnd ends a list. Servers that a complete list does not name are removed.
 func (d *decider) ListEnd(balance.ListKind) {
 	if !d.readingComplete {
 		return
@@ -138,42 +148,45 @@
 	}
 }
 
+// Demand connects a flow to a server that has not failed it yet, or rejects or aborts the flow.
 func (d *decider) Demand(f *balance.Flow) {
-	var from []*server
-	for _, v := range d.servers {
-		if v.server.State == balance.Up && !slices.Contains(d.failed[f], v.server) {
-			from = append(from, v)
+	var candidates []*server
+	for _, chosen := range d.servers {
+		if chosen.server.State == balance.Up && !slices.Contains(d.failed[f], chosen.server) {
+			candidates = append(candidates, chosen)
 		}
 	}
-	ran := d.mayHaveRun[f]
-	// Rules are kept by baselines too: what may have run goes on only where a repeat is harmless.
-	again := ran == nil || f.Type.Effect == balance.Repeatable ||
+	firstRun := d.mayHaveRun[f]
+	// Baselines keep the rules too: a set-up that may have run is repeated only where a repeat is harmless.
+	mayRepeat := firstRun == nil || f.Type.Effect == balance.Repeatable ||
 		f.Type.Effect == balance.Referenced && f.Type.Scope == balance.ScopeAll
-	if len(from) == 0 || f.Tries >= d.settings.MaxConnects || f.Deadline <= d.now || !again {
+	if len(candidates) == 0 || f.Tries >= d.settings.MaxConnects || f.Deadline <= d.now || !mayRepeat {
 		d.forgetFlow(f)
-		if again {
+		if mayRepeat {
 			d.writer.Reject(f, d.settings.MaxWait/2)
 		} else {
 			d.writer.Abort(f)
 		}
 		return
 	}
-	v := d.pick(d, from)
-	v.flows++
-	d.current[f] = v
+	chosen := d.pick(d, candidates)
+	chosen.flows++
+	d.current[f] = chosen
 	f.Tries++
-	left := f.Deadline - d.now
+	timeout := f.Deadline - d.now
 	if f.Tries < d.settings.MaxConnects {
-		left = min(left, max(f.Type.SetupTarget, left/3))
+		timeout = min(timeout, max(f.Type.SetupTarget, timeout/3))
 	}
-	d.writer.Connect(f, v.server, left)
+	d.writer.Connect(f, chosen.server, timeout)
 }
 
+// forgetFlow drops what is kept for the connects of a flow.
 func (d *decider) forgetFlow(f *balance.Flow) {
 	delete(d.failed, f)
 	delete(d.mayHaveRun, f)
 }
 
+// Opened adopts a flow that is established already.
 func (d *decider) Opened(f *balance.Flow, s *balance.Server) {
 	if v := d.byServer[s]; v != nil {
 		v.flows++
@@ -181,26 +194,31 @@
 	}
 }
 
+// Established ends the connects of a flow.
 func (d *decider) Established(f *balance.Flow, _ int64) { d.forgetFlow(f) }
 
-func (d *decider) Ended(f *balance.Flow, s *balance.Server, end balance.Outcome, _ int64, over bool) {
+// Ended handles the end of a connect or of an established flow. Unless the flow is finished, it is connected again.
+func (d *decider) Ended(f *balance.Flow, s *balance.Server, outcome balance.Outcome, _ int64, finished bool) {
 	if v := d.current[f]; v != nil {
 		v.flows--
 		delete(d.current, f)
 	}
-	if over {
+	if finished {
 		d.forgetFlow(f)
 		return
 	}
-	if end != balance.Saturated && end != balance.Unreachable && end != balance.Superseded && d.mayHaveRun[f] == nil {
+	if outcome != balance.Saturated && outcome != balance.Unreachable && outcome != balance.Superseded && d.mayHaveRun[f] == nil {
 		d.mayHaveRun[f] = s
 	}
 	d.failed[f] = append(d.failed[f], s)
 	d.Demand(f)
 }
 
+// Expired drops a flow whose deadline has passed.
 func (d *decider) Expired(f *balance.Flow) { d.forgetFlow(f) }
 
+// Baselines use neither loads, reports, groups, delays nor probes.
+
 func (d *decider) Load(*balance.Flow, float64)                    {}
 func (d *decider) Reported(*balance.Server, float64, bool)        {}
 func (d *decider) Held(*balance.Group, *balance.Server)           {}
--- a/rehearsal/record/held.go
+++ b/rehearsal/record/held.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// heldInterval is from when to when a flow was held, as its client saw it: its end up to late before it was heard. What its node
-// held while it was stopped is left out.
+// heldInterval returns from when to when a flow was certainly held by its node. Its client may see the end up to late
+// microseconds after the node, so that it is counted that much earlier. Nothing counts from when the node was paused.
 func (r *Run) heldInterval(f *Flow, late int64) (from, to int64) {
 	to = r.Length
 	for _, e := range f.Events {
@@ -27,39 +27,39 @@
 	return from, to
 }
 
-// AtOnce is the most established flows that were held at one moment, by key. A client
-// hears of an end up to late microseconds after its node.
+// AtOnce returns, by key, the highest number of flows that were established at the same time. A client may see the end of
+// its flow up to late microseconds after its node.
 func (r *Run) AtOnce(late int64, key func(f *Flow) string) map[string]int {
-	type edge struct {
+	type change struct {
 		at  int64
 		by  int
 		key string
 	}
-	var all []edge
+	var changes []change
 	for _, f := range r.Flows {
 		if word, _ := f.Answer(); word != "established" {
 			continue
 		}
 		if from, to := r.heldInterval(f, late); to > from {
-			all = append(all, edge{from, 1, key(f)}, edge{to, -1, key(f)})
+			changes = append(changes, change{from, 1, key(f)}, change{to, -1, key(f)})
 		}
 	}
-	slices.SortFunc(all, func(x, y edge) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.by, y.by)) })
-	now, most := map[string]int{}, map[string]int{}
-	for _, e := range all {
-		now[e.key] += e.by
-		most[e.key] = max(most[e.key], now[e.key])
+	slices.SortFunc(changes, func(x, y change) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.by, y.by)) })
+	current, highest := map[string]int{}, map[string]int{}
+	for _, c := range changes {
+		current[c.key] += c.by
+		highest[c.key] = max(highest[c.key], current[c.key])
 	}
-	return most
+	return highest
 }
 
-// Cold is what hosts that came back were sent while they were cold, all together, what the rule would have let pass, and
-// the worst stretch in parts of what pushes a host over.
-func (r *Run) Cold() (sent int, may, worst float64) {
+// Cold returns the connects that all hosts that came back got while they were cold, the connects that the rule would have
+// allowed, and the load of the worst interval as a share of what overloads a cold host.
+func (r *Run) Cold() (sent int, allowed, worst float64) {
 	for _, h := range r.Hosts {
 		if h.ColdMay > 0 {
-			sent, may, worst = sent+h.ColdSent, may+h.ColdMay, max(worst, h.Most/max(r.Multiple, 1))
+			sent, allowed, worst = sent+h.ColdSent, allowed+h.ColdMay, max(worst, h.Most/max(r.Multiple, 1))
 		}
 	}
-	return sent, may, worst
+	return sent, allowed, worst
 }
--- a/rehearsal/record/record.go
+++ b/rehearsal/record/record.go
@@ -1,5 +1,7 @@
-// Package record holds what happened in a rehearsal: every flow with its timeline, what nodes were told of hosts,
-// service by the second. It is written while a run goes on and read by the rule checker, the reports and the tests.
+// Package record holds what happened in a rehearsal: every flow with its timeline, what nodes learned of hosts, and the
+// benefit served in each second. It is written during a run and read by the rule checker, the reports and the tests.
+//
+// Times are microseconds from the start of the run, durations microseconds.
 package record
 
 import (
@@ -11,68 +13,70 @@
 	"strings"
 )
 
-// Kind is what an event of a flow is. Times are microseconds from the start of the run throughout.
+// Kind is the kind of an event of a flow.
 type Kind uint8
 
+// Kinds of events.
 const (
 	Asked      Kind = iota // the client has sent the last byte of its line
 	Sent                   // the first byte of a connect has left the node
-	Came                   // its last byte has come to the host
-	Ran                    // the host has done the set-up's work
-	Said                   // the host answered; Text is its word
-	Refused                // the connection to the host never came up
-	Stopped                // the node gave the connect up, or ended the connection
-	Lost                   // the host's side of the connection is gone, or was broken
-	Answered               // the client has the node's answer; Text is the line
-	Cut                    // the client's connection ended without a MOVE
-	Moved                  // the client was told to come again
-	Left                   // the client has ended its connection
-	Held                   // a line was held back by the node for Value microseconds
-	Unended                // the host had ended the connection; the client heard of it Value microseconds later
-	Nonsense               // the host can't use the line: Text
-	NodeKilled             // the node that held it was killed
+	Came                   // the last byte of a connect has reached the host
+	Ran                    // the host has done the work of the set-up
+	Said                   // the host has answered; Text is the first word
+	Refused                // the connection to the host was never established
+	Stopped                // the node has given up the connect, or closed its connection to the host
+	Lost                   // the host has closed its connection to the node, or it broke
+	Answered               // the client has received the node's answer; Text is the line
+	Cut                    // the client's connection was closed without a MOVE
+	Moved                  // the client was told by a MOVE to connect again
+	Left                   // the client has closed its connection
+	Held                   // the node delayed a line by Value microseconds
+	Unended                // the client saw the end of its connection Value microseconds after the host had closed it
+	Nonsense               // the host cannot parse the line; Text says why
+	NodeKilled             // the node that held the flow was killed
 )
 
 var kindNames = [...]string{"asked", "sent", "came", "ran", "said", "refused", "stopped", "lost", "answered", "cut", "moved",
 	"left", "held", "unended", "nonsense", "node killed"}
 
+// String returns the name that timelines show.
 func (k Kind) String() string { return kindNames[k] }
 
 // Event is one step of a flow.
 type Event struct {
 	At    int64
 	Kind  Kind
-	Host  int // where it concerns a connect; -1 else
-	Try   int // number of the connect
+	Host  int // index of the host if it concerns a connect, otherwise -1
+	Try   int // index of the connect within the flow
 	Text  string
 	Value int64
 }
 
-// Flow is one connection asked for.
+// Flow is one request of a client for a connection.
 type Flow struct {
 	ID        string
 	Key       string
-	Type      int
+	Type      int    // index of its service type
 	Group     string // empty without one
-	Node      int
-	Zone      int
-	Timeout   int64 // how long its client waits
-	Again     bool
-	Stood     bool // at its host before the run
-	Crossed   bool // the host it was established at is in another zone than its node
+	Node      int    // index
+	Zone      int    // index
+	Timeout   int64  // how long its client waits for an answer
+	Again     bool   // its client was connected before
+	Stood     bool   // it was established before the run began
+	Crossed   bool   // the host where it was established is in another zone than its node
 	Events    []Event
-	Receipts  []string // that hosts gave for it
+	Receipts  []string // receipts that hosts gave for it
 	Connects  int
-	Host      int // established at; -1 else
+	Host      int // index of the host where it was established, otherwise -1
 	Load      float64
-	LifeLeft  int64 // that its client wanted still
-	Establish int64 // from Asked to Answered; 0 until then
+	LifeLeft  int64 // how much longer its client wanted the connection
+	Establish int64 // duration of the set-up, from the client's line to the answer; 0 until then
 }
 
-// Add puts an event to the flow's timeline.
+// Add adds an event to the flow's timeline.
 func (f *Flow) Add(e Event) { f.Events = append(f.Events, e) }
 
-// Find is the first event of a kind, or nil.
+// Find returns the first event of a kind, or nil.
 func (f *Flow) Find(k Kind) *Event {
 	for i := range f.Events {
 		if f.Events[i].Kind == k {
@@ -82,7 +86,8 @@
 	return nil
 }
 
-// Answer is established, rejected, aborted or, where none came, what became of the flow.
+// Answer returns the node's answer and its time: established, rejected or aborted. Without an answer it returns what
+// happened instead: cut, left or killed, unreached if the node took no connection, or none.
 func (f *Flow) Answer() (word string, at int64) {
 	asked := false
 	for _, e := range f.Events {
@@ -99,7 +104,7 @@
 			return "aborted", e.At
 		case Cut:
 			if !asked {
-				return "unreached", e.At // its node took no connection
+				return "unreached", e.At
 			}
 			return "cut", e.At
 		case Left:
@@ -111,7 +116,7 @@
 	return "none", 0
 }
 
-// Timeline is the flow's story, a line an event.
+// Timeline returns the flow's events as text, one a line.
 func (f *Flow) Timeline(hosts []Host) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "flow %s type %d node n-%d key %s, waits %d ms\n", f.ID, f.Type, f.Node, f.Key, f.Timeout/1000)
@@ -131,73 +136,75 @@
 	return b.String()
 }
 
-// Host is what became of a host.
+// Host is what happened to a host.
 type Host struct {
 	Name   string
 	Zone   int
-	FellAt int64 // 0: it did not fall over
-	Most   float64
+	FellAt int64   // when it was overloaded while cold; 0 if it was not
+	Most   float64 // its worst interval while cold, as a multiple of what it can do
 
-	ColdSent int       // connects that came to it while it was cold, and
-	ColdMay  float64   // what the rule would have let pass since its last start
-	Load     []float64 // over capacity, by second
+	ColdSent int       // connects that it got while it was cold
+	ColdMay  float64   // connects that the rule would have allowed since its last start
+	Load     []float64 // load over capacity, by second
 }
 
-// Told is that a node was told that a host drains or is gone, or that it is up again.
+// Told says that a node has learned that a host drains or is gone, or that it is up again.
 type Told struct {
 	Node, Host int
 	At         int64
 	Up         bool
-	Restart    bool // told by the list it started with
+	Restart    bool // by the list that the node started with
 }
 
-// Still is that a node's process was stopped for a while and then went on; To is 0 while it has not.
+// Still is an interval in which a node's process was stopped. To is 0 until it goes on.
 type Still struct {
 	Node     int
 	From, To int64
 }
 
-// BadClient is one that keeps no protocol, and what it was given.
+// BadClient is a client that violates the protocol, with what it was given.
 type BadClient struct {
 	Kind       string
 	Node       int
 	At         int64 // when it connected
-	Within     int64 // it is owed an error or a close
-	AnsweredAt int64 // 0: neither
-	Excused    bool  // its node died, or the run ended before
+	Within     int64 // the node has to send an error or close within this duration
+	AnsweredAt int64 // when it did; 0 if it did not
+	Excused    bool  // its node died, or the run ended, before
 	Served     bool  // it was given what only a flow is given
 }
 
-// Type is what a service type asks for.
+// Type is a service type with its requirements.
 type Type struct {
 	Name                     string
-	Target, Timeout, Message int64
+	Target, Timeout, Message int64 // setup target, connect timeout and message target
 	Benefit                  float64
 	Effect, Scope            string
 	Window                   int64
 }
 
-// Second is service in one second of a run, by type: benefit asked for and served.
+// Second holds the benefit requested and served in one second of a run, by service type.
 type Second struct {
 	Wanted, Served []float64
 }
 
-// Counts are of a whole run.
+// Counts are the counts of a whole run. Wishes are the connections that clients want, Tries their requests with retries,
+// Breaks established flows that were closed without a MOVE, Wasted set-ups whose result nobody used, and Falls cold hosts
+// that were overloaded.
 type Counts struct {
 	Wishes, Tries, Connects, Probes, Moves, Breaks, Crossings, Wasted, Falls int
 	Events                                                                   uint64
-	Unsent                                                                   int     // connects of nodes that never came up; in virtual time only
+	Unsent                                                                   int     // connects that failed before they were sent; in virtual time only
 	Datagrams, DatagramBytes                                                 int     // between nodes
 	Work, WorkWasted                                                         float64 // of hosts, core-microseconds
 }
 
-// Run is one rehearsal.
+// Run is the record of one rehearsal.
 type Run struct {
 	Script     string
 	Seed       uint64
 	Length     int64
-	Multiple   float64 // of what it can do, that pushes a cold host over
-	Grace      int64
+	Multiple   float64 // load that overloads a cold host, as a multiple of what it can do
+	Grace      int64   // time in which a node may still use a host after learning that it drains
 	Types      []Type
 	Hosts      []Host
 	Flows      []*Flow
@@ -206,17 +213,17 @@
 	Stills     []Still
 	Seconds    []Second
 	Counts     Counts
-	Void       string // why a live run says nothing; empty where it does
-	Notes      []string
-	Late       string  // how late the machine was; live runs only
-	Waited     float64 // of the nodes' time, for a core; live runs only
-	NodePanics int
-	NodeCPU    []float64 // seconds that each node's last process has used; live runs only
-	Strange    []string  // what hosts were sent that no client sent
+	Void       string    // why a live run is void; empty if it is valid
+	Notes      []string  // unexpected ends of nodes
+	Late       string    // how late the machine was; live runs only
+	Waited     float64   // share of the nodes' time in which they waited for a core; live runs only
+	NodePanics int       // panics that nodes counted or died of
+	NodeCPU    []float64 // CPU seconds of each node's last process; live runs only
+	Strange    []string  // lines that hosts received and no client sent
 }
 
-// Answers writes the final answers, a line a flow in the order of asking: id, type, node, connects with host, outcome
-// and milliseconds, answer, when it came.
+// Answers writes the final answers, one flow a line in the order of the requests: id, service type, node, time of the
+// request, connects with host, outcome and duration, answer, time of the answer. Times are milliseconds.
 func (r *Run) Answers(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	for _, f := range r.Flows {
@@ -234,6 +241,7 @@
 	return b.Flush()
 }
 
+// attempt is one connect of a flow.
 type attempt struct {
 	host     int
 	outcome  string
@@ -241,7 +249,7 @@
 	duration int64
 }
 
-// attempts are the connects with how each came out: the first thing that settled it.
+// attempts returns the connects in order. The first event that decides a connect is its outcome; it is open before.
 func (f *Flow) attempts() []attempt {
 	var all []attempt
 	settled := map[int]bool{}
@@ -273,22 +281,22 @@
 	return all
 }
 
-// Figures sum a run up.
+// Figures are the summary of a run.
 type Figures struct {
-	Service    float64 // benefit served over benefit asked for
-	Worst10    float64 // of any ten seconds on end
-	WorstType  float64
-	ByType     []float64
-	Answers    map[string]int
-	Setups     [][]int64 // by type, sorted: microseconds from the line to UP
-	LateShare  []float64 // by type: set up after the target, of those set up
-	PerFlow    float64   // connects a flow
-	ProbesFlow float64
-	Crossings  float64 // a flow
-	Moves      float64 // a flow
+	Service    float64        // benefit served over benefit requested
+	Worst10    float64        // lowest service of any ten seconds in a row
+	WorstType  float64        // lowest service of a service type
+	ByType     []float64      // service by service type
+	Answers    map[string]int // flows by their answer, as Flow.Answer returns it
+	Setups     [][]int64      // sorted durations from the client's line to UP, by service type
+	LateShare  []float64      // share of the set-ups that took longer than the target, by service type
+	PerFlow    float64        // connects a flow
+	ProbesFlow float64        // probes a flow
+	Crossings  float64        // crossings between zones a flow
+	Moves      float64        // moves a flow
 }
 
-// Sum computes a run's figures.
+// Sum computes the summary of a run.
 func (r *Run) Sum() Figures {
 	s := Figures{Answers: map[string]int{}, Setups: make([][]int64, len(r.Types)), LateShare: make([]float64, len(r.Types))}
 	wanted, served := make([]float64, len(r.Types)), make([]float64, len(r.Types))
@@ -305,7 +313,7 @@
 		s.WorstType = min(s.WorstType, v)
 	}
 	s.Service = ratio(sum(served), sum(wanted))
-	const window = 10
+	const window = 10 // seconds
 	if len(r.Seconds) < window {
 		s.Worst10 = s.Service
 	}
@@ -336,7 +344,7 @@
 	return s
 }
 
-// Quantile is of sorted values; 0 where there are none.
+// Quantile returns a quantile of sorted values, or 0 if there are none.
 func Quantile[T cmp.Ordered](sorted []T, q float64) (v T) {
 	if len(sorted) == 0 {
 		return v
@@ -344,11 +352,12 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-func ratio(x, of float64) float64 {
-	if of == 0 {
+// ratio returns the share of a part in a whole, or 1 if the whole is 0.
+func ratio(part, whole float64) float64 {
+	if whole == 0 {
 		return 1
 	}
-	return x / of
+	return part / whole
 }
 
 func sum(all []float64) (total float64) {
--- a/rehearsal/replay/clients.go
+++ b/rehearsal/replay/clients.go
@@ -1,5 +1,5 @@
-// Package replay turns captures of nodes into the demand of a script: clients put together over their retries, breaks
-// and moves.
+// Package replay turns captures of nodes into the demand of a script. It combines the flows of each client over its retries,
+// disconnects and moves.
 package replay
 
 import (
@@ -9,55 +9,88 @@
 	"coursewinch/capture"
 )
 
-// Client is one client as captures of all nodes show it, over its retries, breaks and moves: what it wanted, from when
-// to when.
+// Client is one client as the captures of all nodes show it, over its retries, disconnects and moves.
 type Client struct {
-	At    int64 // microseconds since the earliest capture's start
+	At    int64 // start, in microseconds since the start of the earliest capture
 	Type  string
-	Zone  int // of the node it came to first
+	Zone  int // zone of the node that it connected to first
 	Group string
 	Key   string
-	Loads []capture.Load // as told, microseconds after its start
-	Life  int64          // how long it wanted its connection
-	Flows int
+	Loads []capture.Load // its reported loads, in microseconds after its start
+	Life  int64          // how long it wanted a connection, in microseconds
+	Flows int            // number of its flows
 }
 
-const sameClientWithin = 10_000_000 // a key that comes again so soon is the same client's
+// sameClientWithin is the time in microseconds within which a key that comes again belongs to the same client.
+const sameClientWithin = 10_000_000
 
-// Clients puts the flows of captures together by key. Where a client never stood, or its end is not in the capture, it
-// is given the mean life of its type, or stays until the capture's end, whichever it shows.
+// clientPart is one flow of a client, in times since the start of the earliest capture.
+type clientPart struct {
+	flow  capture.Flow
+	zone  int
+	from  int64
+	to    int64 // when the client no longer had the connection
+	open  bool  // its end is not in the capture
+	loads []capture.Load
+	shift int64 // start of its capture
+	done  bool  // the client closed it, or the host said BYE
+}
+
+// Clients returns the clients of captures, whose flows are combined by key, in the order of their starts. A client that was
+// never established gets the mean life of its service type. A client whose end is not in the captures stays until their end.
 func Clients(all []*capture.Capture) []Client {
-	type part struct {
-		flow  capture.Flow
-		zone  int
-		from  int64
-		to    int64 // when its client had no more of it
-		open  bool  // it had not ended
-		loads []capture.Load
-		shift int64
-		stay  bool // its client left of itself, or the host said BYE
-	}
 	if len(all) == 0 {
 		return nil
 	}
+	keys, byKey, last := partsByKey(all)
+	var clients []Client
+	var lifeKnown []bool          // by client
+	lives := map[string][]int64{} // by service type, of clients whose end was seen
+	for _, key := range keys {
+		parts := byKey[key]
+		slices.SortStableFunc(parts, func(x, y clientPart) int { return cmp.Compare(x.from, y.from) })
+		for len(parts) > 0 {
+			c, known, done := combineParts(key, parts, last)
+			parts = parts[c.Flows:]
+			if done {
+				lives[c.Type] = append(lives[c.Type], c.Life)
+			}
+			lifeKnown = append(lifeKnown, known)
+			clients = append(clients, c)
+		}
+	}
+	for i := range clients {
+		if seen := lives[clients[i].Type]; !lifeKnown[i] && len(seen) > 0 {
+			total := int64(0)
+			for _, l := range seen {
+				total += l
+			}
+			clients[i].Life = total / int64(len(seen))
+		}
+	}
+	slices.SortStableFunc(clients, func(x, y Client) int { return cmp.Compare(x.At, y.At) })
+	return clients
+}
+
+// partsByKey returns all flows by the key of their client, the keys in the order in which they are found, and the time of
+// the last record.
+func partsByKey(all []*capture.Capture) (keys []string, byKey map[string][]clientPart, last int64) {
 	begin := all[0].At
 	for _, c := range all {
 		begin = min(begin, c.At)
 	}
-	byKey := map[string][]part{}
-	var keys []string
-	last := int64(0)
+	byKey = map[string][]clientPart{}
 	for _, c := range all {
 		shift := c.At - begin
 		last = max(last, c.Last+shift)
 		for _, f := range c.Flows {
-			p := part{flow: f, zone: c.Zone, from: f.At + shift, to: f.At + f.Took + shift}
+			p := clientPart{flow: f, zone: c.Zone, from: f.At + shift, to: f.At + f.Took + shift}
 			if f.Answer == capture.Established {
 				e, ended := c.Ends[f.No]
 				p.open = !ended
 				if ended {
 					p.to = e.At + shift
-					p.stay = e.How == capture.Completed || e.How == capture.Gone
+					p.done = e.How == capture.Completed || e.How == capture.Gone
 				}
 			}
 			p.loads, p.shift = c.Loads[f.No], shift
@@ -67,45 +100,29 @@
 			byKey[f.Key] = append(byKey[f.Key], p)
 		}
 	}
-	var clients []Client
-	known := map[int]bool{} // by client, whether its life was seen
-	lives := map[string][]int64{}
-	for _, key := range keys {
-		parts := byKey[key]
-		slices.SortStableFunc(parts, func(x, y part) int { return cmp.Compare(x.from, y.from) })
-		for i := 0; i < len(parts); {
-			p := parts[i]
-			c := Client{At: p.from, Type: p.flow.Type, Zone: p.zone, Group: p.flow.Group, Key: key}
-			end, stood, open, stay := p.to, false, false, false
-			for ; i < len(parts) && (c.Flows == 0 || parts[i].from-end < sameClientWithin && !stay); i++ {
-				q := parts[i]
-				c.Flows++
-				end, open, stay = max(end, q.to), q.open, q.stay
-				stood = stood || q.flow.Answer == capture.Established
-				for _, l := range q.loads {
-					c.Loads = append(c.Loads, capture.Load{At: max(l.At+q.shift-c.At, 0), Load: l.Load})
-				}
-			}
-			if open {
-				end = last
-			}
-			c.Life = end - c.At
-			if known[len(clients)] = stay; stay {
-				lives[c.Type] = append(lives[c.Type], c.Life)
-			}
-			known[len(clients)] = stay || open || stood
-			clients = append(clients, c)
+	return keys, byKey, last
+}
+
+// combineParts returns the client of the first parts of a key, as many as belong to the same client. Its life is known
+// unless it was never established, and it is done if its end was seen.
+func combineParts(key string, parts []clientPart, last int64) (c Client, known, done bool) {
+	first := parts[0]
+	c = Client{At: first.from, Type: first.flow.Type, Zone: first.zone, Group: first.flow.Group, Key: key}
+	end, established, open := first.to, false, false
+	for _, p := range parts {
+		if c.Flows > 0 && (p.from-end >= sameClientWithin || done) {
+			break
 		}
-	}
-	for i := range clients {
-		if seen := lives[clients[i].Type]; !known[i] && len(seen) > 0 {
-			total := int64(0)
-			for _, l := range seen {
-				total += l
-			}
-			clients[i].Life = total / int64(len(seen))
+		c.Flows++
+		end, open, done = max(end, p.to), p.open, p.done
+		established = established || p.flow.Answer == capture.Established
+		for _, l := range p.loads {
+			c.Loads = append(c.Loads, capture.Load{At: max(l.At+p.shift-c.At, 0), Load: l.Load})
 		}
 	}
-	slices.SortStableFunc(clients, func(x, y Client) int { return cmp.Compare(x.At, y.At) })
-	return clients
+	if open {
+		end = last
+	}
+	c.Life = end - c.At
+	return c, done || open || established, done
 }
--- a/rehearsal/replay/replay_test.go
+++ b/rehearsal/replay/replay_test.go
@@ -6,7 +6,8 @@
 	"coursewinch/capture"
 )
 
-// TestClients puts a client together that was refused, stood, broke, came again at another node and left.
+// TestClients combines the flows of a client that was rejected, then established, lost its connection, reconnected to another
+// node and left. It also checks clients whose end is unknown, that were never established, or that return much later.
 func TestClients(t *testing.T) {
 	const s = 1_000_000
 	one := &capture.Capture{Start: capture.Start{Node: "n-0", At: 100 * s}, Last: 60 * s,
@@ -25,17 +26,17 @@
 	if len(all) != 4 {
 		t.Fatalf("%d clients: %+v", len(all), all)
 	}
-	a, open, never, later := all[0], all[1], all[2], all[3]
-	if a.At != 1*s || a.Life != 9*s || a.Flows != 3 || a.Zone != 0 || len(a.Loads) != 2 || a.Loads[1].At != 3*s {
-		t.Errorf("the one that came three times: %+v", a)
+	combined, open, never, later := all[0], all[1], all[2], all[3]
+	if combined.At != 1*s || combined.Life != 9*s || combined.Flows != 3 || combined.Zone != 0 || len(combined.Loads) != 2 || combined.Loads[1].At != 3*s {
+		t.Errorf("client with three flows: %+v", combined)
 	}
 	if open.Life != 58*s {
-		t.Errorf("the one that still stood: %+v", open)
+		t.Errorf("client whose end is not in the capture: %+v", open)
 	}
-	if want := (a.Life + later.Life) / 2; never.Life != want {
-		t.Errorf("the one that never stood wants %d, not the mean of its type, %d", never.Life, want)
+	if want := (combined.Life + later.Life) / 2; never.Life != want {
+		t.Errorf("client that was never established: life %d, mean of its type %d", never.Life, want)
 	}
 	if later.At != 40*s || later.Life != 5*s {
-		t.Errorf("the same key long after: %+v", later)
+		t.Errorf("client with a known key, long after: %+v", later)
 	}
 }
--- a/rehearsal/replay/script.go
+++ b/rehearsal/replay/script.go
@@ -8,52 +8,53 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// ToScript turns captures into the demand of a script: the fleet, its clients' ways and its faults stay as the script
-// has them, and begins at a moment of the captures, microseconds after the first began. It gives what was left out and why, a line each.
-func ToScript(all []*capture.Capture, s *scenario.Script, from int64) (recorded []scenario.Recorded, left []string) {
-	usual := 1e6 / s.Fleet.PerCore
-	unknown := map[string]int{}
+// ToScript turns captures into the demand of a script, whose fleet, client behaviour and faults stay. The demand begins at a
+// time of the captures, in microseconds after the start of the first one. It also returns what was omitted and why, one
+// line each.
+func ToScript(all []*capture.Capture, s *scenario.Script, begin int64) (recorded []scenario.Recorded, omitted []string) {
+	loadUnit := 1e6 / s.Fleet.PerCore // reported load of one usual flow
+	unknown := map[string]int{}       // flows by service types that the script does not have
 	before := 0
 	for _, c := range Clients(all) {
-		typ := s.TypeNo(c.Type)
-		if typ < 0 {
+		typeIndex := s.TypeNo(c.Type)
+		if typeIndex < 0 {
 			unknown[c.Type]++
 			continue
 		}
-		if c.At+c.Life <= from {
+		if c.At+c.Life <= begin {
 			before++
 			continue
 		}
-		r := scenario.Recorded{At: scenario.Span(max(c.At-from, 0)), Type: typ, Zone: min(c.Zone, len(s.Zones)-1), Group: c.Group, Key: c.Key,
-			Life: scenario.Span(c.Life - max(from-c.At, 0))}
-		early := max(from-c.At, 0)
+		skipped := max(begin-c.At, 0) // of its life, before the demand begins
+		r := scenario.Recorded{At: scenario.Span(max(c.At-begin, 0)), Type: typeIndex, Zone: min(c.Zone, len(s.Zones)-1),
+			Group: c.Group, Key: c.Key, Life: scenario.Span(c.Life - skipped)}
 		for _, l := range c.Loads {
-			step := scenario.Step{After: scenario.Span(max(l.At-early, 0)), Load: max(l.Load/usual, 0.001)}
+			step := scenario.Step{After: scenario.Span(max(l.At-skipped, 0)), Load: max(l.Load/loadUnit, 0.001)}
 			if len(r.Loads) == 0 || step.After == 0 {
 				step.After, r.Loads = 0, r.Loads[:0]
 			}
 			r.Loads = append(r.Loads, step)
 		}
 		if len(r.Loads) == 0 {
-			r.Loads = []scenario.Step{{Load: s.Types[typ].Load}}
+			r.Loads = []scenario.Step{{Load: s.Types[typeIndex].Load}}
 		}
 		recorded = append(recorded, r)
 	}
 	for _, c := range all {
 		if c.Torn > 0 {
-			left = append(left, fmt.Sprintf("%s: %d damaged lines", c.Node, c.Torn))
+			omitted = append(omitted, fmt.Sprintf("%s: %d damaged lines", c.Node, c.Torn))
 		}
 	}
 	if before > 0 {
-		left = append(left, fmt.Sprintf("%d clients that had gone before the script begins", before))
+		omitted = append(omitted, fmt.Sprintf("%d clients that had gone before the script begins", before))
 	}
 	for name, n := range unknown {
-		left = append(left, fmt.Sprintf("%d flows of type %s, which the script does not have", n, name))
+		omitted = append(omitted, fmt.Sprintf("%d flows of type %s, which the script does not have", n, name))
 	}
-	return recorded, left
+	return recorded, omitted
 }
 
-// Names joins the nodes' names.
+// Names returns the names of the captures' nodes, separated by commas.
 func Names(all []*capture.Capture) string {
 	var names []string
 	for _, c := range all {
--- a/rehearsal/report/html.go
+++ b/rehearsal/report/html.go
@@ -16,17 +16,17 @@
 	"coursewinch/rehearsal/rules"
 )
 
-// Colours are for lines side by side, easy to tell apart also for colour-blind eyes.
+// Colours are the colours of lines in a plot. They can also be told apart by colour-blind readers.
 var Colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {230, 159, 0, 255}, {90, 90, 90, 255}, {0, 0, 0, 255}}
 
-// Series is one named line of a plot; Y has a value a second.
+// Series is one named line of a plot, with a value for each second.
 type Series struct {
 	Name string
 	Y    []float64
 }
 
-// SVG draws lines over seconds, as text that a page can hold.
+// SVG draws lines over the seconds of a run, as SVG text to embed into a page.
 func SVG(title, y string, all []Series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second", y
@@ -52,7 +52,7 @@
 	return Draw(p, 24*vg.Centimeter, 9*vg.Centimeter)
 }
 
-// Draw gives a plot as SVG text without the head of a file.
+// Draw returns a plot as SVG text without the XML header.
 func Draw(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	w, err := p.WriterTo(width, height, "svg")
 	if err != nil {
@@ -87,15 +87,16 @@
 </body></html>
 `))
 
+// typeRow is the row of a service type in the page's table.
 type typeRow struct {
 	Name    string
 	Service float64
 	Setup   Setup
 }
 
-// HTML writes a run as one page that opens without a network.
-func HTML(w io.Writer, r *record.Run, broken []rules.Breach) error {
-	sum := Of(r, broken)
+// HTML writes a run as one page that needs no other files.
+func HTML(w io.Writer, r *record.Run, breaches []rules.Breach) error {
+	sum := Of(r, breaches)
 	data := struct {
 		Sum    Sum
 		Types  []typeRow
@@ -105,9 +106,9 @@
 	for _, t := range r.Types {
 		data.Types = append(data.Types, typeRow{t.Name, sum.ByType[t.Name], sum.Setup[t.Name]})
 	}
-	for i, b := range broken {
-		if i == 20 {
-			data.Broken = append(data.Broken, fmt.Sprintf("and %d more", len(broken)-i))
+	for i, b := range breaches {
+		if i == maxPageBreaches {
+			data.Broken = append(data.Broken, fmt.Sprintf("and %d more", len(breaches)-i))
 			break
 		}
 		data.Broken = append(data.Broken, b.Report(r))
@@ -126,6 +127,7 @@
 	return pageTemplate.Execute(w, data)
 }
 
+// serviceSeries returns the share of the requested benefit that was served, of all service types and of each.
 func serviceSeries(r *record.Run) []Series {
 	all := []Series{{Name: "all"}}
 	for _, t := range r.Types {
@@ -142,21 +144,27 @@
 	return all
 }
 
-func ratio(x, of float64) float64 {
-	if of == 0 {
+// ratio returns the share of a part in a whole, or 1 if the whole is 0.
+func ratio(part, whole float64) float64 {
+	if whole == 0 {
 		return 1
 	}
-	return x / of
+	return part / whole
 }
 
-const maxPlottedHosts = 16 // lines of the plot; of more hosts, the most loaded
+const (
+	maxPageBreaches = 20
+	maxPlottedHosts = 16 // of more hosts, the most loaded ones are plotted
+	maxPlottedLoad  = 3  // load over capacity
+)
 
+// hostLoadSeries returns the load of hosts.
 func hostLoadSeries(r *record.Run) []Series {
 	var all []Series
 	for _, h := range r.Hosts {
 		load := make([]float64, len(h.Load))
 		for i, v := range h.Load {
-			load[i] = min(v, 3)
+			load[i] = min(v, maxPlottedLoad)
 		}
 		if len(load) > 0 {
 			all = append(all, Series{h.Name, load})
@@ -174,22 +182,23 @@
 	return all
 }
 
+// answerSeries returns how many flows had each outcome.
 func answerSeries(r *record.Run) []Series {
-	by := map[string][]float64{}
+	byOutcome := map[string][]float64{}
 	for _, f := range r.Flows {
 		word, at := f.Answer()
 		second := int(at / 1e6)
 		if at < 0 || second > int(r.Length/1e6) {
 			continue
 		}
-		if by[word] == nil {
-			by[word] = make([]float64, r.Length/1e6+1)
+		if byOutcome[word] == nil {
+			byOutcome[word] = make([]float64, r.Length/1e6+1)
 		}
-		by[word][second]++
+		byOutcome[word][second]++
 	}
 	var all []Series
 	for _, word := range outcomeOrder {
-		if y := by[word]; y != nil {
+		if y := byOutcome[word]; y != nil {
 			all = append(all, Series{word, y})
 		}
 	}
--- a/rehearsal/report/text.go
+++ b/rehearsal/report/text.go
@@ -1,4 +1,4 @@
-// Package report writes what a rehearsal came to, as text, JSON or a page.
+// Package report writes the results of a rehearsal as text, JSON or an HTML page.
 package report
 
 import (
@@ -14,7 +14,7 @@
 	"coursewinch/rehearsal/rules"
 )
 
-// Sum is a run's figures under the names that programs read.
+// Sum is the summary of a run, under the JSON names that programs read.
 type Sum struct {
 	Script    string             `json:"script"`
 	Seed      uint64             `json:"seed"`
@@ -37,16 +37,16 @@
 	Void      string             `json:"void,omitempty"`
 }
 
-// Setup is how long the set-ups of a service type took, in milliseconds, beside its target.
+// Setup holds how long the set-ups of a service type took, beside its target, in milliseconds.
 type Setup struct {
 	P50    float64 `json:"p50_ms"`
 	P99    float64 `json:"p99_ms"`
 	Target float64 `json:"target_ms"`
-	Late   float64 `json:"late_share"`
+	Late   float64 `json:"late_share"` // share of the set-ups over the target
 }
 
-// Of sums a run up.
-func Of(r *record.Run, broken []rules.Breach) Sum {
+// Of returns the summary of a run with the given breaches.
+func Of(r *record.Run, breaches []rules.Breach) Sum {
 	f := r.Sum()
 	s := Sum{Script: r.Script, Seed: r.Seed, Service: f.Service, Worst10: f.Worst10, WorstType: f.WorstType,
 		ByType: map[string]float64{}, Flows: len(r.Flows), Answers: f.Answers, Connects: f.PerFlow, Probes: f.ProbesFlow,
@@ -60,32 +60,40 @@
 	for _, cpu := range r.NodeCPU {
 		s.NodeCPU += cpu
 	}
-	for _, b := range broken {
+	for _, b := range breaches {
 		s.Breaches[string(b.Rule)]++
 	}
 	return s
 }
 
-// Hash is that of the final answers.
+// Hash returns the SHA-256 of the final answers, in hexadecimal.
 func Hash(r *record.Run) string {
 	h := sha256.New()
 	r.Answers(h)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// JSON writes the sum for programs.
-func JSON(w io.Writer, s any) error {
+// JSON writes a value as indented JSON.
+func JSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	return e.Encode(s)
+	return e.Encode(value)
 }
 
-// outcomeOrder are the answers in the order in which they are told.
+// outcomeOrder holds the outcomes of flows in the order of reports.
 var outcomeOrder = []string{"established", "rejected", "aborted", "unreached", "killed", "left", "cut", "none"}
 
-// Text writes a run for people: who was served where, how well, and what was broken.
-func Text(w io.Writer, r *record.Run, broken []rules.Breach) {
-	s := Of(r, broken)
+// Text writes a run for people: its service, where flows were established, and the breaches of rules.
+func Text(w io.Writer, r *record.Run, breaches []rules.Breach) {
+	s := Of(r, breaches)
+	writeSummary(w, r, s)
+	writePlacement(w, r)
+	writeRejections(w, r)
+	writeBreaches(w, r, breaches)
+}
+
+// writeSummary writes the figures of a run and of each service type.
+func writeSummary(w io.Writer, r *record.Run, s Sum) {
 	fmt.Fprintf(w, "%s, seed %d: %d flows in %.0f s\n", s.Script, s.Seed, s.Flows, float64(r.Length)/1e6)
 	if s.Void != "" {
 		fmt.Fprintf(w, "VOID: %s\n", s.Void)
@@ -110,46 +118,50 @@
 		fmt.Fprintf(w, "  %-16s %8.3f %7.1f ms %7.1f ms %7.0f ms %7.1f%%\n", t.Name, s.ByType[t.Name], u.P50, u.P99, u.Target,
 			u.Late*100)
 	}
-	writePlacement(w, r)
-	writeRejections(w, r)
-	if len(broken) == 0 {
+}
+
+// writeBreaches writes the breaches of rules, of each rule only the first ones in full.
+func writeBreaches(w io.Writer, r *record.Run, breaches []rules.Breach) {
+	if len(breaches) == 0 {
 		fmt.Fprintf(w, "\n  rules: all kept\n")
 	}
-	told := map[rules.Rule]int{}
-	for _, b := range broken {
-		if told[b.Rule]++; told[b.Rule] <= maxReportsPerRule {
+	count := map[rules.Rule]int{}
+	for _, b := range breaches {
+		if count[b.Rule]++; count[b.Rule] <= maxReportsPerRule {
 			fmt.Fprintf(w, "\n%s", b.Report(r))
 		}
 	}
 	for _, rule := range rules.All {
-		if n := told[rule]; n > maxReportsPerRule {
+		if n := count[rule]; n > maxReportsPerRule {
 			fmt.Fprintf(w, "and %d more of: %s\n", n-maxReportsPerRule, rule)
 		}
 	}
 }
 
-const maxListedNodes = 12 // that are told one by one
-
-const maxReportsPerRule = 3 // breaches of a rule that are told in full
+const (
+	maxListedNodes    = 12 // tables by node are left out for more nodes
+	maxReportsPerRule = 3  // breaches of a rule that are written in full
+)
 
-// writeRejections tells which node had how many flows and turned away how many of each service type, where any did.
+// writeRejections writes how many flows of each service type each node had and rejected, unless none was rejected, and what
+// the nodes sent each other.
 func writeRejections(w io.Writer, r *record.Run) {
-	type cell struct{ all, no int }
+	type cell struct{ flows, rejected int }
 	var cells [][]cell
-	any := false
+	anyRejected := false
 	for _, f := range r.Flows {
 		for len(cells) <= f.Node {
 			cells = append(cells, make([]cell, len(r.Types)))
 		}
 		word, _ := f.Answer()
 		c := &cells[f.Node][f.Type]
-		c.all++
+		c.flows++
 		if word == "rejected" {
-			c.no++
-			any = true
+			c.rejected++
+			anyRejected = true
 		}
 	}
-	if !any || len(cells) > maxListedNodes {
+	if !anyRejected || len(cells) > maxListedNodes {
 		return
 	}
 	fmt.Fprintf(w, "\n  %-10s", "turned away")
@@ -160,7 +172,8 @@
 	for n, row := range cells {
 		fmt.Fprintf(w, "  %-11s", fmt.Sprintf("n-%d", n))
 		for _, c := range row {
-			fmt.Fprintf(w, " %10d of %5d %4.0f%%", c.no, c.all, 100*float64(c.no)/float64(max(c.all, 1)))
+			fmt.Fprintf(w, " %10d of %5d %4.0f%%", c.rejected, c.flows,
+				100*float64(c.rejected)/float64(max(c.flows, 1)))
 		}
 		fmt.Fprintln(w)
 	}
@@ -171,7 +184,7 @@
 	}
 }
 
-// writePlacement tells which node sent how many flows to which host.
+// writePlacement writes how many flows each node established at each host, and the peak load of each host.
 func writePlacement(w io.Writer, r *record.Run) {
 	nodes := 0
 	for _, f := range r.Flows {
@@ -205,10 +218,10 @@
 	}
 }
 
-// writeColdHosts tells what hosts that came back were sent, where any did.
+// writeColdHosts writes how many connects cold hosts got, if any host came back.
 func writeColdHosts(w io.Writer, r *record.Run) {
-	if sent, may, worst := r.Cold(); may > 0 {
+	if sent, allowed, worst := r.Cold(); allowed > 0 {
 		fmt.Fprintf(w, "\n  cold hosts were sent %d connects, %.0f%% of what the rule allows; the worst stretch had %.2f of what pushes one over\n",
-			sent, 100*float64(sent)/may, worst)
+			sent, 100*float64(sent)/allowed, worst)
 	}
 }
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules checks a rehearsal's record against the rules that a node must keep: the four of the design, and the
-// protocol's own. It reads what happened and nothing that the node says of itself.
+// Package rules checks the record of a rehearsal against the rules that a node must keep: the four of the design and those
+// of the protocol. It uses only what happened, and nothing that nodes report of themselves.
 package rules
 
 import (
@@ -10,36 +10,48 @@
 	"coursewinch/rehearsal/record"
 )
 
-// Rule is one that can be broken.
+// Rule is a rule that a node must keep. The text is shown in reports.
 type Rule string
 
+// The rules that Check knows.
 const (
-	FinalAnswer    Rule = "one final answer"            // before the connect timeout, and nothing after it
-	SingleEffect   Rule = "no effect twice"             // nor two connects of a flow at once
-	DrainObserved  Rule = "drains kept"                 // nothing new to a host past the grace
-	ColdHostSpared Rule = "no cold host pushed"         // by all nodes together
-	NoDisconnect   Rule = "no cut without MOVE"         // of an established flow whose host still answers
-	PromptLines    Rule = "no line held back"           // for over a second
-	PromptClose    Rule = "ended flows end"             // within a second of their host's end, 7 s of its silence
-	ValidLines     Rule = "hosts can read it"           // lines go on as they came
-	BadClients     Rule = "bad clients are turned away" // with an error or a close, in time
-	ProcessRuns    Rule = "the node goes on"            // no crash, no panic
+	// FinalAnswer: a flow has exactly one answer, before the connect timeout.
+	FinalAnswer Rule = "one final answer"
+	// SingleEffect: no set-up runs twice that must not, and no flow has two open connects.
+	SingleEffect Rule = "no effect twice"
+	// DrainObserved: a draining host gets no new flows after the grace period.
+	DrainObserved Rule = "drains kept"
+	// ColdHostSpared: no cold host is overloaded by all nodes together.
+	ColdHostSpared Rule = "no cold host pushed"
+	// NoDisconnect: no established flow whose host still answers is closed without a MOVE.
+	NoDisconnect Rule = "no cut without MOVE"
+	// PromptLines: no line is delayed for over a second.
+	PromptLines Rule = "no line held back"
+	// PromptClose: a flow is closed within a second after its host has closed it, and 7 s after the host fell silent.
+	PromptClose Rule = "ended flows end"
+	// ValidLines: lines reach hosts as clients sent them.
+	ValidLines Rule = "hosts can read it"
+	// BadClients: clients that violate the protocol get an error or a close in time.
+	BadClients Rule = "bad clients are turned away"
+	// ProcessRuns: the node neither crashes nor panics.
+	ProcessRuns Rule = "the node goes on"
 )
 
-// All are the rules, in the order in which breaches are told.
-var All = []Rule{FinalAnswer, SingleEffect, DrainObserved, ColdHostSpared, NoDisconnect, PromptLines, PromptClose, ValidLines, BadClients, ProcessRuns}
+// All are the rules in the order of reports.
+var All = []Rule{FinalAnswer, SingleEffect, DrainObserved, ColdHostSpared, NoDisconnect, PromptLines, PromptClose, ValidLines,
+	BadClients, ProcessRuns}
 
-// TimeTolerance is what a run on sockets has besides each time limit, microseconds.
+// TimeTolerance is added to each time limit, for runs on real sockets, in microseconds.
 const TimeTolerance = 50_000
 
-// Breach is one rule broken once.
+// Breach is one breach of a rule.
 type Breach struct {
 	Rule Rule
-	Text string
-	Flow *record.Flow // nil where it is none's
+	Text string       // what happened
+	Flow *record.Flow // nil if it concerns no flow
 }
 
-// Report tells a breach with the timeline of its flow.
+// Report returns a breach as text, with the timeline of its flow.
 func (b Breach) Report(r *record.Run) string {
 	text := fmt.Sprintf("broken: %s: %s\n", b.Rule, b.Text)
 	if b.Flow != nil {
@@ -48,14 +60,14 @@
 	return text
 }
 
-// checker gathers breaches.
+// checker collects the breaches of a run.
 type checker struct {
 	run      *record.Run
-	notices  map[[2]int][]record.Told // by node and host, in order
+	notices  map[[2]int][]record.Told // by node and host, in order of time
 	breaches []Breach
 }
 
-// Check gives every breach of a run, by rule and then in the order of flows.
+// Check returns every breach of a run, by rule and then in the order of flows.
 func Check(r *record.Run) []Breach {
 	c := &checker{run: r, notices: map[[2]int][]record.Told{}}
 	for _, t := range r.Told {
@@ -89,18 +101,20 @@
 	return c.breaches
 }
 
-func (c *checker) add(rule Rule, f *record.Flow, what string, args ...any) {
-	c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf(what, args...), f})
+// add adds a breach. The flow may be nil.
+func (c *checker) add(rule Rule, f *record.Flow, format string, args ...any) {
+	c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf(format, args...), f})
 }
 
-// wasPaused tells whether a node's process was stopped at some moment between two; a stopped process can do nothing in time.
+// wasPaused tells whether a node's process was stopped at some time in an interval. A stopped process can do nothing in time.
 func (c *checker) wasPaused(node int, from, to int64) bool {
 	return slices.ContainsFunc(c.run.Stills, func(s record.Still) bool {
 		return s.Node == node && s.From <= to && (s.To == 0 || s.To+TimeTolerance >= from)
 	})
 }
 
-// answer: exactly one, in time. A flow whose client left first, or whose node was killed or stopped meanwhile, is excused.
+// checkAnswer checks that a flow has exactly one answer, in time. A flow is excused if its client left first, or if its node
+// was killed or stopped meanwhile.
 func (c *checker) checkAnswer(f *record.Flow) {
 	asked := f.Find(record.Asked)
 	if asked == nil {
@@ -139,22 +153,22 @@
 	}
 }
 
-// connectState is one connect as it went.
+// connectState is the state of one connect.
 type connectState struct {
 	host             int
 	sent, ended, ran int64
 	open             bool
-	mayHaveRun       bool // it may have run: the host has the whole line and did not turn it away
+	mayHaveRun       bool // the host has the whole line and did not reject it
 }
 
-// effect: no two connects out at once; nothing run twice that must not be.
+// checkEffect checks that a flow never has two open connects, and that no set-up runs twice that must not.
 func (c *checker) checkEffect(f *record.Flow) {
-	var all []connectState
-	at := func(e record.Event) *connectState {
-		for len(all) <= e.Try {
-			all = append(all, connectState{host: e.Host})
+	var connects []connectState
+	connectOf := func(e record.Event) *connectState {
+		for len(connects) <= e.Try {
+			connects = append(connects, connectState{host: e.Host})
 		}
-		return &all[e.Try]
+		return &connects[e.Try]
 	}
 	runs := 0
 	var first *connectState
@@ -162,24 +176,24 @@
 	for _, e := range f.Events {
 		switch e.Kind {
 		case record.Sent:
-			for i, o := range all {
-				if o.open && i != e.Try {
+			for i, other := range connects {
+				if other.open && i != e.Try {
 					c.add(SingleEffect, f, "connect %d is sent while connect %d is out", e.Try, i)
 				}
 			}
-			n := at(e)
+			n := connectOf(e)
 			n.sent, n.open, n.host = e.At, true, e.Host
 		case record.Stopped, record.Lost:
-			n := at(e)
+			n := connectOf(e)
 			n.open, n.ended = false, e.At
 		case record.Said:
 			if e.Text == "BUSY" {
-				at(e).mayHaveRun = false
+				connectOf(e).mayHaveRun = false
 			}
 		case record.Came:
-			at(e).mayHaveRun = true
+			connectOf(e).mayHaveRun = true
 		case record.Ran:
-			n := at(e)
+			n := connectOf(e)
 			n.ran = e.At
 			if runs++; runs == 1 {
 				first = &connectState{host: e.Host, ran: e.At, sent: n.sent}
@@ -187,45 +201,45 @@
 			}
 			c.checkSecondRun(f, t, *first, *n)
 		case record.Answered:
-			if strings.HasPrefix(e.Text, "BUSY") && runs > 0 && (t.Effect == "once-only" || t.Effect == "referenced" && t.Scope != "all") {
+			once := t.Effect == "once-only" || t.Effect == "referenced" && t.Scope != "all"
+			if strings.HasPrefix(e.Text, "BUSY") && runs > 0 && once {
 				c.add(SingleEffect, f, "rejected though it ran: its client may do it twice")
 			}
 		}
 	}
 }
 
-// checkSecondRun judges a second run.
-func (c *checker) checkSecondRun(f *record.Flow, t record.Type, first, n connectState) {
+// checkSecondRun checks whether the set-up of a flow was allowed to run a second time.
+func (c *checker) checkSecondRun(f *record.Flow, t record.Type, first, second connectState) {
 	switch t.Effect {
 	case "once-only":
-		c.add(SingleEffect, f, "ran at %s and again at %s", c.run.Hosts[first.host].Name, c.run.Hosts[n.host].Name)
+		c.add(SingleEffect, f, "ran at %s and again at %s", c.run.Hosts[first.host].Name, c.run.Hosts[second.host].Name)
 	case "referenced":
-		if t.Scope == "zone" && c.run.Hosts[first.host].Zone != c.run.Hosts[n.host].Zone {
+		if t.Scope == "zone" && c.run.Hosts[first.host].Zone != c.run.Hosts[second.host].Zone {
 			c.add(SingleEffect, f, "ran again in another zone than that which knows it")
-		} else if n.ran-first.ran > t.Window+TimeTolerance {
-			c.add(SingleEffect, f, "ran again %d ms after, when nobody remembers", (n.ran-first.ran)/1000)
+		} else if second.ran-first.ran > t.Window+TimeTolerance {
+			c.add(SingleEffect, f, "ran again %d ms after, when nobody remembers", (second.ran-first.ran)/1000)
 		}
 	}
 }
 
-// drain: nothing new to a host later than the grace after its node was told.
+// checkDrain checks that nothing new goes to a host later than the grace period after its node has learned of the drain.
 func (c *checker) checkDrain(f *record.Flow) {
 	for _, e := range f.Events {
 		if e.Kind != record.Sent {
 			continue
 		}
-		told := c.notices[[2]int{f.Node, e.Host}]
-		since := int64(-1)
-		for _, t := range told {
+		since := int64(-1) // when the node learned that the host leaves; below 0 if the host is up
+		for _, notice := range c.notices[[2]int{f.Node, e.Host}] {
 			switch {
-			case t.At > e.At:
-			case t.Up:
+			case notice.At > e.At:
+			case notice.Up:
 				since = -1
-			case since < 0 || t.Restart:
-				since = t.At
+			case since < 0 || notice.Restart:
+				since = notice.At
 				for _, s := range c.run.Stills {
 					if s.Node == f.Node && s.From <= since && since < s.To {
-						since = s.To // it was told while stopped
+						since = s.To // the node was stopped and could not know before
 					}
 				}
 			}
@@ -237,17 +251,18 @@
 	}
 }
 
-// protocol: what the sockets ask besides.
+// checkProtocol checks the other rules of the protocol: closes, delays and the form of lines.
 func (c *checker) checkProtocol(f *record.Flow) {
-	up, away := false, false // established; its host or its client has ended it, or its node died
+	established := false
+	ended := false // by its host or its client, by a MOVE, or with its node
 	for _, e := range f.Events {
 		switch e.Kind {
 		case record.Answered:
-			up = up || strings.HasPrefix(e.Text, "UP ")
+			established = established || strings.HasPrefix(e.Text, "UP ")
 		case record.Lost, record.Left, record.NodeKilled, record.Moved:
-			away = true
+			ended = true
 		case record.Cut:
-			if up && !away {
+			if established && !ended {
 				c.add(NoDisconnect, f, "cut off while its host still stood")
 			}
 		case record.Held:
@@ -270,6 +285,7 @@
 	}
 }
 
+// checkBadClient checks what a client got that violated the protocol.
 func (c *checker) checkBadClient(b record.BadClient) {
 	switch {
 	case b.Served:
--- a/rehearsal/rules/rules_test.go
+++ b/rehearsal/rules/rules_test.go
@@ -10,14 +10,15 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// rogue is a small node that keeps the rules but for the one that its mode breaks.
+// rogue is a small node that keeps all rules except the one that its mode breaks.
 type rogue struct {
 	world   *fleet.World
 	mode    string
-	pairs   map[*fleet.Conn]*pair // by either side
+	pairs   map[*fleet.Conn]*pair // by the connection of either side
 	crashed bool
 }
 
+// pair is a client's connection with the connection to a host.
 type pair struct {
 	client, host *fleet.Conn
 	line         string
@@ -47,19 +48,19 @@
 message_target = "60ms"
 `
 
-func (r *rogue) Start(no int, _ fleet.Conf)  { r.world.Ready(no) }
-func (r *rogue) Kill(int)                    {}
-func (r *rogue) Stop(int)                    {}
-func (r *rogue) Reload(int, fleet.Conf)      {}
-func (r *rogue) Starve(int, float64)         {}
-func (r *rogue) Listening(int, bool)         {}
-func (r *rogue) Datagram(int, int, []byte)   {}
-func (r *rogue) Pause(int, bool)             {}
-func (r *rogue) Twin(int, fleet.Conf, bool)  {}
-func (r *rogue) Clock(int, int64, float64)   {}
-func (r *rogue) Refused(c *fleet.Conn)       { r.finish(c) }
-func (r *rogue) Arrive(c *fleet.Conn) bool   { r.pairs[c] = &pair{client: c}; return true }
-func (r *rogue) after(us int64, what func()) { r.world.At(r.world.Now()+us, what) }
+func (r *rogue) Start(no int, _ fleet.Conf) { r.world.Ready(no) }
+func (r *rogue) Kill(int)                   {}
+func (r *rogue) Stop(int)                   {}
+func (r *rogue) Reload(int, fleet.Conf)     {}
+func (r *rogue) Starve(int, float64)        {}
+func (r *rogue) Listening(int, bool)        {}
+func (r *rogue) Datagram(int, int, []byte)  {}
+func (r *rogue) Pause(int, bool)            {}
+func (r *rogue) Twin(int, fleet.Conf, bool) {}
+func (r *rogue) Clock(int, int64, float64)  {}
+func (r *rogue) Refused(c *fleet.Conn)      { r.finish(c) }
+func (r *rogue) Arrive(c *fleet.Conn) bool  { r.pairs[c] = &pair{client: c}; return true }
+func (r *rogue) after(us int64, do func())  { r.world.At(r.world.Now()+us, do) }
 
 func (r *rogue) Bytes(c *fleet.Conn, b []byte) {
 	p := r.pairs[c]
@@ -67,7 +68,7 @@
 		return
 	}
 	if c == p.host {
-		r.fromHost(p, b)
+		r.handleHostBytes(p, b)
 		return
 	}
 	text := string(b)
@@ -87,6 +88,7 @@
 	}
 }
 
+// open handles a client's line according to the mode.
 func (r *rogue) open(p *pair) {
 	switch r.mode {
 	case "silent":
@@ -112,6 +114,7 @@
 	}
 }
 
+// dial connects a pair to a host.
 func (r *rogue) dial(p *pair, to string) {
 	p.host = r.world.Dialed(0, to, nil)
 	r.pairs[p.host] = p
@@ -124,8 +127,9 @@
 	}
 }
 
-func (r *rogue) fromHost(p *pair, b []byte) {
-	if !p.established && r.mode == "again" && p.connects == 1 { // it ran, and is sent elsewhere
+// handleHostBytes handles the answer of a host.
+func (r *rogue) handleHostBytes(p *pair, b []byte) {
+	if !p.established && r.mode == "again" && p.connects == 1 { // the set-up has run, and is sent to another host
 		r.world.Closed(p.host)
 		r.after(100_000, func() { r.dial(p, "host-1") })
 		return
@@ -150,6 +154,7 @@
 	}
 }
 
+// finish closes both connections of a pair when one side has ended.
 func (r *rogue) finish(c *fleet.Conn) {
 	p := r.pairs[c]
 	if p == nil {
@@ -174,6 +179,7 @@
 func (r *rogue) End(c *fleet.Conn)    { r.finish(c) }
 func (r *rogue) Broken(c *fleet.Conn) { r.finish(c) }
 
+// play plays the script against a rogue, with one text of the script replaced and another appended.
 func play(t *testing.T, mode, more string, from, to string) *record.Run {
 	t.Helper()
 	s, err := scenario.Parse("planted.toml", []byte(strings.Replace(script, from, to, 1)+more))
@@ -187,7 +193,8 @@
 	return r.world.Run()
 }
 
-// TestEachRuleFindsItsBreach breaks each rule once, by a node that does nothing else wrong, and wants that rule told and no other.
+// TestEachRuleFindsItsBreach breaks each rule with a node that does nothing else wrong, and checks that the breach is
+// reported.
 func TestEachRuleFindsItsBreach(t *testing.T) {
 	const crash = "\n[[faults]]\nat = \"2s\"\nkind = \"crash\"\nhosts = [\"h-0\"]\n"
 	for _, c := range []struct {
@@ -224,17 +231,17 @@
 			if b.Rule == c.rule {
 				found = true
 				if b.Flow != nil && !strings.Contains(b.Report(r), b.Flow.ID) {
-					t.Errorf("%s: the report does not tell the flow's story", c.mode)
+					t.Errorf("%s: the report does not show the flow's timeline", c.mode)
 				}
 			}
 		}
 		if !found {
-			t.Errorf("%s: %q is not told; %d other breaches", c.mode, c.rule, len(broken))
+			t.Errorf("%s: no breach of %q is reported; %d other breaches", c.mode, c.rule, len(broken))
 		}
 	}
 }
 
-// TestNoBreachOfCorrectNode guards against a checker that finds fault with everything.
+// TestNoBreachOfCorrectNode guards against a checker that reports breaches of a node that keeps all rules.
 func TestNoBreachOfCorrectNode(t *testing.T) {
 	r := play(t, "honest", "\n[[demand.bad]]\nat = \"1s\"\nfor = \"2s\"\nrate = 5.0\nkind = \"garbage\"\n", "", "")
 	for _, b := range rules.Check(r) {
--- a/rehearsal/trial/html.go
+++ b/rehearsal/trial/html.go
@@ -26,31 +26,33 @@
 <td class="bad">{{.Broken}}</td></tr>{{end}}</table>{{.Plot}}{{end}}</body></html>
 `))
 
+// row is the row of a variant in a table of the page.
 type row struct {
 	Result
 	Difference, Broken string
 }
 
+// section is the part of the page about one script.
 type section struct {
 	Name string
 	Rows []row
 	Plot template.HTML
 }
 
-// HTML writes an experiment as one page that opens without a network.
-func HTML(w io.Writer, cells []Result, seeds int) error {
+// HTML writes the results of an experiment as one page that needs no other files.
+func HTML(w io.Writer, results []Result, seeds int) error {
 	var all []section
-	for i := 0; i < len(cells); {
-		s := section{Name: cells[i].Script}
+	for i := 0; i < len(results); {
+		s := section{Name: results[i].Script}
 		from := i
-		for ; i < len(cells) && cells[i].Script == s.Name; i++ {
-			r := row{Result: cells[i], Broken: breachSummary(cells[i])}
-			if d, ok := cells[i].Diff["service"]; ok {
+		for ; i < len(results) && results[i].Script == s.Name; i++ {
+			r := row{Result: results[i], Broken: breachSummary(results[i])}
+			if d, ok := results[i].Diff["service"]; ok {
 				r.Difference = fmt.Sprintf("%+.3f (%+.3f to %+.3f)", d.Mean, d.Low, d.High)
 			}
 			s.Rows = append(s.Rows, r)
 		}
-		svg, err := serviceBoxPlot(cells[from:i])
+		svg, err := serviceBoxPlot(results[from:i])
 		if err != nil {
 			return err
 		}
@@ -63,17 +65,17 @@
 	}{seeds, all})
 }
 
-// serviceBoxPlot shows how service is spread over the seeds.
-func serviceBoxPlot(cells []Result) (template.HTML, error) {
+// serviceBoxPlot draws the distribution of service over the seeds, for each variant.
+func serviceBoxPlot(results []Result) (template.HTML, error) {
 	p := plot.New()
 	p.Y.Label.Text = "service"
 	var names []string
-	for i, c := range cells {
-		var v plotter.Values
+	for i, c := range results {
+		var services plotter.Values
 		for _, r := range c.Runs {
-			v = append(v, r.Service)
+			services = append(services, r.Service)
 		}
-		box, err := plotter.NewBoxPlot(vg.Points(18), float64(i), v)
+		box, err := plotter.NewBoxPlot(vg.Points(18), float64(i), services)
 		if err != nil {
 			return "", err
 		}
--- a/rehearsal/trial/sweep.go
+++ b/rehearsal/trial/sweep.go
@@ -17,38 +17,38 @@
 	"coursewinch/rehearsal/virtual"
 )
 
-// Sweep plays a script at several multiples of its demand and sizes of the fleet of nodes, the same hosts throughout.
+// Sweep plays a script at several multiples of its demand and with several numbers of nodes, always with the same hosts.
 type Sweep struct {
 	Script  string
 	Changes []string  // of the script, KEY=VALUE
-	Times   []float64 // of the script's rate
-	Nodes   []int     // a zone
+	Times   []float64 // multiples of the script's demand rate
+	Nodes   []int     // nodes in each zone
 	Seeds   int
-	Workers int // 0: one a core
+	Workers int // runs at the same time; 0 for one a core
 }
 
-// SweepResult is what a fleet did at one size and multiple: each figure is the median over the seeds, but for Spread, which is of
-// all seeds together, and Broken.
+// SweepResult holds the figures of a fleet at one size and multiple. Each is the median over the seeds, except
+// RejectionSpread, which is computed of all seeds together, and Breaches, which is a sum.
 type SweepResult struct {
 	Nodes                int     `json:"nodes"`
 	DemandFactor         float64 `json:"times"`
-	Goodput              float64 `json:"goodput"` // benefit served, in units of what the script's own rate asks for
-	BestGoodput          float64 `json:"best"`    // the same, of the best split that full knowledge could make
+	Goodput              float64 `json:"goodput"` // benefit served, in units of the benefit requested at the script's own rate
+	BestGoodput          float64 `json:"best"`    // the same for the best assignment that full knowledge allows
 	Worst10              float64 `json:"worst_10s"`
 	Rejected             float64 `json:"rejected"` // share of answers
-	RejectionSpread      float64 `json:"spread"`   // of the share rejected of one service type between nodes, p90 less p10, beyond chance
+	RejectionSpread      float64 `json:"spread"`   // of the share rejected of a service type between nodes: p90 less p10, beyond chance
 	EstablishedPerSecond float64 `json:"established_per_s"`
 	ConnectsPerFlow      float64 `json:"connects_per_flow"`
 	ProbesPerSecond      float64 `json:"probes_per_s"`
-	MeanHostLoad         float64 `json:"hosts_busy"` // hosts' load over what they can do: mean of the last half
-	MaxHostLoad          float64 `json:"hosts_top"`  // of the fullest host: mean of the last half
+	MeanHostLoad         float64 `json:"hosts_busy"` // load over capacity, mean of all hosts in the second half of a run
+	MaxHostLoad          float64 `json:"hosts_top"`  // load over capacity of the most loaded host, mean of the second half of a run
 	rejectionVariances   []float64
-	Breaches             int `json:"broken"` // rules, over all seeds
+	Breaches             int `json:"broken"` // of rules, over all seeds
 }
 
-// Run plays the sweep, in parallel over cores. The result does not depend on how many.
+// Run plays the sweep with several workers. The result does not depend on their number.
 func (p Sweep) Run() ([]SweepResult, error) {
-	type job struct{ cell, seed int }
+	type job struct{ result, seed int }
 	var all []SweepResult
 	for _, n := range p.Nodes {
 		for _, t := range p.Times {
@@ -60,15 +60,15 @@
 		runs[i] = make([]SweepResult, p.Seeds)
 	}
 	jobs, errs := make(chan job), make([]error, len(all)*p.Seeds)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	workers := p.Workers
 	if workers == 0 {
 		workers = runtime.NumCPU()
 	}
 	for range workers {
-		wait.Go(func() {
+		wg.Go(func() {
 			for j := range jobs {
-				errs[j.cell*p.Seeds+j.seed] = p.play(&runs[j.cell][j.seed], all[j.cell], uint64(j.seed+1))
+				errs[j.result*p.Seeds+j.seed] = p.play(&runs[j.result][j.seed], all[j.result], uint64(j.seed+1))
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 		}
 	}
 	close(jobs)
-	wait.Wait()
+	wg.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return nil, err
@@ -90,6 +90,7 @@
 	return all, nil
 }
 
+// play plays the script once, at one size and multiple, and stores the figures of the run.
 func (p Sweep) play(to *SweepResult, at SweepResult, seed uint64) error {
 	s, err := scenario.LoadWith(p.Script, p.Changes)
 	if err != nil {
@@ -108,27 +109,29 @@
 	return nil
 }
 
-// measure sums up a run at so many times the usual demand.
-func measure(s *scenario.Script, r *record.Run, times float64) (l SweepResult) {
+// measure returns the figures of a run at a multiple of the script's demand.
+func measure(s *scenario.Script, r *record.Run, factor float64) (l SweepResult) {
 	f, unit := r.Sum(), 0.0
 	for _, sec := range r.Seconds {
 		wanted := make([]float64, len(s.Types))
 		for t, k := range s.Types {
 			wanted[t] = sec.Wanted[t] / k.Benefit
-			unit += sec.Wanted[t] / times
+			unit += sec.Wanted[t] / factor
 			l.Goodput += sec.Served[t]
 		}
 		l.BestGoodput += fleet.Best(s, wanted)
 	}
 	unit = max(unit, 1e-9)
-	l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10 = times, l.Goodput/unit, l.BestGoodput/unit, f.Worst10
+	l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10 = factor, l.Goodput/unit, l.BestGoodput/unit, f.Worst10
 	answers := 0
 	for _, v := range f.Answers {
 		answers += v
 	}
 	seconds := float64(r.Length) / 1e6
 	l.Rejected = float64(f.Answers["rejected"]+f.Answers["aborted"]) / float64(max(answers, 1))
-	l.EstablishedPerSecond, l.ConnectsPerFlow, l.ProbesPerSecond = float64(f.Answers["established"])/seconds, f.PerFlow, float64(r.Counts.Probes)/seconds
+	l.EstablishedPerSecond = float64(f.Answers["established"]) / seconds
+	l.ConnectsPerFlow = f.PerFlow
+	l.ProbesPerSecond = float64(r.Counts.Probes) / seconds
 	l.rejectionVariances = rejectionVariances(r)
 	for _, h := range r.Hosts {
 		sum, n := 0.0, 0.0
@@ -142,16 +145,18 @@
 	return l
 }
 
-// leastAnswers of a node and type: fewer say nothing of the share that it rejects.
-const deviationsP10ToP90 = 2.56 // standard deviations
-
-const minAnswers = 20
+const (
+	// deviationsP10ToP90 is the distance from p10 to p90 of a normal distribution, in standard deviations.
+	deviationsP10ToP90 = 2.56
+	// minAnswers is the number of answers of a node and service type below which the share that it rejects says nothing.
+	minAnswers = 20
+)
 
-// rejectionVariances is by how much nodes differ in what share of each service type they reject: the variance, less what so few flows
-// a node differ by chance alone. Of one run it may be under 0.
+// rejectionVariances returns, by service type, the variance between nodes of the share of flows that they reject, less the
+// variance that so few flows of a node have by chance. It may be below 0 for one run.
 func rejectionVariances(r *record.Run) []float64 {
-	spread := make([]float64, len(r.Types))
-	type cell struct{ all, no float64 }
+	variances := make([]float64, len(r.Types))
+	type cell struct{ flows, rejected float64 }
 	cells := map[[2]int]*cell{}
 	for _, f := range r.Flows {
 		word, _ := f.Answer()
@@ -160,33 +165,34 @@
 			c = &cell{}
 			cells[[2]int{f.Type, f.Node}] = c
 		}
-		if c.all++; word == "rejected" {
-			c.no++
+		if c.flows++; word == "rejected" {
+			c.rejected++
 		}
 	}
 	for t := range r.Types {
 		var shares []float64
-		all, no, parts := 0.0, 0.0, 0.0
-		for at, c := range cells {
-			if at[0] == t && c.all >= minAnswers {
-				shares, parts = append(shares, c.no/c.all), parts+1/c.all
-				all, no = all+c.all, no+c.no
+		flows, rejected, reciprocals := 0.0, 0.0, 0.0
+		for key, c := range cells {
+			if key[0] == t && c.flows >= minAnswers {
+				shares, reciprocals = append(shares, c.rejected/c.flows), reciprocals+1/c.flows
+				flows, rejected = flows+c.flows, rejected+c.rejected
 			}
 		}
 		if len(shares) < 2 {
 			continue
 		}
-		slices.Sort(shares) // so that a sum is the same every time
-		p, n := no/all, float64(len(shares))
-		chance := p * (1 - p) * parts / n
-		spread[t] = stat.Variance(shares, nil) - chance
+		slices.Sort(shares) // the sum in the variance must not depend on the order of the map
+		p, n := rejected/flows, float64(len(shares))
+		chance := p * (1 - p) * reciprocals / n
+		variances[t] = stat.Variance(shares, nil) - chance
 	}
-	return spread
+	return variances
 }
 
+// medianResult returns the medians of the runs at one size and multiple, with the spread and the breaches of all runs.
 func medianResult(l SweepResult, runs []SweepResult) SweepResult {
 	l.Nodes = runs[0].Nodes
-	of := func(get func(*SweepResult) *float64) {
+	setMedian := func(get func(*SweepResult) *float64) {
 		var all []float64
 		for i := range runs {
 			all = append(all, *get(&runs[i]))
@@ -200,7 +206,7 @@
 		func(l *SweepResult) *float64 { return &l.RejectionSpread }, func(l *SweepResult) *float64 { return &l.EstablishedPerSecond },
 		func(l *SweepResult) *float64 { return &l.ConnectsPerFlow }, func(l *SweepResult) *float64 { return &l.ProbesPerSecond },
 		func(l *SweepResult) *float64 { return &l.MeanHostLoad }, func(l *SweepResult) *float64 { return &l.MaxHostLoad }} {
-		of(get)
+		setMedian(get)
 	}
 	for t := range runs[0].rejectionVariances {
 		sum := 0.0
@@ -215,14 +221,14 @@
 	return l
 }
 
-// SweepText writes a sweep for people.
+// SweepText writes the results of a sweep for people, as a table.
 func SweepText(w io.Writer, all []SweepResult) {
 	fmt.Fprintf(w, "%6s %6s %8s %8s %8s %9s %7s %8s %9s %8s %7s %7s %7s\n", "nodes", "times", "goodput", "best", "worst10s",
 		"rejected", "spread", "up a s", "connects", "probes", "busy", "top", "broken")
 	for _, l := range all {
 		fmt.Fprintf(w, "%6d %6g %8.3f %8.3f %8.3f %8.1f%% %7.3f %8.1f %9.2f %8.1f %6.0f%% %6.0f%% %7d\n",
-			l.Nodes, l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10, l.Rejected*100, l.RejectionSpread, l.EstablishedPerSecond, l.ConnectsPerFlow, l.ProbesPerSecond,
-			l.MeanHostLoad*100, l.MaxHostLoad*100, l.Breaches)
+			l.Nodes, l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10, l.Rejected*100, l.RejectionSpread,
+			l.EstablishedPerSecond, l.ConnectsPerFlow, l.ProbesPerSecond, l.MeanHostLoad*100, l.MaxHostLoad*100, l.Breaches)
 	}
 	fmt.Fprintln(w, "goodput and best in units of what the script's own rate asks for; medians over the seeds")
 }
--- a/rehearsal/trial/text.go
+++ b/rehearsal/trial/text.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Text writes an experiment as a table a script.
-func Text(w io.Writer, cells []Result, seeds int) {
-	width := 8
-	for _, c := range cells {
+// Text writes the results of an experiment for people, as one table for each script.
+func Text(w io.Writer, results []Result, seeds int) {
+	width := 8 // of the first column
+	for _, c := range results {
 		width = max(width, len(c.Variant))
 	}
 	script := ""
-	for _, c := range cells {
+	for _, c := range results {
 		if c.Script != script {
 			script = c.Script
 			fmt.Fprintf(w, "\n%s, %d seeds\n  %-*s %8s %26s %9s %9s %9s %9s %7s %7s %8s  %s\n", script, seeds, width, "",
@@ -29,14 +29,15 @@
 	}
 }
 
+// breachSummary returns the broken rules of a result, each with the number of its breaches.
 func breachSummary(c Result) string {
-	var names []string
+	var broken []string
 	for rule := range c.Breaches {
-		names = append(names, rule)
+		broken = append(broken, rule)
 	}
-	slices.Sort(names)
+	slices.Sort(broken)
 	text := ""
-	for i, rule := range names {
+	for i, rule := range broken {
 		if i > 0 {
 			text += ", "
 		}
--- a/rehearsal/trial/trial.go
+++ b/rehearsal/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial plays scripts over many seeds with several builds, settings or baselines, paired by seed, and says by
-// how much they differ and how sure that is.
+// Package trial runs experiments. It plays scripts over many seeds with several builds, settings or baselines, compares them
+// seed by seed, and computes how much they differ, with confidence intervals.
 package trial
 
 import (
@@ -25,15 +25,15 @@
 	"coursewinch/rehearsal/virtual"
 )
 
-// Variant is one of what is compared.
+// Variant is one of the alternatives that an experiment compares.
 type Variant struct {
 	Name     string
-	Baseline string   // a baseline in place of the module
-	Program  string   // another build of rehearse
+	Baseline string   // name of a baseline that replaces the balancer
+	Program  string   // another build of the command rehearse
 	Changes  []string // of the script, KEY=VALUE
 }
 
-// ParseVariant reads module, baseline:NAME, build:PROGRAM or set:KEY=VALUE[;KEY=VALUE]; a name and @ may stand before.
+// ParseVariant parses module, baseline:NAME, build:PROGRAM or set:KEY=VALUE[;KEY=VALUE], with an optional name and @ in front.
 func ParseVariant(text string) (Variant, error) {
 	v := Variant{Name: text}
 	if name, rest, ok := strings.Cut(text, "@"); ok && name != "" && !strings.ContainsAny(name, ":=/") {
@@ -60,7 +60,7 @@
 	return v, nil
 }
 
-// play plays one script once.
+// play plays a script once and returns the summary of the run.
 func (v Variant) play(script string, seed uint64) (report.Sum, error) {
 	if v.Program != "" {
 		return v.playBuild(script, seed)
@@ -82,49 +82,50 @@
 	return report.Of(r, rules.Check(r)), nil
 }
 
-// playBuild asks another build; a broken rule (exit code 2) still has figures.
+// playBuild plays a script with another build of the command. A run with breaches (exit code 2) has figures too.
 func (v Variant) playBuild(script string, seed uint64) (sum report.Sum, err error) {
 	c := exec.Command(v.Program, "play", script, "--json", "--seed", strconv.FormatUint(seed, 10))
-	var out, bad bytes.Buffer
-	c.Stdout, c.Stderr = &out, &bad
+	var out, errOut bytes.Buffer
+	c.Stdout, c.Stderr = &out, &errOut
 	runErr := c.Run()
 	if err := json.Unmarshal(out.Bytes(), &sum); err != nil {
-		return sum, fmt.Errorf("%s: %w: %s", v.Program, errors.Join(runErr, err), strings.TrimSpace(bad.String()))
+		return sum, fmt.Errorf("%s: %w: %s", v.Program, errors.Join(runErr, err), strings.TrimSpace(errOut.String()))
 	}
 	return sum, nil
 }
 
-// Plan is an experiment. The first variant is what the others are compared with.
+// Plan is an experiment. The other variants are compared with the first one.
 type Plan struct {
 	Scripts  []string
 	Variants []Variant
 	Seeds    int
-	First    uint64 // seed
-	Workers  int    // 0: one a core
+	First    uint64 // first seed
+	Workers  int    // runs at the same time; 0 for one a core
 	Progress func(done, all int)
 }
 
-// Result is a variant on a script, over all seeds.
+// Result holds the runs of a variant on a script, over all seeds.
 type Result struct {
 	Script   string                  `json:"script"`
 	Variant  string                  `json:"variant"`
 	Runs     []report.Sum            `json:"-"`
 	Mean     map[string]float64      `json:"mean"`
-	Diff     map[string]Interval     `json:"diff,omitempty"` // from the first variant
+	Diff     map[string]Interval     `json:"diff,omitempty"` // from the first variant, by seed
 	Breaches map[string]int          `json:"breaches"`
 	Setup    map[string]report.Setup `json:"setup"` // means over the seeds
 }
 
-// Interval is a mean difference and where it lies with 95 % confidence, by bootstrap over the seeds.
+// Interval is a mean difference with its 95 % confidence interval, by bootstrap over the seeds.
 type Interval struct {
 	Mean float64 `json:"mean"`
 	Low  float64 `json:"low"`
 	High float64 `json:"high"`
 }
 
-// MetricNames are what is compared, in order.
+// MetricNames are the names of the compared figures, in order.
 var MetricNames = []string{"service", "worst_10s", "worst_type", "connects", "crossings", "moves", "breaks", "rejected"}
 
+// metricValues returns the figures of a run by their names.
 func metricValues(s report.Sum) map[string]float64 {
 	n := float64(max(s.Flows, 1))
 	return map[string]float64{"service": s.Service, "worst_10s": s.Worst10, "worst_type": s.WorstType, "connects": s.Connects,
@@ -132,22 +133,23 @@
 		"rejected": float64(s.Answers["rejected"]+s.Answers["aborted"]) / n}
 }
 
-// Run plays the plan, in parallel over cores. The result does not depend on how many.
+// Run plays the experiment with several workers. The result does not depend on their number. It fails with the first error of
+// a run.
 func (p Plan) Run() ([]Result, error) {
-	cells := make([]Result, 0, len(p.Scripts)*len(p.Variants))
+	results := make([]Result, 0, len(p.Scripts)*len(p.Variants))
 	for _, s := range p.Scripts {
 		for _, v := range p.Variants {
-			cells = append(cells, Result{Script: s, Variant: v.Name, Runs: make([]report.Sum, p.Seeds)})
+			results = append(results, Result{Script: s, Variant: v.Name, Runs: make([]report.Sum, p.Seeds)})
 		}
 	}
 	workers := p.Workers
 	if workers == 0 {
 		workers = runtime.NumCPU()
 	}
-	type job struct{ cell, seed int }
+	type job struct{ result, seed int }
 	jobs := make(chan job)
-	var mu sync.Mutex
-	var failed error
+	var mu sync.Mutex // guards results, firstErr and done
+	var firstErr error
 	var wg sync.WaitGroup
 	done := 0
 	for range workers {
@@ -155,42 +157,42 @@
 		go func() {
 			defer wg.Done()
 			for j := range jobs {
-				sum, err := p.Variants[j.cell%len(p.Variants)].play(cells[j.cell].Script, p.First+uint64(j.seed))
+				sum, err := p.Variants[j.result%len(p.Variants)].play(results[j.result].Script, p.First+uint64(j.seed))
 				mu.Lock()
-				cells[j.cell].Runs[j.seed] = sum
-				if failed == nil && err != nil {
-					failed = fmt.Errorf("%s on %s: %w", cells[j.cell].Variant, cells[j.cell].Script, err)
+				results[j.result].Runs[j.seed] = sum
+				if firstErr == nil && err != nil {
+					firstErr = fmt.Errorf("%s on %s: %w", results[j.result].Variant, results[j.result].Script, err)
 				}
 				done++
 				if p.Progress != nil {
-					p.Progress(done, len(cells)*p.Seeds)
+					p.Progress(done, len(results)*p.Seeds)
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	for seed := range p.Seeds { // all variants of a seed early, so that what fails fails soon
-		for c := range cells {
+	for seed := range p.Seeds { // seed by seed, so that a variant that fails does so early
+		for r := range results {
 			mu.Lock()
-			stop := failed != nil
+			stop := firstErr != nil
 			mu.Unlock()
 			if !stop {
-				jobs <- job{c, seed}
+				jobs <- job{r, seed}
 			}
 		}
 	}
 	close(jobs)
 	wg.Wait()
-	if failed != nil {
-		return nil, failed
+	if firstErr != nil {
+		return nil, firstErr
 	}
-	for i := range cells {
-		cells[i].sum(&cells[i-i%len(p.Variants)])
+	for i := range results {
+		results[i].sum(&results[i-i%len(p.Variants)])
 	}
-	return cells, nil
+	return results, nil
 }
 
-// sum computes a cell's means and its differences from the first variant on the same script.
+// sum computes the means of a result and its differences from the first variant on the same script.
 func (c *Result) sum(first *Result) {
 	c.Mean, c.Breaches, c.Setup = map[string]float64{}, map[string]int{}, map[string]report.Setup{}
 	n := float64(len(c.Runs))
@@ -222,16 +224,17 @@
 
 const bootstrapResamples = 2000
 
-// Bootstrap gives the mean and its 95 % interval. The same values give the same interval.
+// Bootstrap returns the mean of values and its 95 % confidence interval. Its random source has a fixed seed, so that the same
+// values give the same interval.
 func Bootstrap(values []float64) Interval {
 	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
 	means := make([]float64, bootstrapResamples)
-	again := make([]float64, len(values))
+	resample := make([]float64, len(values))
 	for i := range means {
-		for j := range again {
-			again[j] = values[rng.IntN(len(values))]
+		for j := range resample {
+			resample[j] = values[rng.IntN(len(values))]
 		}
-		means[i] = stat.Mean(again, nil)
+		means[i] = stat.Mean(resample, nil)
 	}
 	slices.Sort(means)
 	return Interval{stat.Mean(values, nil), stat.Quantile(0.025, stat.Empirical, means, nil),
