--- a/rehearsal/live/cluster_test.go
+++ b/rehearsal/live/cluster_test.go
@@ -12,46 +12,48 @@
 	"coursewinch/rehearsal/virtual"
 )
 
-// nodeMetrics are the figures of all nodes, by second and node.
+// nodeMetrics holds the metrics of all nodes, by second and node. The mutex guards the map.
 type nodeMetrics struct {
 	sync.Mutex
 	bySecond map[int64][]map[string]float64
 }
 
-// minServed is what has to be served of the best that full knowledge could make, from one second on up to another.
+// minServed is the least share of the best possible benefit that has to be served from one second up to another.
 type minServed struct {
 	from, to int
 	share    float64
 }
 
-// checkServed checks a run against what has to be served, and what cold hosts are sent: a quarter of what the rule allows at least,
-// and never what pushes one over.
+// checkServed checks what a run serves. Cold hosts must get at least a quarter of the connects that the rule allows, and never
+// as many as overload one.
 func checkServed(t *testing.T, where string, s *scenario.Script, r *record.Run, want []minServed) {
 	t.Helper()
 	for _, l := range want {
 		if got := shareOfBest(s, r, l.from, l.to); got < l.share {
-			t.Errorf("%s: %.2f of the best is served from second %d to %d, at least %.2f", where, got, l.from, l.to, l.share)
+			t.Errorf("%s: %.2f of the best is served from second %d to %d, at least %.2f expected", where, got, l.from, l.to, l.share)
 		} else {
 			t.Logf("%s: %.2f of the best from second %d to %d", where, got, l.from, l.to)
 		}
 	}
-	if sent, may, worst := r.Cold(); worst > 1 || float64(sent) < 0.25*may {
-		t.Errorf("%s: cold hosts were sent %d connects of %.0f, the worst stretch had %.2f of what pushes one over", where, sent, may, worst)
-	} else if may > 0 {
-		t.Logf("%s: cold hosts: %d connects of %.0f, worst stretch %.2f", where, sent, may, worst)
+	if sent, allowed, worst := r.Cold(); worst > 1 || float64(sent) < 0.25*allowed {
+		t.Errorf("%s: cold hosts got %d connects of %.0f allowed, the worst interval had %.2f of what overloads one", where, sent,
+			allowed, worst)
+	} else if allowed > 0 {
+		t.Logf("%s: cold hosts got %d connects of %.0f allowed, worst interval %.2f", where, sent, allowed, worst)
 	}
 }
 
-// virtualSeeds is how many plays of a script in virtual time stand beside the one of processes. Guards what is served where
-// the machine starves the processes, and their run says nothing.
+// virtualSeeds is the number of runs of a script in virtual time beside the one with processes. They check what is served
+// also where the machine starves the processes, so that their run is void.
 const virtualSeeds = 3
 
-// playOverload plays ten times the usual demand against processes that talk, with faults between them. What is asserted of them
-// rests on hosts that answer a millisecond late being taken for full ones: a rig that is as late itself shows nothing, and
-// neither do nodes that have no core a tenth of the time.
+// playOverload plays ten times the usual demand against processes with links, with faults between them. The checks rely on
+// nodes taking hosts that answer a millisecond late for saturated ones. A run shows nothing if the events of the fleet are as
+// late themselves, or if nodes have no core for a tenth of their time.
 func playOverload(t *testing.T, nodes int, want []minServed, changes ...string) (*record.Run, *nodeMetrics) {
 	t.Helper()
-	s, err := scenario.LoadWith("fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\"", "length=\"24s\""}, changes...))
+	s, err := scenario.LoadWith("fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\"",
+		"length=\"24s\""}, changes...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,21 +67,22 @@
 		}
 		checkServed(t, fmt.Sprintf("in virtual time, seed %d", seed+1), s, r, want)
 	}
-	w := &nodeMetrics{bySecond: map[int64][]map[string]float64{}}
-	r := playLive(t, s, Options{Program: program, MaxDelayP99: 1000, MaxCPUWaitShare: 0.1, OnSecond: func(at int64, metrics func(int) map[string]float64) {
+	seen := &nodeMetrics{bySecond: map[int64][]map[string]float64{}}
+	onSecond := func(at int64, metrics func(int) map[string]float64) {
 		var all []map[string]float64
 		for no := range nodes {
 			all = append(all, metrics(no))
 		}
-		w.Lock()
-		defer w.Unlock()
-		w.bySecond[at/1_000_000] = all
-	}})
+		seen.Lock()
+		defer seen.Unlock()
+		seen.bySecond[at/1_000_000] = all
+	}
+	r := playLive(t, s, Options{Program: program, MaxDelayP99: 1000, MaxCPUWaitShare: 0.1, OnSecond: onSecond})
 	checkServed(t, "live, "+r.Late, s, r, want)
-	return r, w
+	return r, seen
 }
 
-// shareOfBest is what was served of the best that full knowledge could make, from one second on up to another.
+// shareOfBest returns the benefit served over the best that full knowledge allows, from one second up to another.
 func shareOfBest(s *scenario.Script, r *record.Run, from, to int) float64 {
 	served, best := 0.0, 0.0
 	for _, sec := range r.Seconds[from:to] {
@@ -93,7 +96,8 @@
 	return served / best
 }
 
-// eachNode calls for the figures of all nodes in a second; one that didn't answer is left out.
+// eachNode calls a function for the metrics of each node in a second. Nodes that did not answer are left out; the others are
+// counted.
 func (w *nodeMetrics) eachNode(second int64, do func(no int, m map[string]float64)) (answered int) {
 	w.Lock()
 	defer w.Unlock()
@@ -106,18 +110,19 @@
 	return answered
 }
 
-// TestFleetCutInTwo: six processes in overload, their links cut in two, whole again, then losing four in ten datagrams.
+// TestPartitionedLinks plays six processes in overload whose links are split in two, whole again, and then lose four of ten
+// datagrams.
 func TestPartitionedLinks(t *testing.T) {
 	r, w := playOverload(t, 6, []minServed{{16, 21, 0.5}, {23, 30, 0.6}}, "nodes.0.count=2", "nodes.1.count=2", "nodes.2.count=2",
 		"length=\"30s\"", `faults=[{at="15s",kind="link_split",parts=2,for="6s"},{at="24s",kind="link_loss",share=1.0,size=0.4,for="4s"}]`)
-	// While four in ten datagrams are lost, a link may be down by chance: it wants one of some six each way within 1.4 s.
+	// While four of ten datagrams are lost, a link may be down by chance: it needs one of about six each way within 1.4 s.
 	for second, linked := range map[int64][2]float64{13: {5, 5}, 19: {2, 2}, 23: {5, 5}, 27: {2, 5}, 30: {5, 5}} {
 		n := w.eachNode(second, func(no int, m map[string]float64) {
 			if v := m["cluster_linked"]; v < linked[0] || v > linked[1] {
-				t.Errorf("second %d: n-%d is linked with %v others, not %v", second, no, v, linked)
+				t.Errorf("second %d: n-%d is linked with %v other nodes, expected %v", second, no, v, linked)
 			}
 			if old, most := m["cluster_oldest_ms"], m["cluster_young_ms"]; old > most {
-				t.Errorf("second %d: n-%d counts a word of %v ms, bound %v", second, no, old, most)
+				t.Errorf("second %d: n-%d uses a message %v ms old, at most %v", second, no, old, most)
 			}
 		})
 		if n < 5 {
@@ -126,11 +131,11 @@
 	}
 	w.eachNode(27, func(no int, m map[string]float64) {
 		if m["overload_shed"] < 50 {
-			t.Errorf("n-%d shed %v flows of ten times the demand", no, m["overload_shed"])
+			t.Errorf("n-%d rejected only %v flows at ten times the demand", no, m["overload_shed"])
 		}
 		for _, bad := range []string{"short", "foreign", "version", "bent", "stranger", "nonsense"} {
 			if m["cluster_dropped."+bad] != 0 {
-				t.Errorf("n-%d dropped %v as %s", no, m["cluster_dropped."+bad], bad)
+				t.Errorf("n-%d dropped %v datagrams as %s", no, m["cluster_dropped."+bad], bad)
 			}
 		}
 	})
@@ -139,9 +144,9 @@
 	}
 }
 
-// TestFleetOfTrouble: five processes in overload; two are stopped for 3 s and wake together, one is killed and back with
-// nothing known, a second process runs under one's name, one's words are nonsense, and datagrams come bent, twice, mixed
-// up and again.
+// TestNodePausesAndCorruptedDatagrams plays five processes in overload. Two are paused for 3 s and resume together, one is
+// killed and restarts without state, a second process runs under the name of one, one sends false reports, and datagrams are
+// corrupted, duplicated, reordered and replayed.
 func TestNodePausesAndCorruptedDatagrams(t *testing.T) {
 	_, w := playOverload(t, 5, []minServed{{18, 24, 0.6}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=2",
 		`faults=[{at="7s",kind="node_pause",nodes=["n-1","n-2"],for="3s"},{at="8s",kind="link_liar",nodes=["n-0"],for="5s"},
@@ -150,30 +155,30 @@
 		{at="8s",kind="link_twice",share=1.0,size=0.3,for="6s"},{at="8s",kind="link_mixed",share=1.0,size=0.3,for="6s"}]`)
 	if n := w.eachNode(22, func(no int, m map[string]float64) {
 		if m["cluster_linked"] != 4 {
-			t.Errorf("n-%d is linked with %v others at the end", no, m["cluster_linked"])
+			t.Errorf("n-%d is linked with %v other nodes at the end", no, m["cluster_linked"])
 		}
 		if m["cluster_dropped.bent"]+m["cluster_dropped.short"]+m["cluster_dropped.foreign"]+m["cluster_dropped.version"] == 0 || m["cluster_dropped.replayed"] == 0 {
-			t.Errorf("n-%d dropped nothing as bent or replayed: %v", no, m)
+			t.Errorf("n-%d dropped no datagrams as corrupted or replayed: %v", no, m)
 		}
 	}); n < 5 {
 		t.Errorf("%d nodes answered at the end", n)
 	}
 }
 
-// TestFleetOfLosses: six processes in overload, one of them with five times the others' traffic; one is heard by none, a
-// third of the hosts dies and is back cold, then every client comes again within a second.
+// TestHostLossAndMassReconnect plays six processes in overload, of which one has five times the traffic of the others. The
+// datagrams of one are lost, then a third of the hosts dies and comes back cold, then every client reconnects within a second.
 func TestHostLossAndMassReconnect(t *testing.T) {
-	// Live 0.50 to 0.69 and 0.42 to 0.60 seen; 0.62 to 0.73 and 0.60 to 0.74 without grants for cold hosts.
+	// Live runs serve 0.50 to 0.69 and 0.42 to 0.60 of the best, without grants for cold hosts 0.62 to 0.73 and 0.60 to 0.74.
 	r, w := playOverload(t, 6, []minServed{{21, 27, 0.35}, {31, 36, 0.35}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=3", "demand.skew={north=1.0,port=0.4,town=0.6}",
 		"length=\"36s\"", `cluster.limits=[{over="cold",promise="strict"}]`, `faults=[{at="14s",kind="link_mute",nodes=["n-2"],for="5s"},{at="20s",kind="crash",count=4,for="3s"},
 		{at="28s",kind="reconnect",size=1.0,for="1s"}]`)
 	if n := w.eachNode(18, func(no int, m map[string]float64) {
-		want := 4.0 // none of the others can show that the mute one is heard, and it sees that it isn't
+		want := 4.0 // the silent node has no link: it sees that it is not received, and no other node can show that it is
 		if no == 2 {
 			want = 0
 		}
 		if m["cluster_linked"] != want {
-			t.Errorf("n-%d is linked with %v others while n-2 is mute, not %v", no, m["cluster_linked"], want)
+			t.Errorf("n-%d is linked with %v other nodes while n-2 is silent, expected %v", no, m["cluster_linked"], want)
 		}
 	}); n < 5 {
 		t.Errorf("%d nodes answered", n)
@@ -183,6 +188,6 @@
 		asked[f.Node]++
 	}
 	if asked[0] < 4*max(asked[1], asked[2], asked[3], asked[4], asked[5]) {
-		t.Errorf("flows asked of the nodes: %v", asked)
+		t.Errorf("flows requested of each node: %v", asked)
 	}
 }
--- a/rehearsal/live/limits_test.go
+++ b/rehearsal/live/limits_test.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	maxAnswerDelay = 60_000 // microseconds between the word for a flow and its answer
-	viewLimit      = 20     // of one type at once
+	maxAnswerDelay = 60_000 // microseconds between the permit for a flow and its answer
+	viewLimit      = 20     // concurrent flows of one service type
 	addressRate    = 20     // flows a second of one address
-	addressBurst   = 10
-	maxWaitForUse  = 0.1 // of the nodes' time, for a core: over this a fleet does less than it lets pass
+	addressBurst   = 10     // flows
+	maxWaitForUse  = 0.1    // share of the nodes' time spent waiting for a core, over which a fleet may not use its limits
 )
 
-// TestLimitOfProcesses: eight processes keep one limit over an address that loops; their links are cut in three, two are
-// killed and back, two stopped for longer than a lease, and a second process comes under one's name. The same in virtual
-// time, where no machine is short of cores. Available limits are played there alone, package virtual.
+// TestFleetLimitsOfProcesses lets eight processes together keep the limit of a looping address and that of a service type.
+// Their links are split in three, two are killed and restarted, two paused for longer than a lease, and a second process runs
+// under the name of one. The same is played in virtual time, where no machine lacks cores. Available limits are tested there
+// only, in package virtual.
 func TestFleetLimitsOfProcesses(t *testing.T) {
 	s, err := scenario.LoadWith("one-address", []string{"length=\"22s\"", "nodes=[{count=8}]", "node.sockets=1024", "cluster.on=true",
-		fmt.Sprintf("node.admission={rate=%d.0,burst=%d.0}", addressRate, addressBurst), `demand.loops=[{at="2s",for="20s",count=16,one_address=true,type="loop"}]`, "cluster.strict=true",
+		fmt.Sprintf("node.admission={rate=%d.0,burst=%d.0}", addressRate, addressBurst),
+		`demand.loops=[{at="2s",for="20s",count=16,one_address=true,type="loop"}]`, "cluster.strict=true",
 		fmt.Sprintf(`cluster.limits=[{over="type",of="view",at_once=%d,promise="strict"}]`, viewLimit),
 		`types=[{name="loop",share=0.001,setup_target="300ms",connect_timeout="1.8s",message_target="60ms"},
 		{name="view",setup_target="300ms",connect_timeout="1.8s",message_target="60ms"}]`,
@@ -44,18 +46,18 @@
 	checkLimits(t, "live, "+r.Late, r, r.Waited <= maxWaitForUse)
 }
 
-// keepsLimits: neither limit is passed, whatever fails, and, where the machine let the nodes run, both are used.
+// checkLimits checks that neither limit is exceeded, whatever fails. If the machine let the nodes run, both must be used.
 func checkLimits(t *testing.T, where string, r *record.Run, used bool) {
 	t.Helper()
 	var all []int64
 	for _, f := range r.Flows {
-		if word, at := f.Answer(); f.Load == 0.01 && word == "established" {
+		if outcome, at := f.Answer(); f.Load == 0.01 && outcome == "established" {
 			all = append(all, at)
 		}
 	}
 	views := r.AtOnce(maxAnswerDelay, func(f *record.Flow) string { return r.Types[f.Type].Name })["view"]
-	if views > viewLimit || used && views < viewLimit/2 { // with all that befalls it 16 seen
-		t.Errorf("%s: %d of a type at once, where %d are allowed", where, views, viewLimit)
+	if views > viewLimit || used && views < viewLimit/2 { // 16 are reached with all these faults
+		t.Errorf("%s: %d concurrent flows of a type, %d allowed", where, views, viewLimit)
 	}
 	l, most := limits.Limit{Rate: addressRate, Burst: addressBurst, Strict: true}, -1e9
 	for i := range all {
@@ -64,7 +66,7 @@
 		}
 	}
 	if most > 0 || used && len(all) < 150 {
-		t.Errorf("%s: %d let pass, %.1f over", where, len(all), most)
+		t.Errorf("%s: %d flows admitted, excess %.1f", where, len(all), most)
 	}
-	t.Logf("%s: %d of a type at once of %d; %d let pass in 20 s, %.1f over in the worst stretch", where, views, viewLimit, len(all), most)
+	t.Logf("%s: %d concurrent flows of a type of %d; %d admitted in 20 s, excess %.1f in the worst interval", where, views, viewLimit, len(all), most)
 }
--- a/rehearsal/live/links.go
+++ b/rehearsal/live/links.go
@@ -13,9 +13,9 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// relay carries what one node sends another: the sender knows the receiver by the relay's address. What comes goes
-// through the world, which does to it what the script says; what is let go leaves from the relay of the other direction,
-// since that is the address by which the receiver knows the sender.
+// relay forwards the datagrams of one node to another. The sender knows the receiver by the relay's address. The datagrams go
+// through the world, which applies the faults of the script. They are sent on from the relay of the opposite direction,
+// because the receiver knows the sender by its address.
 type relay struct {
 	player   *player
 	from, to int
@@ -23,13 +23,13 @@
 	addr     string
 }
 
-// openRelays makes a relay for each directed pair of nodes, and an address for each node to hear them at.
+// openRelays opens a relay for each ordered pair of nodes, and reserves an address for each node to receive on.
 func (p *player) openRelays() error {
 	n := len(p.nodes)
 	p.relays = make([][]*relay, n)
 	for from := range n {
 		p.relays[from] = make([]*relay, n)
-		addr, err := freeDatagramPort(loopbackIP(4, from))
+		addr, err := freeDatagramPort(loopbackIP(linkIP, from))
 		if err != nil {
 			return err
 		}
@@ -38,7 +38,7 @@
 			if to == from {
 				continue
 			}
-			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(loopbackIP(5, to))})
+			c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(loopbackIP(relayIP, to))})
 			if err != nil {
 				return err
 			}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// freeDatagramPort finds a port at an address that nothing uses.
+// freeDatagramPort finds a free UDP port at an IP address and returns both.
 func freeDatagramPort(ip string) (string, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ip)})
 	if err != nil {
@@ -65,17 +65,17 @@
 	return c.LocalAddr().String(), nil
 }
 
-// linkAddresses are a node's address for what others tell it, and where it reaches them, in order.
-func (p *player) linkAddresses(no int) (listen string, others []string) {
+// linkAddresses returns the address on which a node receives datagrams, and the addresses of the other nodes in order.
+func (p *player) linkAddresses(no int) (listen string, peers []string) {
 	for to, r := range p.relays[no] {
 		if to != no {
-			others = append(others, r.addr)
+			peers = append(peers, r.addr)
 		}
 	}
-	return p.nodes[no].linkAddr, others
+	return p.nodes[no].linkAddr, peers
 }
 
-// forward takes datagrams until the relay is closed.
+// forward hands received datagrams to the world until the relay is closed.
 func (r *relay) forward() {
 	b := make([]byte, 64<<10)
 	for {
@@ -84,13 +84,14 @@
 			if r.player.isDone() {
 				return
 			}
-			continue // the receiver is away
+			continue // the receiver does not listen
 		}
 		d := append([]byte(nil), b[:n]...)
 		r.player.post(func() { r.player.world.Told(r.from, r.to, d) })
 	}
 }
 
+// isDone tells whether the run has ended.
 func (p *player) isDone() bool {
 	select {
 	case <-p.done:
@@ -100,15 +101,15 @@
 	}
 }
 
-// Datagram lets go what a node sent another.
+// Datagram delivers a datagram of another node.
 func (p *player) Datagram(no, from int, d []byte) {
-	at, err := net.ResolveUDPAddr("udp4", p.nodes[no].linkAddr)
+	receiver, err := net.ResolveUDPAddr("udp4", p.nodes[no].linkAddr)
 	if err == nil {
-		p.relays[no][from].udp.WriteToUDP(d, at)
+		p.relays[no][from].udp.WriteToUDP(d, receiver)
 	}
 }
 
-// Pause stops a node's process and lets it go on.
+// Pause stops a node's process or lets it go on.
 func (p *player) Pause(no int, on bool) {
 	if on {
 		p.nodes[no].signal(syscall.SIGSTOP)
@@ -117,18 +118,19 @@
 	}
 }
 
-// Clock is for virtual time: a process's own clock can't be changed from outside.
+// Clock fails: a process's own clock cannot be changed from outside.
 func (p *player) Clock(int, int64, float64) {
 	p.fail(fmt.Errorf("clocks can be changed in virtual time only"))
 }
 
-// duplicateConfig is the file of a second process: it serves elsewhere, and has no address for operators.
+// duplicateConfig returns the configuration file of a second process. It listens on another address and has none for
+// operators.
 func (n *process) duplicateConfig(conf fleet.Conf, listen string) string {
 	text := strings.Replace(conf.JSON, strconv.Quote(conf.Listen), strconv.Quote(listen), 1)
 	return strings.Replace(text, `"admin":`+strconv.Quote(n.adminAddr)+",", "", 1)
 }
 
-// Twin starts or ends a second process under a node's name and at its address for links. It serves nobody.
+// Twin starts or ends a second process under a node's name and with its address for links. It has no clients.
 func (p *player) Twin(no int, conf fleet.Conf, on bool) {
 	n := p.nodes[no]
 	if t := n.duplicate; t != nil {
@@ -140,7 +142,7 @@
 		return
 	}
 	file := filepath.Join(p.folder, fmt.Sprintf("n-%d.twin.json", no))
-	addr, err := freePort(loopbackIP(6, no))
+	addr, err := freePort(loopbackIP(duplicateIP, no))
 	if err == nil {
 		err = os.WriteFile(file, []byte(n.duplicateConfig(conf, addr)), 0o600)
 	}
--- a/rehearsal/live/live.go
+++ b/rehearsal/live/live.go
@@ -1,6 +1,6 @@
 // Package live plays a rehearsal against real node processes on addresses of 127.0.0.0/8: the same script and the same
-// fleet model, behind real sockets and in real time. It says when the machine ran late; such a run is void and says
-// nothing of the node.
+// fleet model, behind real sockets and in real time. If the machine ran late, the run is void and shows nothing about the
+// node.
 package live
 
 import (
@@ -21,27 +21,47 @@
 )
 
 const (
-	leadTime         = int64(3_000_000) // for processes to start before the first client, microseconds
-	maxNodeHostPairs = 2048             // of a node and a host: each has a listener
-	maxDelayP99      = 10_000           // events of the fleet that ran later than this made the run void, microseconds
-	maxDelay         = 400_000
-	maxLateShare     = 0.1 // of all nodes' seconds, in which they were late by their own word: over this the run is void
-	maxCPUWaitShare  = 0.5 // of all nodes' time, in which they could have run and had no core: the same
+	leadTime         = int64(3_000_000) // microseconds before the first client, for processes to start
+	maxNodeHostPairs = 2048             // each pair of a node and a host has a listener
+
+	// spinMicros is the time before an event, in microseconds, in which the player spins instead of sleeping. Timers of the
+	// operating system are a millisecond late, and nodes judge hosts by shorter times.
+	spinMicros = 1500
+)
+
+// A run that exceeds one of these limits is void.
+const (
+	maxDelayP99     = 10_000  // p99 of the delays of the fleet's events, microseconds
+	maxDelay        = 400_000 // highest delay of an event of the fleet, microseconds
+	maxLateShare    = 0.1     // share of all nodes' seconds in which they reported that their loop was late
+	maxCPUWaitShare = 0.5     // share of all nodes' time in which they could have run and had no core
 )
 
-// Options are what a run may have besides its script.
+// Options are the settings of a run besides its script.
 type Options struct {
-	Seed            uint64
-	Program         string                                                  // of the node
-	Logs            string                                                  // folder for the nodes' logs; empty: a temporary one
-	testHook        func(*player)                                           // for tests: makes the machine late
-	OnSecond        func(at int64, metrics func(no int) map[string]float64) // called every second in a goroutine of its own; metrics are a node's, nil while it doesn't answer
-	Capture         string                                                  // folder for captures; empty: none are written
-	MaxDelayP99     int64                                                   // at 99 % of the fleet's events, microseconds, where less than usual makes the run void; 0: lateP99
-	MaxCPUWaitShare float64                                                 // of the nodes' time, for a core, where less than usual makes the run void; 0: waitsMost
+	// Seed replaces the script's seed unless it is 0.
+	Seed uint64
+	// Program is the path of the node's program.
+	Program string
+	// Logs is the folder for the nodes' files and logs. If it is empty, a temporary one is used.
+	Logs string
+	// testHook is called by tests before the run begins, to make the machine late.
+	testHook func(*player)
+	// OnSecond is called every second in a goroutine of its own, with the time of the run in microseconds. The function
+	// metrics reads the metrics of a node, and returns nil if the node does not answer.
+	OnSecond func(at int64, metrics func(no int) map[string]float64)
+	// Capture is the folder for captures. If it is empty, none are written.
+	Capture string
+	// MaxDelayP99 is the p99 of the delays of the fleet's events over which the run is void, in microseconds, for runs that
+	// need a stricter limit than usual. 0 stands for the usual limit.
+	MaxDelayP99 int64
+	// MaxCPUWaitShare is the share of the nodes' time spent waiting for a core over which the run is void, for runs that need
+	// a stricter limit than usual. 0 stands for the usual limit.
+	MaxCPUWaitShare float64
 }
 
-// player is the Nodes of a run. Its fields but for in belong to the goroutine that plays the world.
+// player implements fleet.Nodes with processes. All fields except tasks and done belong to the goroutine that plays the
+// world.
 type player struct {
 	world              *fleet.World
 	options            Options
@@ -49,17 +69,19 @@
 	nodes              []*process
 	hostListeners      [][]*listener // by node, then host
 	discoveryListeners [][2]*listener
-	relays             [][]*relay // by sender, then receiver; none where nodes have no links
-	tasks              chan func()
+	relays             [][]*relay  // by sender, then receiver; nil if nodes have no links
+	tasks              chan func() // for the goroutine that plays the world
 	startTime          time.Time
 	delays             *hdrhistogram.Histogram
 	lateReports        lateCounter
-	scriptStarves      bool // the script does so itself
+	scriptStarves      bool // the script itself starves nodes
 	err                error
 	done               chan struct{}
 }
 
-// Play plays a script to its end.
+// Play plays a script to its end and returns the record of the run. It fails if the script is too large or needs virtual time,
+// if an address, file or process cannot be had, or if not every node answers in time. If the machine ran late, Void of the
+// record says so.
 func Play(s *scenario.Script, opt Options) (*record.Run, error) {
 	if n := s.NodeCount() * s.HostCount(); n > maxNodeHostPairs {
 		return nil, fmt.Errorf("%d nodes and %d hosts are too many for one machine: %d pairs at most", s.NodeCount(),
@@ -67,7 +89,7 @@
 	}
 	for _, f := range s.Faults {
 		if f.Kind == "node_clock" || f.Kind == "node_rate" {
-			return nil, fmt.Errorf("%s: a process's own clock can't be changed from outside; play it in virtual time", f.Kind)
+			return nil, fmt.Errorf("%s: a process's own clock cannot be changed from outside; play it in virtual time", f.Kind)
 		}
 	}
 	if _, err := os.Stat(opt.Program); err != nil {
@@ -113,7 +135,7 @@
 	return run, p.err
 }
 
-// prepare makes the folder and reserves addresses.
+// prepare creates the folder and reserves addresses.
 func (p *player) prepare(s *scenario.Script) (err error) {
 	if p.folder = p.options.Logs; p.folder == "" {
 		p.folder, err = os.MkdirTemp("", "rehearse-")
@@ -124,34 +146,35 @@
 		return err
 	}
 	for n := range s.NodeCount() {
-		addr, err := freePort(loopbackIP(0, n))
+		addr, err := freePort(loopbackIP(nodeIP, n))
 		if err != nil {
 			return err
 		}
-		p.nodes = append(p.nodes, &process{player: p, index: n, addr: addr, configFile: filepath.Join(p.folder, fmt.Sprintf("n-%d.json", n)),
-			logFile: filepath.Join(p.folder, fmt.Sprintf("n-%d.log", n))})
+		p.nodes = append(p.nodes, &process{player: p, index: n, addr: addr,
+			configFile: filepath.Join(p.folder, fmt.Sprintf("n-%d.json", n)),
+			logFile:    filepath.Join(p.folder, fmt.Sprintf("n-%d.log", n))})
 		os.Remove(p.nodes[n].logFile)
-		if opt := p.options.OnSecond; opt != nil {
-			if p.nodes[n].adminAddr, err = freePort(loopbackIP(7, n)); err != nil {
+		if p.options.OnSecond != nil {
+			if p.nodes[n].adminAddr, err = freePort(loopbackIP(adminIP, n)); err != nil {
 				return err
 			}
 		}
-		var gates []*listener
+		var hosts []*listener
 		for h := range s.HostCount() {
-			g, err := newListener(p, n, loopbackIP(1, h))
+			g, err := newListener(p, n, loopbackIP(hostIP, h))
 			if err != nil {
 				return err
 			}
-			gates = append(gates, g)
+			hosts = append(hosts, g)
 		}
-		p.hostListeners = append(p.hostListeners, gates)
-		var both [2]*listener
-		for i := range both {
-			if both[i], err = newListener(p, n, loopbackIP(2, i)); err != nil {
+		p.hostListeners = append(p.hostListeners, hosts)
+		var discovery [2]*listener
+		for i := range discovery {
+			if discovery[i], err = newListener(p, n, loopbackIP(discoveryIP, i)); err != nil {
 				return err
 			}
 		}
-		p.discoveryListeners = append(p.discoveryListeners, both)
+		p.discoveryListeners = append(p.discoveryListeners, discovery)
 	}
 	if s.Cluster.On && !s.Cluster.Alone && s.NodeCount() > 1 {
 		return p.openRelays()
@@ -159,13 +182,24 @@
 	return nil
 }
 
-// loopbackIP is an address for a thing of some kind. Runs of different processes have blocks of their own, so that they
-// never take each other's ports.
+// Kinds of addresses on loopback.
+const (
+	nodeIP      = 0
+	hostIP      = 1
+	discoveryIP = 2
+	linkIP      = 4 // nodes receive datagrams on it
+	relayIP     = 5
+	duplicateIP = 6
+	adminIP     = 7
+)
+
+// loopbackIP returns the IP address of a kind and number. Runs of different processes have their own blocks of addresses, so
+// that they do not take each other's ports.
 func loopbackIP(kind, no int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()%250, kind*16+no/250, no%250+1)
 }
 
-// serveAll starts to take connections at all addresses.
+// serveAll starts to accept connections at all addresses.
 func (p *player) serveAll() {
 	for n := range p.hostListeners {
 		for _, g := range p.hostListeners[n] {
@@ -177,7 +211,7 @@
 	}
 }
 
-// linksFunc is nil where nodes have no links.
+// linksFunc returns the function that gives a node its addresses for links, or nil if nodes have no links.
 func (p *player) linksFunc() func(int) (string, []string) {
 	if p.relays == nil {
 		return nil
@@ -185,17 +219,18 @@
 	return p.linkAddresses
 }
 
+// now returns the time of the run in microseconds, below 0 before the first client.
 func (p *player) now() int64 { return time.Since(p.startTime).Microseconds() }
 
-// post hands something to the goroutine that plays the world.
-func (p *player) post(do func()) {
+// post lets the goroutine that plays the world run a task.
+func (p *player) post(task func()) {
 	select {
-	case p.tasks <- do:
+	case p.tasks <- task:
 	case <-p.done:
 	}
 }
 
-// playUntil goes on until a moment and tells whether it came there.
+// playUntil plays the world until a time of the run. It returns false if an error ended the run before.
 func (p *player) playUntil(until int64) bool {
 	for p.err == nil {
 		now := p.now()
@@ -207,9 +242,9 @@
 		if next, ok := p.world.Next(); ok {
 			wait = min(wait, max(next-p.now(), 0))
 		}
-		if do := p.nextTask(now + wait); do != nil {
+		if task := p.nextTask(now + wait); task != nil {
 			p.advance(p.now())
-			do()
+			task()
 			for range len(p.tasks) {
 				(<-p.tasks)()
 			}
@@ -218,23 +253,21 @@
 	return false
 }
 
-const spinMicros = 1500 // microseconds: timers of the system are a millisecond late, and a node judges hosts by less
-
-// nextTask gives what came first, or nil when the moment has come.
+// nextTask waits until a time of the run and returns the first task that is posted, or nil if none is.
 func (p *player) nextTask(until int64) func() {
 	if left := until - p.now() - spinMicros; left > 0 {
 		timer := time.NewTimer(time.Duration(left) * time.Microsecond)
 		defer timer.Stop()
 		select {
-		case do := <-p.tasks:
-			return do
+		case task := <-p.tasks:
+			return task
 		case <-timer.C:
 		}
 	}
 	for {
 		select {
-		case do := <-p.tasks:
-			return do
+		case task := <-p.tasks:
+			return task
 		default:
 		}
 		if p.now() >= until {
@@ -244,7 +277,7 @@
 	}
 }
 
-// advance plays what is due and notes how late it is.
+// advance plays the events that are due and records how late they are.
 func (p *player) advance(now int64) {
 	if next, ok := p.world.Next(); ok && next <= now && now > 0 {
 		p.delays.RecordValue(max(now-next, 1))
@@ -252,32 +285,37 @@
 	p.world.Advance(now)
 }
 
-// checkMachine marks a run void on which the machine, not the node, was late.
+// checkMachine marks the run as void if the machine, and not the nodes, was late.
 func (p *player) checkMachine(r *record.Run) {
-	p99, worst, most := p.delays.ValueAtQuantile(99), p.delays.Max(), cmp.Or(p.options.MaxDelayP99, maxDelayP99)
+	p99, highest, limit := p.delays.ValueAtQuantile(99), p.delays.Max(), cmp.Or(p.options.MaxDelayP99, maxDelayP99)
 	r.Waited = p.cpuWaitShare()
-	r.Late = fmt.Sprintf("the fleet's events ran late by %.2f ms at the median, %.2f at 99 %%, %.1f at worst; nodes waited for a core for %.3f of their time",
-		float64(p.delays.ValueAtQuantile(50))/1000, float64(p99)/1000, float64(worst)/1000, r.Waited)
-	if p99 > most || worst > maxDelay {
+	r.Late = fmt.Sprintf("the fleet's events ran late by %.2f ms at the median, %.2f at 99 %%, %.1f at worst; "+
+		"nodes waited for a core for %.3f of their time",
+		float64(p.delays.ValueAtQuantile(50))/1000, float64(p99)/1000, float64(highest)/1000, r.Waited)
+	if p99 > limit || highest > maxDelay {
 		r.Void = fmt.Sprintf("the machine ran late: 99%% of the fleet's events within %.1f ms, worst %d ms (%.1f and %d allowed)",
-			float64(p99)/1000, worst/1000, float64(most)/1000, maxDelay/1000)
+			float64(p99)/1000, highest/1000, float64(limit)/1000, maxDelay/1000)
 	} else if share := p.lateReports.share(); share > maxLateShare && !p.scriptStarves {
-		r.Void = fmt.Sprintf("the machine starved the nodes: late by their own word in %.2f of their seconds (%.2f allowed)", share, maxLateShare)
-	} else if most := cmp.Or(p.options.MaxCPUWaitShare, maxCPUWaitShare); r.Waited > most {
-		r.Void = fmt.Sprintf("the machine starved the nodes: they waited for a core for %.2f of their time (%.2f allowed)", r.Waited, most)
+		r.Void = fmt.Sprintf("the machine starved the nodes: late by their own word in %.2f of their seconds (%.2f allowed)",
+			share, maxLateShare)
+	} else if limit := cmp.Or(p.options.MaxCPUWaitShare, maxCPUWaitShare); r.Waited > limit {
+		r.Void = fmt.Sprintf("the machine starved the nodes: they waited for a core for %.2f of their time (%.2f allowed)",
+			r.Waited, limit)
 	}
 }
 
-// cpuWaitShare is the share of all nodes' time for which they waited for a core. What plays the fleet never lets go of its own
-// one, and is in time on a machine where they are not.
+// cpuWaitShare returns the share of all nodes' time in which they waited for a core. The delays of the fleet's events do not
+// show it: the goroutine that plays the fleet keeps its core, and is in time on a machine on which the nodes are not.
 func (p *player) cpuWaitShare() float64 {
 	sum := time.Duration(0)
 	for _, n := range p.nodes {
 		sum += n.pastCPUWait + n.cpuWait()
 	}
-	return sum.Seconds() / (float64(len(p.nodes)) * time.Since(p.startTime.Add(-time.Duration(leadTime)*time.Microsecond)).Seconds())
+	begin := p.startTime.Add(-time.Duration(leadTime) * time.Microsecond)
+	return sum.Seconds() / (float64(len(p.nodes)) * time.Since(begin).Seconds())
 }
 
+// cleanUp ends all processes, closes all sockets and removes a temporary folder.
 func (p *player) cleanUp() {
 	close(p.done)
 	for _, n := range p.nodes {
@@ -299,8 +337,8 @@
 			}
 		}
 	}
-	for _, both := range p.discoveryListeners {
-		for _, g := range both {
+	for _, listeners := range p.discoveryListeners {
+		for _, g := range listeners {
 			if g != nil {
 				g.close()
 			}
--- a/rehearsal/live/live_test.go
+++ b/rehearsal/live/live_test.go
@@ -20,13 +20,14 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-var program string
+var program string // path of the node's program
 
+// spinVariable is the environment variable that makes the test program use a core instead of running tests.
 const spinVariable = "REHEARSAL_SPINS"
 
 // TestMain builds the node that the tests start.
 func TestMain(m *testing.M) {
-	if os.Getenv(spinVariable) != "" { // what a test has started: it takes a core until it is killed, a minute at most
+	if os.Getenv(spinVariable) != "" { // started by a test: uses a core until it is killed, for at most a minute
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 		}
 		os.Exit(0)
@@ -40,7 +41,7 @@
 	if err != nil {
 		panic(string(out))
 	}
-	log.SetOutput(io.Discard) // of nodes in virtual time
+	log.SetOutput(io.Discard) // logs of nodes in virtual time
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
@@ -88,6 +89,7 @@
 for = "1s"
 `
 
+// load parses a script.
 func load(t *testing.T, text string) *scenario.Script {
 	t.Helper()
 	s, err := scenario.Parse("live.toml", []byte(text))
@@ -97,7 +99,8 @@
 	return s
 }
 
-// playLive plays a script whose rules have to be kept. On a machine that ran late it says nothing, and is played once more.
+// playLive plays a script and reports breaches of rules. If the machine ran late, the script is played once more, and the test is
+// skipped if that run is void too.
 func playLive(t *testing.T, s *scenario.Script, opt Options) *record.Run {
 	t.Helper()
 	r, err := Play(s, opt)
@@ -117,23 +120,23 @@
 	return r
 }
 
-// TestSignals plays SIGHUP, SIGKILL, SIGTERM and a host's crash on real processes: rules are kept, every node serves
-// again, and the captures of all their lives can be read. On a machine that ran late the run says nothing.
+// TestSignals plays SIGHUP, SIGKILL, SIGTERM and a host's crash with real processes. Rules must be kept, every node must serve
+// again, and the captures of all processes must be readable.
 func TestSignals(t *testing.T) {
 	dir := t.TempDir()
 	r := playLive(t, load(t, script), Options{Program: program, Capture: dir, Logs: filepath.Join(dir, "logs")})
-	late := map[int]int{}
+	atEnd := map[int]int{}
 	for _, f := range r.Flows {
-		if word, at := f.Answer(); word == "established" && at > 4_800_000 {
-			late[f.Node]++
+		if outcome, at := f.Answer(); outcome == "established" && at > 4_800_000 {
+			atEnd[f.Node]++
 		}
 	}
-	if late[0] == 0 || late[1] == 0 {
-		t.Errorf("established at the end, by node: %v", late)
+	if atEnd[0] == 0 || atEnd[1] == 0 {
+		t.Errorf("flows established at the end, by node: %v", atEnd)
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.capture"))
 	if len(files) != 4 {
-		t.Errorf("captures %v", files)
+		t.Errorf("expected four captures, found %v", files)
 	}
 	flows := 0
 	for _, path := range files {
@@ -154,11 +157,12 @@
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "logs", "n-0.log"))
 	if err != nil || !strings.Contains(string(text), "config_read") {
-		t.Errorf("no sign of SIGHUP in the log: %v", err)
+		t.Errorf("the log does not show that SIGHUP was handled: %v", err)
 	}
 }
 
-// TestLateMachineVoidsRun stops the goroutine that plays the fleet: the run must be void, and not the node's fault.
+// TestLateMachineVoidsRun blocks the goroutine that plays the fleet. The run must be void, because the delay is not the fault
+// of the nodes.
 func TestLateMachineVoidsRun(t *testing.T) {
 	s := load(t, strings.Replace(script[:strings.Index(script, "[[faults]]")], "6s", "2s", 1))
 	r, err := Play(s, Options{Program: program, testHook: func(p *player) {
@@ -172,14 +176,14 @@
 	}
 }
 
-// TestStarvedNodesVoidRun takes most of the nodes' cores without the script's word: the run is void, and not the nodes' fault. By
-// the script's word it counts.
+// TestStarvedNodesVoidRun takes most of the nodes' time. The run must be void if the machine does so, and valid if the script
+// does.
 func TestStarvedNodesVoidRun(t *testing.T) {
 	text := "[cluster]\non = true\n" + script[strings.Index(script, "[clients]"):strings.Index(script, "[[faults]]")]
 	text = script[:strings.Index(script, "[clients]")] + text
-	for _, own := range []bool{false, true} {
+	for _, byScript := range []bool{false, true} {
 		s := load(t, strings.Replace(text, "6s", "4s", 1))
-		if own {
+		if byScript {
 			s.Faults = append(s.Faults, scenario.Fault{Kind: "node_starve", Nodes: []string{"n-0", "n-1"}, Size: 0.6, At: 500_000, For: 3_500_000})
 		}
 		var late *lateCounter
@@ -187,7 +191,7 @@
 			metrics(0)
 			metrics(1)
 		}, testHook: func(p *player) {
-			if late = &p.lateReports; !own {
+			if late = &p.lateReports; !byScript {
 				p.world.At(500_000, func() { p.Starve(0, 0.6); p.Starve(1, 0.6) })
 			}
 		}})
@@ -195,16 +199,16 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(r.Void, "ran late") {
-			t.Skip(r.Void) // beside what the test takes, and it comes first
+			t.Skip(r.Void) // the machine was late besides, which hides the cause under test
 		}
-		if void := strings.Contains(r.Void, "starved the nodes"); void == own || late.share() <= maxLateShare {
-			t.Errorf("by the script %t: void %q, late in %.2f of their seconds", own, r.Void, late.share())
+		if void := strings.Contains(r.Void, "starved the nodes"); void == byScript || late.share() <= maxLateShare {
+			t.Errorf("starved by the script %t: void %q, nodes late in %.2f of their seconds", byScript, r.Void, late.share())
 		}
 	}
 }
 
-// TestBusyMachine: nodes that waited for a core for too long make the run void, though the fleet's own events are in time, and
-// without that it counts.
+// TestCPUWaitVoidsRun checks that a run is void if nodes waited too long for a core, although the fleet's own events are in
+// time, and that it is valid if they did not.
 func TestCPUWaitVoidsRun(t *testing.T) {
 	s := load(t, strings.Replace(script[:strings.Index(script, "[[faults]]")], "6s", "2s", 1))
 	for _, busy := range []bool{false, true} {
@@ -217,7 +221,7 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(r.Void, "ran late") {
-			t.Skip(r.Void) // beside what the test takes, and it comes first
+			t.Skip(r.Void) // the machine was late besides, which hides the cause under test
 		}
 		if void := strings.Contains(r.Void, "waited for a core"); void != busy {
 			t.Errorf("busy %t: void %q, %s", busy, r.Void, r.Late)
@@ -225,10 +229,11 @@
 	}
 }
 
-// TestWaitsForACore: of two programs that never rest and share a core, each waits for it half of the time.
+// TestMeasuresCPUWait checks the measured wait of two programs that never sleep and share a core, so that each waits for it
+// half of the time.
 func TestMeasuresCPUWait(t *testing.T) {
 	if _, err := os.Stat("/proc/self/schedstat"); err != nil {
-		t.Skip("the system keeps no account: ", err)
+		t.Skip("the operating system does not count waits for a core: ", err)
 	}
 	var all, one unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &all); err != nil {
@@ -253,30 +258,31 @@
 		both[i] = &process{cmd: spins}
 	}
 	for end := time.Now().Add(10 * time.Second); both[0].cpuWait() < 50*time.Millisecond || both[1].cpuWait() < 50*time.Millisecond; time.Sleep(time.Millisecond) {
-		for _, p := range both { // again and again: a thread may have been made just as the others were told
+		for _, p := range both { // in each iteration: a thread may be created just while the others are set
 			threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", p.cmd.Process.Pid))
 			for _, thread := range threads {
-				no, _ := strconv.Atoi(filepath.Base(thread))
-				unix.SchedSetaffinity(no, &one)
+				id, _ := strconv.Atoi(filepath.Base(thread))
+				unix.SchedSetaffinity(id, &one)
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("waited %v and %v in ten seconds", both[0].cpuWait(), both[1].cpuWait())
+			t.Fatalf("waits of %v and %v measured in ten seconds", both[0].cpuWait(), both[1].cpuWait())
 		}
 	}
 }
 
+// TestRejectsBadOptions checks that a missing program and a fleet with too many listeners are errors.
 func TestRejectsBadOptions(t *testing.T) {
 	if _, err := Play(load(t, script), Options{Program: "/nowhere/at/all"}); err == nil {
-		t.Error("a program that is not there was started")
+		t.Error("no error for a program that does not exist")
 	}
 	text := strings.Replace(strings.Replace(script, "count = 3", "count = 900", 1), "count = 2", "count = 900", 1)
 	if _, err := Play(load(t, text), Options{Program: program}); err == nil || !strings.Contains(err.Error(), "too many") {
-		t.Errorf("810,000 listeners: %v", err)
+		t.Errorf("error for 810,000 listeners: %v", err)
 	}
 }
 
-// TestStarvedNode takes most of a node's core by stopping its process again and again: sound hosts must not be blamed.
+// TestStarvedNode takes most of a node's time by stopping its process repeatedly. The node must not skip healthy hosts.
 func TestStarvedNode(t *testing.T) {
 	text := script[:strings.Index(script, "[[faults]]")]
 	text = strings.NewReplacer("\"6s\"", "\"5s\"", "count = 2", "count = 1").Replace(text) +
--- a/rehearsal/live/process.go
+++ b/rehearsal/live/process.go
@@ -16,26 +16,26 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// process is one node's.
+// process is the process of one node, with what the player keeps for its restarts.
 type process struct {
 	player       *player
 	index        int
 	addr         string
-	configFile   string // its file
+	configFile   string
 	logFile      string
 	cmd          *exec.Cmd
-	generation   int // counted at each start
-	starvedShare float64
-	adminAddr    string        // where operators reach it; empty: nowhere
-	linkAddr     string        // where it hears other nodes; empty where it does not
+	generation   int           // of the process, counted at each start and kill
+	starvedShare float64       // share of its time that is taken from it
+	adminAddr    string        // for operators; empty if there is none
+	linkAddr     string        // for datagrams of other nodes; empty if it has no links
 	duplicate    *exec.Cmd     // a second process under its name
-	stopStarving chan struct{} // ends the thread that starves it
-	pastCPUWait  time.Duration // for a core, in lives that have ended
+	stopStarving chan struct{} // ends the goroutine that starves it
+	pastCPUWait  time.Duration // waiting for a core, of earlier generations
 
 	exited chan struct{} // closed when the process has ended
 }
 
-// freePort finds a port at an address that nothing uses.
+// freePort finds a free TCP port at an IP address and returns both.
 func freePort(ip string) (string, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -45,13 +45,14 @@
 	return l.Addr().String(), nil
 }
 
+// fail keeps the first error of the run.
 func (p *player) fail(err error) {
 	if p.err == nil {
 		p.err = err
 	}
 }
 
-// Start writes a node's file and starts its process.
+// Start writes a node's configuration file and starts its process.
 func (p *player) Start(no int, conf fleet.Conf) {
 	n := p.nodes[no]
 	if err := os.WriteFile(n.configFile, n.configText(conf), 0o600); err != nil {
@@ -73,21 +74,21 @@
 		return
 	}
 	n.generation++
-	life, cmd, gone := n.generation, n.cmd, make(chan struct{})
-	n.exited = gone
+	generation, cmd, exited := n.generation, n.cmd, make(chan struct{})
+	n.exited = exited
 	go func() {
 		err := cmd.Wait()
-		close(gone)
+		close(exited)
 		p.post(func() {
-			if n.generation == life && n.cmd == cmd {
+			if n.generation == generation && n.cmd == cmd {
 				n.cmd = nil
 				p.world.Exited(no, fmt.Sprint(err))
 			}
 		})
 	}()
-	go n.awaitListening(gone, func() {
+	go n.awaitListening(exited, func() {
 		p.post(func() {
-			if n.generation == life {
+			if n.generation == generation {
 				p.world.Ready(no)
 			}
 		})
@@ -95,7 +96,7 @@
 	n.applyStarvation()
 }
 
-// configText is the node's file; each of its lives has a capture of its own.
+// configText returns the node's configuration file. Each generation has a capture file of its own.
 func (n *process) configText(conf fleet.Conf) []byte {
 	if n.player.options.Capture == "" {
 		return []byte(conf.JSON)
@@ -104,17 +105,17 @@
 	return fmt.Appendf(nil, `%s,"capture":{"file":%q}}`, strings.TrimSuffix(conf.JSON, "}"), file)
 }
 
-// awaitListening waits for the process to listen.
-func (n *process) awaitListening(gone chan struct{}, then func()) {
+// awaitListening waits until the process listens, and gives up if it exits.
+func (n *process) awaitListening(exited chan struct{}, onListening func()) {
 	for {
 		c, err := net.DialTimeout("tcp", n.addr, time.Second)
 		if err == nil {
 			c.Close()
-			then()
+			onListening()
 			return
 		}
 		select {
-		case <-gone:
+		case <-exited:
 			return
 		case <-n.player.done:
 			return
@@ -123,12 +124,14 @@
 	}
 }
 
+// signal sends a signal to the process if it runs.
 func (n *process) signal(s os.Signal) {
 	if n.cmd != nil && n.cmd.Process != nil {
 		n.cmd.Process.Signal(s)
 	}
 }
 
+// Kill kills the process of a node.
 func (p *player) Kill(no int) { p.nodes[no].kill() }
 
 // kill kills the process and waits for its end.
@@ -145,8 +148,10 @@
 	n.applyStarvation()
 }
 
+// Stop asks a node to stop.
 func (p *player) Stop(no int) { p.nodes[no].signal(syscall.SIGTERM) }
 
+// Reload replaces a node's configuration file and lets the node read it.
 func (p *player) Reload(no int, conf fleet.Conf) {
 	n := p.nodes[no]
 	if err := os.WriteFile(n.configFile+".new", n.configText(conf), 0o600); err != nil {
@@ -160,14 +165,16 @@
 	n.signal(syscall.SIGHUP)
 }
 
+// starvePeriod is the period in which a starved process is stopped and continued once.
 const starvePeriod = 20 * time.Millisecond
 
-// Starve takes a share of a node's time by stopping it for a part of each step.
+// Starve takes a share of a node's time, by stopping its process for that share of each period.
 func (p *player) Starve(no int, share float64) {
 	p.nodes[no].starvedShare = share
 	p.nodes[no].applyStarvation()
 }
 
+// applyStarvation ends the goroutine that starves the process, and starts one for the present share and process.
 func (n *process) applyStarvation() {
 	if n.stopStarving != nil {
 		close(n.stopStarving)
@@ -179,21 +186,21 @@
 	stop, proc, share := make(chan struct{}), n.cmd.Process, n.starvedShare
 	n.stopStarving = stop
 	go func() {
-		still := time.Duration(share * float64(starvePeriod))
+		pauseTime := time.Duration(share * float64(starvePeriod))
 		for {
 			proc.Signal(syscall.SIGSTOP)
-			time.Sleep(still)
+			time.Sleep(pauseTime)
 			proc.Signal(syscall.SIGCONT)
 			select {
 			case <-stop:
 				return
-			case <-time.After(starvePeriod - still):
+			case <-time.After(starvePeriod - pauseTime):
 			}
 		}
 	}()
 }
 
-// cpuSeconds is what the process has used, in seconds; 0 where the system doesn't tell.
+// cpuSeconds returns the CPU seconds that the process has used, or 0 if the operating system does not report them.
 func (n *process) cpuSeconds() float64 {
 	if n.cmd == nil {
 		return 0
@@ -203,24 +210,24 @@
 		return 0
 	}
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-	const utime, stime, perSecond = 11, 12, 100
+	const utime, stime, ticksPerSecond = 11, 12, 100
 	if len(fields) <= stime {
 		return 0
 	}
 	user, _ := strconv.Atoi(string(fields[utime]))
 	system, _ := strconv.Atoi(string(fields[stime]))
-	return float64(user+system) / perSecond
+	return float64(user+system) / ticksPerSecond
 }
 
-// cpuWait is how long its threads could have run and had no core; 0 where the system doesn't tell. What a stopped process
-// misses is not in it.
+// cpuWait returns how long the threads of the process could have run and had no core, or 0 if the operating system does not
+// report it. The time in which the process is stopped does not count.
 func (n *process) cpuWait() (sum time.Duration) {
 	if n.cmd == nil {
 		return 0
 	}
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", n.cmd.Process.Pid))
 	for _, file := range threads {
-		text, _ := os.ReadFile(file) // a thread that has ended meanwhile counts for nothing
+		text, _ := os.ReadFile(file) // a thread that has ended meanwhile does not count
 		var ran, waited int64
 		if n, _ := fmt.Sscan(string(text), &ran, &waited); n == 2 {
 			sum += time.Duration(waited)
@@ -229,9 +236,11 @@
 	return sum
 }
 
+// panicsPattern matches the counter of panics in a log line.
 var panicsPattern = regexp.MustCompile(`panics=(\d+)`)
 
-// panicCount asks all nodes for their counters and sums their panics; a log that names none counts as none.
+// panicCount makes all nodes log their counters, and counts panics by them and crashes by a panic. A log without counters
+// counts as no panics.
 func (p *player) panicCount() (total int) {
 	for _, n := range p.nodes {
 		n.signal(syscall.SIGUSR1)
@@ -251,7 +260,7 @@
 	return total
 }
 
-// logTail is the last line of the first node that wrote one, for an error's text.
+// logTail returns the last log line of the first node that wrote any, for error texts.
 func (p *player) logTail() string {
 	for _, n := range p.nodes {
 		text, _ := os.ReadFile(n.logFile)
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -11,7 +11,7 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// listener takes the connections of one node to one host, or to discovery.
+// listener accepts the connections of one node to one host, or to discovery.
 type listener struct {
 	player *player
 	node   int
@@ -19,6 +19,7 @@
 	tcp    net.Listener
 }
 
+// newListener listens on a free port of an IP address.
 func newListener(p *player, node int, ip string) (*listener, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -27,7 +28,7 @@
 	return &listener{player: p, node: node, addr: l.Addr().String(), tcp: l}, nil
 }
 
-// serve takes connections until the gate is closed.
+// serve accepts connections until the listener is closed.
 func (g *listener) serve() {
 	l := g.tcp
 	go func() {
@@ -45,6 +46,7 @@
 	}()
 }
 
+// close closes the listener if it is open.
 func (g *listener) close() {
 	if g.tcp != nil {
 		g.tcp.Close()
@@ -52,7 +54,7 @@
 	}
 }
 
-// Listening closes a dead host's gates, so that connects to it are refused, and opens them again.
+// Listening closes the listeners of a dead host, so that connects to it are refused, and opens them again.
 func (p *player) Listening(host int, listening bool) {
 	for n := range p.hostListeners {
 		g := p.hostListeners[n][host]
@@ -71,20 +73,21 @@
 	}
 }
 
-// socket is one connection to a node. All but the queue belongs to the goroutine that plays the world.
+// socket is one connection to a node. The fields below the mutex, and connected, are guarded by it. The others belong to the
+// goroutine that plays the world.
 type socket struct {
 	player     *player
 	conn       *fleet.Conn
 	tcp        *net.TCPConn
 	connected  bool
-	readClosed bool // the node sends no more
-	writeEnded bool // we send no more
+	readClosed bool // the node has closed its sending side
+	writeEnded bool // the world has closed its sending side
 	closed     bool
 
 	mu            sync.Mutex
-	queue         []byte // what the socket didn't take at once
+	queue         []byte // not yet written
 	writing       bool   // a goroutine writes the queue
-	closeWhenSent bool   // the sending ends once the queue is empty
+	closeWhenSent bool   // close the sending side when the queue is empty
 }
 
 // Arrive opens a client's connection.
@@ -116,7 +119,7 @@
 	return true
 }
 
-// startReading starts the goroutine that tells what the node sends.
+// startReading starts the goroutine that reports what the node sends.
 func (s *socket) startReading() {
 	p, c := s.player, s.tcp
 	go func() {
@@ -134,7 +137,7 @@
 	}()
 }
 
-// handleReadError is that the node's side has ended.
+// handleReadError handles the end of the node's side: a close or a broken connection.
 func (s *socket) handleReadError(err error) {
 	s.readClosed = true
 	if !errors.Is(err, io.EOF) {
@@ -150,6 +153,7 @@
 	s.player.world.Shut(s.conn)
 }
 
+// close closes the connection.
 func (s *socket) close() {
 	if s.closed {
 		return
@@ -160,10 +164,13 @@
 	}
 }
 
+// Up does nothing: the operating system has accepted the connection already.
 func (p *player) Up(*fleet.Conn) {}
 
+// Refused resets a connection that the world refuses, since the operating system has accepted it already.
 func (p *player) Refused(c *fleet.Conn) { p.Broken(c) }
 
+// Bytes sends bytes to the node.
 func (p *player) Bytes(c *fleet.Conn, b []byte) {
 	s, ok := c.Ref.(*socket)
 	if !ok || s.closed || s.writeEnded {
@@ -175,7 +182,8 @@
 	s.flush()
 }
 
-// flush writes what the socket takes at once; a goroutine writes the rest. The caller holds the lock.
+// flush writes what the operating system accepts at once, and starts a goroutine that writes the rest. The caller holds the
+// lock.
 func (s *socket) flush() {
 	if s.writing || !s.connected {
 		return
@@ -191,7 +199,7 @@
 			if n > 0 {
 				s.queue = s.queue[n:]
 			} else if err != nil && err != syscall.EAGAIN && err != syscall.EINTR {
-				s.queue = nil // the reader tells of it
+				s.queue = nil // the reader reports the error
 			}
 			return true
 		})
@@ -205,6 +213,7 @@
 	}
 }
 
+// writeQueue writes the queue until it is empty.
 func (s *socket) writeQueue() {
 	for {
 		s.mu.Lock()
@@ -228,19 +237,20 @@
 	}
 }
 
+// End closes the sending side of the world's side of a connection, and the connection if the node's side is closed too.
 func (p *player) End(c *fleet.Conn) {
 	s, ok := c.Ref.(*socket)
 	if !ok || s.closed || s.writeEnded {
-		return // its client had left before its connection came
+		return // the client left before it was connected
 	}
 	s.writeEnded = true
 	if s.readClosed {
 		s.player.world.Closed(c)
 		s.mu.Lock()
-		waits := len(s.queue) > 0 || s.writing
+		unsent := len(s.queue) > 0 || s.writing
 		s.closeWhenSent = true
 		s.mu.Unlock()
-		if !waits {
+		if !unsent {
 			s.close()
 		}
 		return
@@ -251,6 +261,7 @@
 	s.flush()
 }
 
+// Broken resets a connection.
 func (p *player) Broken(c *fleet.Conn) {
 	s, ok := c.Ref.(*socket)
 	if !ok {
--- a/rehearsal/live/watch.go
+++ b/rehearsal/live/watch.go
@@ -9,23 +9,26 @@
 	"time"
 )
 
-const metricsTimeout = 400 * time.Millisecond // for a node's figures
+// metricsTimeout is the longest wait for a node's metrics.
+const metricsTimeout = 400 * time.Millisecond
 
-// lateCounter is how often nodes that bound each other said that their own loops were late. They judge no host then, and what
-// the fleet serves without that is the machine's doing and not theirs.
+// lateCounter counts how often nodes with overload control reported that their own loop was late. Late nodes judge no hosts, so
+// what the fleet serves then is the fault of the machine and not of the nodes.
 type lateCounter struct{ samples, late atomic.Int64 }
 
+// add adds one report of a node.
 func (l *lateCounter) add(late bool) {
 	if l.samples.Add(1); late {
 		l.late.Add(1)
 	}
 }
 
+// share returns the share of reports of a late loop.
 func (l *lateCounter) share() float64 {
 	return float64(l.late.Load()) / float64(max(l.samples.Load(), 1))
 }
 
-// adminFunc is nil where nobody watches.
+// adminFunc returns the function that gives a node its address for operators, or nil if no metrics are read.
 func (p *player) adminFunc() func(int) string {
 	if p.options.OnSecond == nil {
 		return nil
@@ -33,7 +36,7 @@
 	return func(no int) string { return p.nodes[no].adminAddr }
 }
 
-// startWatching calls the watcher each second from the start of the run on.
+// startWatching calls OnSecond each second from the start of the run.
 func (p *player) startWatching() {
 	if p.options.OnSecond == nil {
 		return
--- a/rehearsal/record/held.go
+++ b/rehearsal/record/held.go
@@ -37,7 +37,7 @@
 	}
 	var changes []change
 	for _, f := range r.Flows {
-		if word, _ := f.Answer(); word != "established" {
+		if outcome, _ := f.Answer(); outcome != "established" {
 			continue
 		}
 		if from, to := r.heldInterval(f, late); to > from {
--- a/rehearsal/record/record.go
+++ b/rehearsal/record/record.go
@@ -28,7 +28,7 @@
 	Lost                   // the host has closed its connection to the node, or it broke
 	Answered               // the client has received the node's answer; Text is the line
 	Cut                    // the client's connection was closed without a MOVE
-	Moved                  // the client was told by a MOVE to connect again
+	Moved                  // the client received a MOVE, so that it connects again
 	Left                   // the client has closed its connection
 	Held                   // the node delayed a line by Value microseconds
 	Unended                // the client saw the end of its connection Value microseconds after the host had closed it
@@ -88,7 +88,7 @@
 
 // Answer returns the node's answer and its time: established, rejected or aborted. Without an answer it returns what
 // happened instead: cut, left or killed, unreached if the node took no connection, or none.
-func (f *Flow) Answer() (word string, at int64) {
+func (f *Flow) Answer() (outcome string, at int64) {
 	asked := false
 	for _, e := range f.Events {
 		switch e.Kind {
@@ -235,8 +235,8 @@
 		for _, c := range f.attempts() {
 			fmt.Fprintf(b, " %s:%s:%.3f", r.Hosts[c.host].Name, c.outcome, float64(c.duration)/1000)
 		}
-		word, at := f.Answer()
-		fmt.Fprintf(b, " %s %.3f\n", word, float64(at)/1000)
+		outcome, at := f.Answer()
+		fmt.Fprintf(b, " %s %.3f\n", outcome, float64(at)/1000)
 	}
 	return b.Flush()
 }
@@ -325,9 +325,9 @@
 		s.Worst10 = min(s.Worst10, ratio(v, w))
 	}
 	for _, f := range r.Flows {
-		word, _ := f.Answer()
-		s.Answers[word]++
-		if word == "established" && !f.Stood {
+		outcome, _ := f.Answer()
+		s.Answers[outcome]++
+		if outcome == "established" && !f.Stood {
 			s.Setups[f.Type] = append(s.Setups[f.Type], f.Establish)
 			if f.Establish > r.Types[f.Type].Target {
 				s.LateShare[f.Type]++
--- a/rehearsal/report/html.go
+++ b/rehearsal/report/html.go
@@ -186,20 +186,20 @@
 func answerSeries(r *record.Run) []Series {
 	byOutcome := map[string][]float64{}
 	for _, f := range r.Flows {
-		word, at := f.Answer()
+		outcome, at := f.Answer()
 		second := int(at / 1e6)
 		if at < 0 || second > int(r.Length/1e6) {
 			continue
 		}
-		if byOutcome[word] == nil {
-			byOutcome[word] = make([]float64, r.Length/1e6+1)
+		if byOutcome[outcome] == nil {
+			byOutcome[outcome] = make([]float64, r.Length/1e6+1)
 		}
-		byOutcome[word][second]++
+		byOutcome[outcome][second]++
 	}
 	var all []Series
-	for _, word := range outcomeOrder {
-		if y := byOutcome[word]; y != nil {
-			all = append(all, Series{word, y})
+	for _, outcome := range outcomeOrder {
+		if y := byOutcome[outcome]; y != nil {
+			all = append(all, Series{outcome, y})
 		}
 	}
 	return all
--- a/rehearsal/report/text.go
+++ b/rehearsal/report/text.go
@@ -99,9 +99,9 @@
 		fmt.Fprintf(w, "VOID: %s\n", s.Void)
 	}
 	fmt.Fprintf(w, "  service %.3f, worst 10 s %.3f, worst type %.3f\n ", s.Service, s.Worst10, s.WorstType)
-	for _, word := range outcomeOrder {
-		if n := s.Answers[word]; n > 0 {
-			fmt.Fprintf(w, " %s %d", word, n)
+	for _, outcome := range outcomeOrder {
+		if n := s.Answers[outcome]; n > 0 {
+			fmt.Fprintf(w, " %s %d", outcome, n)
 		}
 	}
 	fmt.Fprintf(w, "\n  a flow: %.2f connects, %.2f probes, %.2f crossings, %.3f moves; %d breaks\n", s.Connects, s.Probes,
@@ -153,10 +153,10 @@
 		for len(cells) <= f.Node {
 			cells = append(cells, make([]cell, len(r.Types)))
 		}
-		word, _ := f.Answer()
+		outcome, _ := f.Answer()
 		c := &cells[f.Node][f.Type]
 		c.flows++
-		if word == "rejected" {
+		if outcome == "rejected" {
 			c.rejected++
 			anyRejected = true
 		}
--- a/rehearsal/rules/rules_test.go
+++ b/rehearsal/rules/rules_test.go
@@ -73,7 +73,7 @@
 	}
 	text := string(b)
 	switch {
-	case p.established && r.mode == "hold":
+	case p.established && r.mode == "delayed line":
 		r.after(1_200_000, func() { r.world.Wrote(p.host, b) })
 	case p.established:
 		r.world.Wrote(p.host, b)
@@ -82,7 +82,7 @@
 	case strings.HasPrefix(text, "OPEN ") && strings.Count(text, "\n") == 1 && strings.Contains(text, "c=t,"):
 		p.line = text
 		r.open(p)
-	case r.mode != "deaf" && strings.Contains(text, "\n"):
+	case r.mode != "bad client ignored" && strings.Contains(text, "\n"):
 		r.world.Wrote(c, []byte("ERR\r\n"))
 		r.world.Closed(c)
 	}
@@ -91,25 +91,25 @@
 // open handles a client's line according to the mode.
 func (r *rogue) open(p *pair) {
 	switch r.mode {
-	case "silent":
+	case "no answer":
 		return
-	case "shut":
+	case "closed without answer":
 		r.world.Closed(p.client)
 		return
-	case "forged":
+	case "forged receipt":
 		r.world.Wrote(p.client, []byte("UP h-0.0.77\r\n"))
 		return
-	case "twice":
+	case "two answers":
 		r.world.Wrote(p.client, []byte("BUSY\r\n"))
 		r.after(100, func() { r.world.Wrote(p.client, []byte("UP h-0.0.1\r\n")) })
 		return
-	case "mangled":
+	case "changed line":
 		p.line = strings.Replace(p.line, " ", " x", 1)
-	case "invented":
+	case "invented line":
 		p.line = "HELLO\r\n"
 	}
 	r.dial(p, "host-0")
-	if r.mode == "two at once" {
+	if r.mode == "two open connects" {
 		r.dial(p, "host-1")
 	}
 }
@@ -129,12 +129,12 @@
 
 // handleHostBytes handles the answer of a host.
 func (r *rogue) handleHostBytes(p *pair, b []byte) {
-	if !p.established && r.mode == "again" && p.connects == 1 { // the set-up has run, and is sent to another host
+	if !p.established && r.mode == "run twice" && p.connects == 1 { // the set-up has run, and is sent to another host
 		r.world.Closed(p.host)
 		r.after(100_000, func() { r.dial(p, "host-1") })
 		return
 	}
-	if !p.established && r.mode == "refused though it ran" {
+	if !p.established && r.mode == "rejected after the set-up ran" {
 		r.world.Closed(p.host)
 		r.world.Wrote(p.client, []byte("BUSY\r\n"))
 		return
@@ -142,7 +142,7 @@
 	up := !p.established && strings.HasPrefix(string(b), "UP ")
 	p.established = p.established || up
 	r.world.Wrote(p.client, b)
-	if up && r.mode == "cut" {
+	if up && r.mode == "disconnect" {
 		r.after(500_000, func() {
 			r.world.Closed(p.client)
 			r.world.Closed(p.host)
@@ -166,7 +166,7 @@
 			r.world.Closed(p.host)
 		}
 	}
-	if r.mode == "slow to end" && c == p.host {
+	if r.mode == "late close" && c == p.host {
 		r.after(1_500_000, end)
 		return
 	}
@@ -203,24 +203,24 @@
 		more     string
 		from, to string
 	}{
-		{mode: "silent", rule: rules.FinalAnswer},
-		{mode: "shut", rule: rules.FinalAnswer},
-		{mode: "forged", rule: rules.FinalAnswer},
-		{mode: "twice", rule: rules.FinalAnswer},
-		{mode: "two at once", rule: rules.SingleEffect},
-		{mode: "again", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
-		{mode: "again", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"referenced\"\nwindow = \"1ms\""},
-		{mode: "refused though it ran", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
+		{mode: "no answer", rule: rules.FinalAnswer},
+		{mode: "closed without answer", rule: rules.FinalAnswer},
+		{mode: "forged receipt", rule: rules.FinalAnswer},
+		{mode: "two answers", rule: rules.FinalAnswer},
+		{mode: "two open connects", rule: rules.SingleEffect},
+		{mode: "run twice", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
+		{mode: "run twice", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"referenced\"\nwindow = \"1ms\""},
+		{mode: "rejected after the set-up ran", rule: rules.SingleEffect, from: "name = \"t\"", to: "name = \"t\"\neffect = \"once-only\""},
 		{mode: "to a drained host", rule: rules.DrainObserved,
 			more: "\n[[faults]]\nat = \"2s\"\nkind = \"drain\"\nhosts = [\"h-0\"]\nfor = \"30s\"\n"},
 		{mode: "to a cold host", rule: rules.ColdHostSpared, from: "rate = 4.0", to: "rate = 40.0",
 			more: "\n[[faults]]\nat = \"2s\"\nkind = \"crash\"\nhosts = [\"h-0\"]\nfor = \"500ms\"\n"},
-		{mode: "cut", rule: rules.NoDisconnect},
-		{mode: "hold", rule: rules.PromptLines},
-		{mode: "slow to end", rule: rules.PromptClose, more: crash},
-		{mode: "mangled", rule: rules.ValidLines},
-		{mode: "invented", rule: rules.ValidLines},
-		{mode: "deaf", rule: rules.BadClients,
+		{mode: "disconnect", rule: rules.NoDisconnect},
+		{mode: "delayed line", rule: rules.PromptLines},
+		{mode: "late close", rule: rules.PromptClose, more: crash},
+		{mode: "changed line", rule: rules.ValidLines},
+		{mode: "invented line", rule: rules.ValidLines},
+		{mode: "bad client ignored", rule: rules.BadClients,
 			more: "\n[[demand.bad]]\nat = \"1s\"\nfor = \"2s\"\nrate = 5.0\nkind = \"garbage\"\n"},
 		{mode: "crash", rule: rules.ProcessRuns},
 	} {
--- a/rehearsal/trial/sweep.go
+++ b/rehearsal/trial/sweep.go
@@ -159,13 +159,13 @@
 	type cell struct{ flows, rejected float64 }
 	cells := map[[2]int]*cell{}
 	for _, f := range r.Flows {
-		word, _ := f.Answer()
+		outcome, _ := f.Answer()
 		c := cells[[2]int{f.Type, f.Node}]
 		if c == nil {
 			c = &cell{}
 			cells[[2]int{f.Type, f.Node}] = c
 		}
-		if c.flows++; word == "rejected" {
+		if c.flows++; outcome == "rejected" {
 			c.rejected++
 		}
 	}
--- a/rehearsal/virtual/virtual_test.go
+++ b/rehearsal/virtual/virtual_test.go
@@ -77,11 +77,11 @@
 	afterRestart, onColdHost := 0, 0
 	for seed := range 5 {
 		for _, f := range playChecked(t, "node-restart-cold-host", fmt.Sprintf("seed=%d", seed+1)).Flows {
-			word, at := f.Answer()
-			if word == "established" && f.Node == 0 && at > 24_000_000 {
+			outcome, at := f.Answer()
+			if outcome == "established" && f.Node == 0 && at > 24_000_000 {
 				afterRestart++
 			}
-			if word == "established" && f.Host == 3 && at > 15_000_000 && at < 37_000_000 {
+			if outcome == "established" && f.Host == 3 && at > 15_000_000 && at < 37_000_000 {
 				onColdHost++
 			}
 		}
@@ -157,9 +157,9 @@
 		`faults=[{at="1s",kind="node_starve",nodes=["n-0"],size=0.95,for="1s"}]`)
 	var before, during []int64
 	for _, f := range r.Flows {
-		if word, at := f.Answer(); word == "established" && at < 1_000_000 {
+		if outcome, at := f.Answer(); outcome == "established" && at < 1_000_000 {
 			before = append(before, f.Establish)
-		} else if word == "established" && at > 1_050_000 && at < 2_000_000 {
+		} else if outcome == "established" && at > 1_050_000 && at < 2_000_000 {
 			during = append(during, f.Establish)
 		}
 	}
@@ -265,7 +265,7 @@
 	r := playChecked(t, "overload")
 	var bySecond [9]int
 	for _, f := range r.Flows {
-		if word, at := f.Answer(); word == "established" && at < 9_000_000 {
+		if outcome, at := f.Answer(); outcome == "established" && at < 9_000_000 {
 			bySecond[at/1_000_000]++
 		}
 	}
