--- a/rehearsal/live/live.go
+++ b/rehearsal/live/live.go
@@ -80,8 +80,8 @@
 }
 
 // Play plays a script to its end and returns the record of the run. It fails if the script is too large or needs virtual time,
-// if an address, file or process cannot be had, or if not every node answers in time. If the machine ran late, Void of the
-// record says so.
+// if an address, file or process cannot be had, or if not every node answers in time. If the machine ran late, the record says
+// that the run is void.
 func Play(s *scenario.Script, opt Options) (*record.Run, error) {
 	if n := s.NodeCount() * s.HostCount(); n > maxNodeHostPairs {
 		return nil, fmt.Errorf("%d nodes and %d hosts are too many for one machine: %d pairs at most", s.NodeCount(),
--- a/rehearsal/record/record.go
+++ b/rehearsal/record/record.go
@@ -176,7 +176,7 @@
 // Type is a service type with its requirements.
 type Type struct {
 	Name                     string
-	Target, Timeout, Message int64 // setup target, connect timeout and message target
+	Target, Timeout, Message int64
 	Benefit                  float64
 	Effect, Scope            string
 	Window                   int64
@@ -187,15 +187,23 @@
 	Wanted, Served []float64
 }
 
-// Counts are the counts of a whole run. Wishes are the connections that clients want, Tries their requests with retries,
-// Breaks established flows that were closed without a MOVE, Wasted set-ups whose result nobody used, and Falls cold hosts
-// that were overloaded.
+// Counts are the counts of a whole run.
 type Counts struct {
-	Wishes, Tries, Connects, Probes, Moves, Breaks, Crossings, Wasted, Falls int
-	Events                                                                   uint64
-	Unsent                                                                   int     // connects that failed before they were sent; in virtual time only
-	Datagrams, DatagramBytes                                                 int     // between nodes
-	Work, WorkWasted                                                         float64 // of hosts, core-microseconds
+	Wishes        int // connections that clients wanted
+	Tries         int // their requests, with retries
+	Connects      int
+	Probes        int
+	Moves         int
+	Breaks        int // established flows that were closed without a MOVE
+	Crossings     int // flows established in another zone than that of their node
+	Wasted        int // set-ups whose connect had been given up
+	Falls         int // cold hosts that were overloaded
+	Events        uint64
+	Unsent        int     // connects that failed before they were sent; in virtual time only
+	Datagrams     int     // between nodes
+	DatagramBytes int     // between nodes
+	Work          float64 // of hosts, core-microseconds
+	WorkWasted    float64 // of hosts, on wasted set-ups, core-microseconds
 }
 
 // Run is the record of one rehearsal.
@@ -281,13 +289,13 @@
 	return all
 }
 
-// Figures are the summary of a run.
+// Figures is the summary of a run.
 type Figures struct {
 	Service    float64        // benefit served over benefit requested
 	Worst10    float64        // lowest service of any ten seconds in a row
 	WorstType  float64        // lowest service of a service type
 	ByType     []float64      // service by service type
-	Answers    map[string]int // flows by their answer, as Flow.Answer returns it
+	Answers    map[string]int // flows by their outcome
 	Setups     [][]int64      // sorted durations from the client's line to UP, by service type
 	LateShare  []float64      // share of the set-ups that took longer than the target, by service type
 	PerFlow    float64        // connects a flow
