--- a/rehearsal/baseline/baseline.go
+++ b/rehearsal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has simple ways to choose a server, for comparison in rehearsals and nothing else: random, round
-// robin, least own connections, best of two. They keep the list, the watch and the retries that any of them needs, and
-// know nothing of rankings, warm-up, groups or loads.
+// Package baseline has simple policies to choose a server, for comparison in rehearsals only: random, round robin, least
+// own connections, and the better of two random servers. They handle the list, the list watch and retries, and know nothing
+// of rankings, warm-up, groups or loads.
 package baseline
 
 import (
@@ -14,192 +14,210 @@
 	"coursewinch/settings"
 )
 
-// Names are the baselines there are.
+// Names are the names of all baselines.
 var Names = []string{"random", "round-robin", "least-connections", "two-choices"}
 
-// server is what a baseline keeps of one.
+// server is a server with the number of flows that this node has there.
 type server struct {
-	s     *balance.Server
-	flows int
+	server *balance.Server
+	flows  int
 }
 
-// decider is a node.Decider.
+// decider implements node.Decider with one of the policies.
 type decider struct {
-	set     *settings.Settings
-	rng     *rand.Rand
-	pick    func(d *decider, from []*server) *server
-	out     balance.Writer
-	now     int64
-	servers []*server
-	of      map[*balance.Server]*server
-	last    int
-	failed  map[*balance.Flow][]*balance.Server
-	sentTo  map[*balance.Flow]*server
-	maybe   map[*balance.Flow]*balance.Server // that may have run it first
-	askAt   int64
-	watched bool
-	whole   bool // the list being read is a whole one
-	alarm   int64
+	settings        *settings.Settings
+	rng             *rand.Rand
+	pick            func(d *decider, candidates []*server) *server
+	writer          balance.Writer
+	now             int64
+	servers         []*server
+	byServer        map[*balance.Server]*server
+	lastIndex       int
+	failed          map[*balance.Flow][]*balance.Server
+	current         map[*balance.Flow]*server
+	mayHaveRun      map[*balance.Flow]*balance.Server // first server that may have run the set-up
+	nextCallAt      int64                             // time of the next list call, while there is no list
+	listReceived    bool
+	readingComplete bool // the list being read is complete
+	alarmAt         int64
 }
 
-// New gives the maker of a baseline's deciders.
+// New returns a function that makes deciders of the named baseline, from a node's settings and seed. It fails if there is no
+// such baseline.
 func New(name string) (func(*settings.Settings, int64) node.Decider, error) {
 	pick, ok := map[string]func(*decider, []*server) *server{
-		"random":            func(d *decider, from []*server) *server { return from[d.rng.Intn(len(from))] },
+		"random":            func(d *decider, candidates []*server) *server { return candidates[d.rng.Intn(len(candidates))] },
 		"round-robin":       roundRobin,
-		"least-connections": func(_ *decider, from []*server) *server { return slices.MinFunc(from, fewer) },
+		"least-connections": func(_ *decider, candidates []*server) *server { return slices.MinFunc(candidates, compareByFlows) },
 		"two-choices":       twoChoices,
 	}[name]
 	if !ok {
 		return nil, fmt.Errorf("baseline %q is unknown: one of %v", name, Names)
 	}
 	return func(set *settings.Settings, seed int64) node.Decider {
-		return &decider{set: set, rng: rand.New(rand.NewSource(seed)), pick: pick, of: map[*balance.Server]*server{},
-			failed: map[*balance.Flow][]*balance.Server{}, sentTo: map[*balance.Flow]*server{},
-			maybe: map[*balance.Flow]*balance.Server{}}
+		return &decider{settings: set, rng: rand.New(rand.NewSource(seed)), pick: pick, byServer: map[*balance.Server]*server{},
+			failed: map[*balance.Flow][]*balance.Server{}, current: map[*balance.Flow]*server{},
+			mayHaveRun: map[*balance.Flow]*balance.Server{}}
 	}, nil
 }
 
-func fewer(x, y *server) int {
-	return cmp.Or(cmp.Compare(float64(x.flows)/x.s.Size, float64(y.flows)/y.s.Size), cmp.Compare(x.s.Name, y.s.Name))
+// compareByFlows orders servers by their flows over their size, then by name.
+func compareByFlows(x, y *server) int {
+	return cmp.Or(cmp.Compare(float64(x.flows)/x.server.Size, float64(y.flows)/y.server.Size), cmp.Compare(x.server.Name, y.server.Name))
 }
 
-func roundRobin(d *decider, from []*server) *server {
-	d.last++
-	return from[d.last%len(from)]
+// roundRobin picks the servers in turn.
+func roundRobin(d *decider, candidates []*server) *server {
+	d.lastIndex++
+	return candidates[d.lastIndex%len(candidates)]
 }
 
-func twoChoices(d *decider, from []*server) *server {
-	x, y := from[d.rng.Intn(len(from))], from[d.rng.Intn(len(from))]
-	if fewer(y, x) < 0 {
+// twoChoices picks the one of two random servers that has fewer flows for its size.
+func twoChoices(d *decider, candidates []*server) *server {
+	x, y := candidates[d.rng.Intn(len(candidates))], candidates[d.rng.Intn(len(candidates))]
+	if compareByFlows(y, x) < 0 {
 		return y
 	}
 	return x
 }
 
-func (d *decider) Round(now int64, in func(), out balance.Writer) {
-	d.now, d.out = now, out
-	in()
-	if !d.watched && now >= d.askAt {
-		d.askAt = now + d.set.AskWithin/2
-		out.Watch()
+// Round handles the input of a loop iteration, and asks for the list while there is none.
+func (d *decider) Round(now int64, handleInput func(), writer balance.Writer) {
+	d.now, d.writer = now, writer
+	handleInput()
+	if !d.listReceived && now >= d.nextCallAt {
+		d.nextCallAt = now + d.settings.AskWithin/2
+		writer.Watch()
 	}
-	if next := max(d.askAt, now+1000); !d.watched && d.alarm != next {
-		d.alarm = next
-		out.Alarm(next)
+	if next := max(d.nextCallAt, now+1000); !d.listReceived && d.alarmAt != next {
+		d.alarmAt = next
+		writer.Alarm(next)
 	}
 }
 
+// Tick does nothing: Round handles what is due.
 func (d *decider) Tick() {}
 
+// List begins a list. After a refused list call the next one follows in half a second to a second.
 func (d *decider) List(kind balance.ListKind) {
 	switch kind {
 	case balance.Refused:
-		d.watched = false
-		d.askAt = d.now + 500_000 + d.rng.Int63n(500_000)
+		d.listReceived = false
+		d.nextCallAt = d.now + 500_000 + d.rng.Int63n(500_000)
 		return
 	case balance.Remembered:
 	default:
-		d.watched = true
+		d.listReceived = true
 	}
-	if d.whole = kind == balance.Whole; d.whole {
+	if d.readingComplete = kind == balance.Whole; d.readingComplete {
 		for _, v := range d.servers {
-			v.s.Seen = false
+			v.server.Seen = false
 		}
 	}
 }
 
+// Entry handles an entry of the list.
 func (d *decider) Entry(s *balance.Server, state balance.State, size float64, started int64) {
 	s.State, s.Size, s.Started, s.Seen = state, size, started, true
-	if d.of[s] == nil && state != balance.Removed {
-		d.of[s] = &server{s: s}
-		d.servers = append(d.servers, d.of[s])
+	if d.byServer[s] == nil && state != balance.Removed {
+		d.byServer[s] = &server{server: s}
+		d.servers = append(d.servers, d.byServer[s])
 	}
 	if state == balance.Removed {
 		d.remove(s)
 	}
 }
 
+// remove forgets a server.
 func (d *decider) remove(s *balance.Server) {
 	s.State = balance.Removed
-	delete(d.of, s)
-	d.servers = slices.DeleteFunc(d.servers, func(v *server) bool { return v.s == s })
+	delete(d.byServer, s)
+	d.servers = slices.DeleteFunc(d.servers, func(v *server) bool { return v.server == s })
 }
 
+// ListEnd ends a list. Servers that a complete list does not name are removed.
 func (d *decider) ListEnd(balance.ListKind) {
-	if !d.whole {
+	if !d.readingComplete {
 		return
 	}
-	d.whole = false
+	d.readingComplete = false
 	for _, v := range slices.Clone(d.servers) {
-		if !v.s.Seen {
-			d.remove(v.s)
+		if !v.server.Seen {
+			d.remove(v.server)
 		}
 	}
 }
 
+// Demand connects a flow to a server that has not failed it yet, or rejects or aborts the flow.
 func (d *decider) Demand(f *balance.Flow) {
-	var from []*server
-	for _, v := range d.servers {
-		if v.s.State == balance.Up && !slices.Contains(d.failed[f], v.s) {
-			from = append(from, v)
+	var candidates []*server
+	for _, chosen := range d.servers {
+		if chosen.server.State == balance.Up && !slices.Contains(d.failed[f], chosen.server) {
+			candidates = append(candidates, chosen)
 		}
 	}
-	ran := d.maybe[f]
-	// Rules are kept by baselines too: what may have run goes on only where a repeat is harmless.
-	again := ran == nil || f.Type.Effect == balance.Repeatable ||
+	firstRun := d.mayHaveRun[f]
+	// Baselines keep the rules too: a set-up that may have run is repeated only where a repeat is harmless.
+	mayRepeat := firstRun == nil || f.Type.Effect == balance.Repeatable ||
 		f.Type.Effect == balance.Referenced && f.Type.Scope == balance.ScopeAll
-	if len(from) == 0 || f.Tries >= d.set.MaxConnects || f.Deadline <= d.now || !again {
-		d.forget(f)
-		if again {
-			d.out.Reject(f, d.set.MaxWait/2)
+	if len(candidates) == 0 || f.Tries >= d.settings.MaxConnects || f.Deadline <= d.now || !mayRepeat {
+		d.forgetFlow(f)
+		if mayRepeat {
+			d.writer.Reject(f, d.settings.MaxWait/2)
 		} else {
-			d.out.Abort(f)
+			d.writer.Abort(f)
 		}
 		return
 	}
-	v := d.pick(d, from)
-	v.flows++
-	d.sentTo[f] = v
+	chosen := d.pick(d, candidates)
+	chosen.flows++
+	d.current[f] = chosen
 	f.Tries++
-	left := f.Deadline - d.now
-	if f.Tries < d.set.MaxConnects {
-		left = min(left, max(f.Type.SetupTarget, left/3))
+	timeout := f.Deadline - d.now
+	if f.Tries < d.settings.MaxConnects {
+		timeout = min(timeout, max(f.Type.SetupTarget, timeout/3))
 	}
-	d.out.Connect(f, v.s, left)
+	d.writer.Connect(f, chosen.server, timeout)
 }
 
-func (d *decider) forget(f *balance.Flow) {
+// forgetFlow drops what is kept for the connects of a flow.
+func (d *decider) forgetFlow(f *balance.Flow) {
 	delete(d.failed, f)
-	delete(d.maybe, f)
+	delete(d.mayHaveRun, f)
 }
 
+// Opened adopts a flow that is established already.
 func (d *decider) Opened(f *balance.Flow, s *balance.Server) {
-	if v := d.of[s]; v != nil {
+	if v := d.byServer[s]; v != nil {
 		v.flows++
-		d.sentTo[f] = v
+		d.current[f] = v
 	}
 }
 
-func (d *decider) Established(f *balance.Flow, _ int64) { d.forget(f) }
+// Established ends the connects of a flow.
+func (d *decider) Established(f *balance.Flow, _ int64) { d.forgetFlow(f) }
 
-func (d *decider) Ended(f *balance.Flow, s *balance.Server, end balance.Outcome, _ int64, over bool) {
-	if v := d.sentTo[f]; v != nil {
+// Ended handles the end of a connect or of an established flow. Unless the flow is finished, it is connected again.
+func (d *decider) Ended(f *balance.Flow, s *balance.Server, outcome balance.Outcome, _ int64, finished bool) {
+	if v := d.current[f]; v != nil {
 		v.flows--
-		delete(d.sentTo, f)
+		delete(d.current, f)
 	}
-	if over {
-		d.forget(f)
+	if finished {
+		d.forgetFlow(f)
 		return
 	}
-	if end != balance.Saturated && end != balance.Unreachable && end != balance.Superseded && d.maybe[f] == nil {
-		d.maybe[f] = s
+	if outcome != balance.Saturated && outcome != balance.Unreachable && outcome != balance.Superseded && d.mayHaveRun[f] == nil {
+		d.mayHaveRun[f] = s
 	}
 	d.failed[f] = append(d.failed[f], s)
 	d.Demand(f)
 }
 
-func (d *decider) Expired(f *balance.Flow) { d.forget(f) }
+// Expired drops a flow whose deadline has passed.
+func (d *decider) Expired(f *balance.Flow) { d.forgetFlow(f) }
+
+// Baselines use neither loads, reports, groups, delays nor probes.
 
 func (d *decider) Load(*balance.Flow, float64)                    {}
 func (d *decider) Reported(*balance.Server, float64, bool)        {}
--- a/rehearsal/live/process.go
+++ b/rehearsal/live/process.go
@@ -16,26 +16,26 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// process is one node's.
+// process is the process of one node, with what the player keeps for its restarts.
 type process struct {
-	p     *player
-	no    int
-	addr  string
-	conf  string // its file
-	log   string
-	cmd   *exec.Cmd
-	life  int // counted at each start
-	share float64
-	admin string        // where operators reach it; empty: nowhere
-	links string        // where it hears other nodes; empty where it does not
-	twin  *exec.Cmd     // a second process under its name
-	pause chan struct{} // ends the thread that starves it
-	waits time.Duration // for a core, in lives that have ended
+	player       *player
+	index        int
+	addr         string
+	configFile   string
+	logFile      string
+	cmd          *exec.Cmd
+	generation   int           // of the process, counted at each start and kill
+	starvedShare float64       // share of its time that is taken from it
+	adminAddr    string        // for operators; empty if there is none
+	linkAddr     string        // for datagrams of other nodes; empty if it has no links
+	duplicate    *exec.Cmd     // a second process under its name
+	stopStarving chan struct{} // ends the goroutine that starves it
+	pastCPUWait  time.Duration // waiting for a core, of earlier generations
 
-	gone chan struct{} // closed when the process has ended
+	exited chan struct{} // closed when the process has ended
 }
 
-// freePort finds a port at an address that nothing uses.
+// freePort finds a free TCP port at an IP address and returns both.
 func freePort(ip string) (string, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -45,156 +45,163 @@
 	return l.Addr().String(), nil
 }
 
+// fail keeps the first error of the run.
 func (p *player) fail(err error) {
 	if p.err == nil {
 		p.err = err
 	}
 }
 
-// Start writes a node's file and starts its process.
+// Start writes a node's configuration file and starts its process.
 func (p *player) Start(no int, conf fleet.Conf) {
 	n := p.nodes[no]
-	if err := os.WriteFile(n.conf, n.text(conf), 0o600); err != nil {
+	if err := os.WriteFile(n.configFile, n.configText(conf), 0o600); err != nil {
 		p.fail(err)
 		return
 	}
-	out, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	out, err := os.OpenFile(n.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		p.fail(err)
 		return
 	}
 	defer out.Close()
-	n.cmd = exec.Command(p.opt.Program)
-	n.cmd.Env = append(os.Environ(), "GW_CONFIG="+n.conf, "GW_NAME="+conf.Name, "GW_LISTEN="+conf.Listen,
+	n.cmd = exec.Command(p.options.Program)
+	n.cmd.Env = append(os.Environ(), "GW_CONFIG="+n.configFile, "GW_NAME="+conf.Name, "GW_LISTEN="+conf.Listen,
 		"GW_DISCOVERY="+conf.Discovery)
 	n.cmd.Stdout, n.cmd.Stderr = out, out
 	if err := n.cmd.Start(); err != nil {
 		p.fail(err)
 		return
 	}
-	n.life++
-	life, cmd, gone := n.life, n.cmd, make(chan struct{})
-	n.gone = gone
+	n.generation++
+	generation, cmd, exited := n.generation, n.cmd, make(chan struct{})
+	n.exited = exited
 	go func() {
 		err := cmd.Wait()
-		close(gone)
+		close(exited)
 		p.post(func() {
-			if n.life == life && n.cmd == cmd {
+			if n.generation == generation && n.cmd == cmd {
 				n.cmd = nil
-				p.w.Exited(no, fmt.Sprint(err))
+				p.world.Exited(no, fmt.Sprint(err))
 			}
 		})
 	}()
-	go n.await(gone, func() {
+	go n.awaitListening(exited, func() {
 		p.post(func() {
-			if n.life == life {
-				p.w.Ready(no)
+			if n.generation == generation {
+				p.world.Ready(no)
 			}
 		})
 	})
-	n.starve()
+	n.applyStarvation()
 }
 
-// text is the node's file; each of its lives has a capture of its own.
-func (n *process) text(conf fleet.Conf) []byte {
-	if n.p.opt.Capture == "" {
+// configText returns the node's configuration file. Each generation has a capture file of its own.
+func (n *process) configText(conf fleet.Conf) []byte {
+	if n.player.options.Capture == "" {
 		return []byte(conf.JSON)
 	}
-	file := filepath.Join(n.p.opt.Capture, fmt.Sprintf("n-%d.%d.capture", n.no, n.life))
+	file := filepath.Join(n.player.options.Capture, fmt.Sprintf("n-%d.%d.capture", n.index, n.generation))
 	return fmt.Appendf(nil, `%s,"capture":{"file":%q}}`, strings.TrimSuffix(conf.JSON, "}"), file)
 }
 
-// await waits for the process to listen.
-func (n *process) await(gone chan struct{}, then func()) {
+// awaitListening waits until the process listens, and gives up if it exits.
+func (n *process) awaitListening(exited chan struct{}, onListening func()) {
 	for {
 		c, err := net.DialTimeout("tcp", n.addr, time.Second)
 		if err == nil {
 			c.Close()
-			then()
+			onListening()
 			return
 		}
 		select {
-		case <-gone:
+		case <-exited:
 			return
-		case <-n.p.done:
+		case <-n.player.done:
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
+// signal sends a signal to the process if it runs.
 func (n *process) signal(s os.Signal) {
 	if n.cmd != nil && n.cmd.Process != nil {
 		n.cmd.Process.Signal(s)
 	}
 }
 
-func (p *player) Kill(no int) { p.nodes[no].end() }
+// Kill kills the process of a node.
+func (p *player) Kill(no int) { p.nodes[no].kill() }
 
-// end kills the process and waits for its end.
-func (n *process) end() {
+// kill kills the process and waits for its end.
+func (n *process) kill() {
 	if n.cmd == nil {
 		return
 	}
-	n.waits += n.waited()
+	n.pastCPUWait += n.cpuWait()
 	n.signal(syscall.SIGCONT)
 	n.signal(syscall.SIGKILL)
-	<-n.gone
+	<-n.exited
 	n.cmd = nil
-	n.life++
-	n.starve()
+	n.generation++
+	n.applyStarvation()
 }
 
+// Stop asks a node to stop.
 func (p *player) Stop(no int) { p.nodes[no].signal(syscall.SIGTERM) }
 
+// Reload replaces a node's configuration file and lets the node read it.
 func (p *player) Reload(no int, conf fleet.Conf) {
 	n := p.nodes[no]
-	if err := os.WriteFile(n.conf+".new", n.text(conf), 0o600); err != nil {
+	if err := os.WriteFile(n.configFile+".new", n.configText(conf), 0o600); err != nil {
 		p.fail(err)
 		return
 	}
-	if err := os.Rename(n.conf+".new", n.conf); err != nil {
+	if err := os.Rename(n.configFile+".new", n.configFile); err != nil {
 		p.fail(err)
 		return
 	}
 	n.signal(syscall.SIGHUP)
 }
 
-const starveStep = 20 * time.Millisecond
+// starvePeriod is the period in which a starved process is stopped and continued once.
+const starvePeriod = 20 * time.Millisecond
 
-// Starve takes a share of a node's time by stopping it for a part of each step.
+// Starve takes a share of a node's time, by stopping its process for that share of each period.
 func (p *player) Starve(no int, share float64) {
-	p.nodes[no].share = share
-	p.nodes[no].starve()
+	p.nodes[no].starvedShare = share
+	p.nodes[no].applyStarvation()
 }
 
-func (n *process) starve() {
-	if n.pause != nil {
-		close(n.pause)
-		n.pause = nil
+// applyStarvation ends the goroutine that starves the process, and starts one for the present share and process.
+func (n *process) applyStarvation() {
+	if n.stopStarving != nil {
+		close(n.stopStarving)
+		n.stopStarving = nil
 	}
-	if n.share == 0 || n.cmd == nil {
+	if n.starvedShare == 0 || n.cmd == nil {
 		return
 	}
-	stop, proc, share := make(chan struct{}), n.cmd.Process, n.share
-	n.pause = stop
+	stop, proc, share := make(chan struct{}), n.cmd.Process, n.starvedShare
+	n.stopStarving = stop
 	go func() {
-		still := time.Duration(share * float64(starveStep))
+		pauseTime := time.Duration(share * float64(starvePeriod))
 		for {
 			proc.Signal(syscall.SIGSTOP)
-			time.Sleep(still)
+			time.Sleep(pauseTime)
 			proc.Signal(syscall.SIGCONT)
 			select {
 			case <-stop:
 				return
-			case <-time.After(starveStep - still):
+			case <-time.After(starvePeriod - pauseTime):
 			}
 		}
 	}()
 }
 
-// cpu is what the process has used, in seconds; 0 where the system doesn't tell.
-func (n *process) cpu() float64 {
+// cpuSeconds returns the CPU seconds that the process has used, or 0 if the operating system does not report them.
+func (n *process) cpuSeconds() float64 {
 	if n.cmd == nil {
 		return 0
 	}
@@ -203,24 +210,24 @@
 		return 0
 	}
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
-	const utime, stime, perSecond = 11, 12, 100
+	const utime, stime, ticksPerSecond = 11, 12, 100
 	if len(fields) <= stime {
 		return 0
 	}
 	user, _ := strconv.Atoi(string(fields[utime]))
 	system, _ := strconv.Atoi(string(fields[stime]))
-	return float64(user+system) / perSecond
+	return float64(user+system) / ticksPerSecond
 }
 
-// waited is how long its threads could have run and had no core; 0 where the system doesn't tell. What a stopped process
-// misses is not in it.
-func (n *process) waited() (sum time.Duration) {
+// cpuWait returns how long the threads of the process could have run and had no core, or 0 if the operating system does not
+// report it. The time in which the process is stopped does not count.
+func (n *process) cpuWait() (sum time.Duration) {
 	if n.cmd == nil {
 		return 0
 	}
 	threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", n.cmd.Process.Pid))
 	for _, file := range threads {
-		text, _ := os.ReadFile(file) // a thread that has ended meanwhile counts for nothing
+		text, _ := os.ReadFile(file) // a thread that has ended meanwhile does not count
 		var ran, waited int64
 		if n, _ := fmt.Sscan(string(text), &ran, &waited); n == 2 {
 			sum += time.Duration(waited)
@@ -229,18 +236,20 @@
 	return sum
 }
 
-var panicsLine = regexp.MustCompile(`panics=(\d+)`)
+// panicsPattern matches the counter of panics in a log line.
+var panicsPattern = regexp.MustCompile(`panics=(\d+)`)
 
-// panics asks all nodes for their counters and sums their panics; a log that names none counts as none.
-func (p *player) panics() (total int) {
+// panicCount makes all nodes log their counters, and counts panics by them and crashes by a panic. A log without counters
+// counts as no panics.
+func (p *player) panicCount() (total int) {
 	for _, n := range p.nodes {
 		n.signal(syscall.SIGUSR1)
 	}
 	time.Sleep(100 * time.Millisecond)
 	for _, n := range p.nodes {
-		text, _ := os.ReadFile(n.log)
+		text, _ := os.ReadFile(n.logFile)
 		last := 0
-		for _, m := range panicsLine.FindAllSubmatch(text, -1) {
+		for _, m := range panicsPattern.FindAllSubmatch(text, -1) {
 			last, _ = strconv.Atoi(string(m[1]))
 			total = max(total, last)
 		}
@@ -251,10 +260,10 @@
 	return total
 }
 
-// logTail is the last line of the first node that wrote one, for an error's text.
+// logTail returns the last log line of the first node that wrote any, for error texts.
 func (p *player) logTail() string {
 	for _, n := range p.nodes {
-		text, _ := os.ReadFile(n.log)
+		text, _ := os.ReadFile(n.logFile)
 		if text = bytes.TrimSpace(text); len(text) > 0 {
 			return string(text[bytes.LastIndexByte(text, '\n')+1:])
 		}
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -11,85 +11,88 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// gate takes the connections of one node to one host, or to discovery.
-type gate struct {
-	p    *player
-	node int
-	addr string
-	l    net.Listener
+// listener accepts the connections of one node to one host, or to discovery.
+type listener struct {
+	player *player
+	node   int
+	addr   string
+	tcp    net.Listener
 }
 
-func newGate(p *player, node int, ip string) (*gate, error) {
+// newListener listens on a free port of an IP address.
+func newListener(p *player, node int, ip string) (*listener, error) {
 	l, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		return nil, err
 	}
-	return &gate{p: p, node: node, addr: l.Addr().String(), l: l}, nil
+	return &listener{player: p, node: node, addr: l.Addr().String(), tcp: l}, nil
 }
 
-// serve takes connections until the gate is closed.
-func (g *gate) serve() {
-	l := g.l
+// serve accepts connections until the listener is closed.
+func (g *listener) serve() {
+	l := g.tcp
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s := &sock{p: g.p, c: c.(*net.TCPConn), up: true}
-			g.p.post(func() {
-				s.conn = g.p.w.Dialed(g.node, g.addr, s)
-				s.read()
+			s := &socket{player: g.player, tcp: c.(*net.TCPConn), connected: true}
+			g.player.post(func() {
+				s.conn = g.player.world.Dialed(g.node, g.addr, s)
+				s.startReading()
 			})
 		}
 	}()
 }
 
-func (g *gate) close() {
-	if g.l != nil {
-		g.l.Close()
-		g.l = nil
+// close closes the listener if it is open.
+func (g *listener) close() {
+	if g.tcp != nil {
+		g.tcp.Close()
+		g.tcp = nil
 	}
 }
 
-// Listening closes a dead host's gates, so that connects to it are refused, and opens them again.
+// Listening closes the listeners of a dead host, so that connects to it are refused, and opens them again.
 func (p *player) Listening(host int, listening bool) {
-	for n := range p.hosts {
-		g := p.hosts[n][host]
+	for n := range p.hostListeners {
+		g := p.hostListeners[n][host]
 		switch {
 		case !listening:
 			g.close()
-		case g.l == nil:
+		case g.tcp == nil:
 			l, err := net.Listen("tcp", g.addr)
 			if err != nil {
 				p.fail(err)
 				return
 			}
-			g.l = l
+			g.tcp = l
 			g.serve()
 		}
 	}
 }
 
-// sock is one connection to a node. All but the queue belongs to the goroutine that plays the world.
-type sock struct {
-	p      *player
-	conn   *fleet.Conn
-	c      *net.TCPConn
-	up     bool
-	eof    bool // the node sends no more
-	ended  bool // we send no more
-	closed bool
+// socket is one connection to a node. The fields below the mutex, and connected, are guarded by it. The others belong to the
+// goroutine that plays the world.
+type socket struct {
+	player     *player
+	conn       *fleet.Conn
+	tcp        *net.TCPConn
+	connected  bool
+	readClosed bool // the node has closed its sending side
+	writeEnded bool // the world has closed its sending side
+	closed     bool
 
-	mu      sync.Mutex
-	queue   []byte // what the socket didn't take at once
-	writing bool   // a goroutine writes the queue
-	shut    bool   // the sending ends once the queue is empty
+	mu            sync.Mutex
+	queue         []byte // not yet written
+	writing       bool   // a goroutine writes the queue
+	closeWhenSent bool   // close the sending side when the queue is empty
 }
 
 // Arrive opens a client's connection.
 func (p *player) Arrive(c *fleet.Conn) bool {
-	s := &sock{p: p, conn: c}
+	s := &socket{player: p, conn: c}
 	c.Ref = s
 	addr := p.nodes[c.Node].addr
 	go func() {
@@ -98,75 +101,79 @@
 		p.post(func() {
 			if err != nil {
 				s.closed = true
-				p.w.Broke(c)
+				p.world.Broke(c)
 				return
 			}
-			s.c = got.(*net.TCPConn)
+			s.tcp = got.(*net.TCPConn)
 			if s.closed {
-				s.c.Close()
+				s.tcp.Close()
 				return
 			}
 			s.mu.Lock()
-			s.up = true
+			s.connected = true
 			s.flush()
 			s.mu.Unlock()
-			s.read()
+			s.startReading()
 		})
 	}()
 	return true
 }
 
-// read starts the goroutine that tells what the node sends.
-func (s *sock) read() {
-	p, c := s.p, s.c
+// startReading starts the goroutine that reports what the node sends.
+func (s *socket) startReading() {
+	p, c := s.player, s.tcp
 	go func() {
 		for {
 			b := make([]byte, 16<<10)
 			n, err := c.Read(b)
 			if n > 0 {
-				p.post(func() { p.w.Wrote(s.conn, b[:n]) })
+				p.post(func() { p.world.Wrote(s.conn, b[:n]) })
 			}
 			if err != nil {
-				p.post(func() { s.over(err) })
+				p.post(func() { s.handleReadError(err) })
 				return
 			}
 		}
 	}()
 }
 
-// over is that the node's side has ended.
-func (s *sock) over(err error) {
-	s.eof = true
+// handleReadError handles the end of the node's side: a close or a broken connection.
+func (s *socket) handleReadError(err error) {
+	s.readClosed = true
 	if !errors.Is(err, io.EOF) {
-		s.p.w.Broke(s.conn)
+		s.player.world.Broke(s.conn)
 		s.close()
 		return
 	}
-	if s.ended {
-		s.p.w.Closed(s.conn)
+	if s.writeEnded {
+		s.player.world.Closed(s.conn)
 		s.close()
 		return
 	}
-	s.p.w.Shut(s.conn)
+	s.player.world.Shut(s.conn)
 }
 
-func (s *sock) close() {
+// close closes the connection.
+func (s *socket) close() {
 	if s.closed {
 		return
 	}
 	s.closed = true
-	if s.c != nil {
-		s.c.Close()
+	if s.tcp != nil {
+		s.tcp.Close()
 	}
 }
 
+// Up does nothing: the operating system has accepted the connection already.
 func (p *player) Up(*fleet.Conn) {}
 
+// Refused resets a connection that the world refuses, since the operating system has accepted it already.
 func (p *player) Refused(c *fleet.Conn) { p.Broken(c) }
 
+// Bytes sends bytes to the node.
 func (p *player) Bytes(c *fleet.Conn, b []byte) {
-	s, ok := c.Ref.(*sock)
-	if !ok || s.closed || s.ended {
+	s, ok := c.Ref.(*socket)
+	if !ok || s.closed || s.writeEnded {
 		return
 	}
 	s.mu.Lock()
@@ -175,13 +182,14 @@
 	s.flush()
 }
 
-// flush writes what the socket takes at once; a goroutine writes the rest. The caller holds the lock.
-func (s *sock) flush() {
-	if s.writing || !s.up {
+// flush writes what the operating system accepts at once, and starts a goroutine that writes the rest. The caller holds the
+// lock.
+func (s *socket) flush() {
+	if s.writing || !s.connected {
 		return
 	}
 	if len(s.queue) > 0 {
-		raw, err := s.c.SyscallConn()
+		raw, err := s.tcp.SyscallConn()
 		if err != nil {
 			s.queue = nil
 			return
@@ -191,7 +199,7 @@
 			if n > 0 {
 				s.queue = s.queue[n:]
 			} else if err != nil && err != syscall.EAGAIN && err != syscall.EINTR {
-				s.queue = nil // the reader tells of it
+				s.queue = nil // the reader reports the error
 			}
 			return true
 		})
@@ -199,27 +207,28 @@
 	switch {
 	case len(s.queue) > 0:
 		s.writing = true
-		go s.write()
-	case s.shut:
-		s.c.CloseWrite()
+		go s.writeQueue()
+	case s.closeWhenSent:
+		s.tcp.CloseWrite()
 	}
 }
 
-func (s *sock) write() {
+// writeQueue writes the queue until it is empty.
+func (s *socket) writeQueue() {
 	for {
 		s.mu.Lock()
 		b := s.queue
 		s.queue = nil
 		if len(b) == 0 {
 			s.writing = false
-			if s.shut {
-				s.c.CloseWrite()
+			if s.closeWhenSent {
+				s.tcp.CloseWrite()
 			}
 			s.mu.Unlock()
 			return
 		}
 		s.mu.Unlock()
-		if _, err := s.c.Write(b); err != nil {
+		if _, err := s.tcp.Write(b); err != nil {
 			s.mu.Lock()
 			s.writing, s.queue = false, nil
 			s.mu.Unlock()
@@ -228,36 +237,38 @@
 	}
 }
 
+// End closes the sending side of the world's side of a connection, and the connection if the node's side is closed too.
 func (p *player) End(c *fleet.Conn) {
-	s, ok := c.Ref.(*sock)
-	if !ok || s.closed || s.ended {
-		return // its client had left before its connection came
+	s, ok := c.Ref.(*socket)
+	if !ok || s.closed || s.writeEnded {
+		return // the client left before it was connected
 	}
-	s.ended = true
-	if s.eof {
-		s.p.w.Closed(c)
+	s.writeEnded = true
+	if s.readClosed {
+		s.player.world.Closed(c)
 		s.mu.Lock()
-		waits := len(s.queue) > 0 || s.writing
-		s.shut = true
+		unsent := len(s.queue) > 0 || s.writing
+		s.closeWhenSent = true
 		s.mu.Unlock()
-		if !waits {
+		if !unsent {
 			s.close()
 		}
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shut = true
+	s.closeWhenSent = true
 	s.flush()
 }
 
+// Broken resets a connection.
 func (p *player) Broken(c *fleet.Conn) {
-	s, ok := c.Ref.(*sock)
+	s, ok := c.Ref.(*socket)
 	if !ok {
 		return
 	}
-	if s.c != nil && !s.closed {
-		s.c.SetLinger(0)
+	if s.tcp != nil && !s.closed {
+		s.tcp.SetLinger(0)
 	}
 	s.close()
 }
--- a/rehearsal/report/html.go
+++ b/rehearsal/report/html.go
@@ -16,18 +16,18 @@
 	"coursewinch/rehearsal/rules"
 )
 
-// Colours are for lines side by side, easy to tell apart also for colour-blind eyes.
+// Colours are the colours of lines in a plot. They can also be told apart by colour-blind readers.
 var Colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {230, 159, 0, 255}, {90, 90, 90, 255}, {0, 0, 0, 255}}
 
-// Line is one named line of a plot; Y has a value a second.
-type Line struct {
+// Series is one named line of a plot, with a value for each second.
+type Series struct {
 	Name string
 	Y    []float64
 }
 
-// SVG draws lines over seconds, as text that a page can hold.
-func SVG(title, y string, all []Line) (template.HTML, error) {
+// SVG draws lines over the seconds of a run, as SVG text to embed into a page.
+func SVG(title, y string, all []Series) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second", y
 	p.Legend.Top = true
@@ -52,7 +52,7 @@
 	return Draw(p, 24*vg.Centimeter, 9*vg.Centimeter)
 }
 
-// Draw gives a plot as SVG text without the head of a file.
+// Draw returns a plot as SVG text without the XML header.
 func Draw(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	w, err := p.WriterTo(width, height, "svg")
 	if err != nil {
@@ -69,7 +69,7 @@
 	return template.HTML(text), nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Sum.Script}}</title>
 <style>body{font-family:sans-serif;max-width:62rem;margin:1rem auto;padding:0 1rem}table{border-collapse:collapse}
 td,th{padding:.2rem .7rem;text-align:right;border-bottom:1px solid #ccc}td:first-child,th:first-child{text-align:left}
@@ -87,15 +87,16 @@
 </body></html>
 `))
 
+// typeRow is the row of a service type in the page's table.
 type typeRow struct {
 	Name    string
 	Service float64
 	Setup   Setup
 }
 
-// HTML writes a run as one page that opens without a network.
-func HTML(w io.Writer, r *record.Run, broken []rules.Breach) error {
-	sum := Of(r, broken)
+// HTML writes a run as one page that needs no other files.
+func HTML(w io.Writer, r *record.Run, breaches []rules.Breach) error {
+	sum := Of(r, breaches)
 	data := struct {
 		Sum    Sum
 		Types  []typeRow
@@ -105,92 +106,100 @@
 	for _, t := range r.Types {
 		data.Types = append(data.Types, typeRow{t.Name, sum.ByType[t.Name], sum.Setup[t.Name]})
 	}
-	for i, b := range broken {
-		if i == 20 {
-			data.Broken = append(data.Broken, fmt.Sprintf("and %d more", len(broken)-i))
+	for i, b := range breaches {
+		if i == maxPageBreaches {
+			data.Broken = append(data.Broken, fmt.Sprintf("and %d more", len(breaches)-i))
 			break
 		}
 		data.Broken = append(data.Broken, b.Report(r))
 	}
 	for _, part := range []struct {
 		title, y string
-		lines    []Line
-	}{{"Service over time", "share of benefit", serviceLines(r)}, {"Load a host", "load over capacity", hostLines(r)},
-		{"Answers a second", "flows", answerLines(r)}} {
+		lines    []Series
+	}{{"Service over time", "share of benefit", serviceSeries(r)}, {"Load a host", "load over capacity", hostLoadSeries(r)},
+		{"Answers a second", "flows", answerSeries(r)}} {
 		svg, err := SVG(part.title, part.y, part.lines)
 		if err != nil {
 			return err
 		}
 		data.Plots = append(data.Plots, svg)
 	}
-	return page.Execute(w, data)
+	return pageTemplate.Execute(w, data)
 }
 
-func serviceLines(r *record.Run) []Line {
-	all := []Line{{Name: "all"}}
+// serviceSeries returns the share of the requested benefit that was served, of all service types and of each.
+func serviceSeries(r *record.Run) []Series {
+	all := []Series{{Name: "all"}}
 	for _, t := range r.Types {
-		all = append(all, Line{Name: t.Name})
+		all = append(all, Series{Name: t.Name})
 	}
 	for _, s := range r.Seconds {
 		wanted, served := 0.0, 0.0
 		for t := range r.Types {
 			wanted, served = wanted+s.Wanted[t], served+s.Served[t]
-			all[t+1].Y = append(all[t+1].Y, share(s.Served[t], s.Wanted[t]))
+			all[t+1].Y = append(all[t+1].Y, ratio(s.Served[t], s.Wanted[t]))
 		}
-		all[0].Y = append(all[0].Y, share(served, wanted))
+		all[0].Y = append(all[0].Y, ratio(served, wanted))
 	}
 	return all
 }
 
-func share(x, of float64) float64 {
-	if of == 0 {
+// ratio returns the share of a part in a whole, or 1 if the whole is 0.
+func ratio(part, whole float64) float64 {
+	if whole == 0 {
 		return 1
 	}
-	return x / of
+	return part / whole
 }
 
-const mostHosts = 16 // lines of the plot; of more hosts, the most loaded
+const (
+	maxPageBreaches = 20
+	maxPlottedHosts = 16 // of more hosts, the most loaded ones are plotted
+	maxPlottedLoad  = 3  // load over capacity
+)
 
-func hostLines(r *record.Run) []Line {
-	var all []Line
+// hostLoadSeries returns the load of hosts.
+func hostLoadSeries(r *record.Run) []Series {
+	var all []Series
 	for _, h := range r.Hosts {
 		load := make([]float64, len(h.Load))
 		for i, v := range h.Load {
-			load[i] = min(v, 3)
+			load[i] = min(v, maxPlottedLoad)
 		}
 		if len(load) > 0 {
-			all = append(all, Line{h.Name, load})
+			all = append(all, Series{h.Name, load})
 		}
 	}
-	if len(all) > mostHosts {
-		slices.SortStableFunc(all, func(x, y Line) int {
+	if len(all) > maxPlottedHosts {
+		slices.SortStableFunc(all, func(x, y Series) int {
 			if slices.Max(x.Y) > slices.Max(y.Y) {
 				return -1
 			}
 			return 1
 		})
-		all = all[:mostHosts]
+		all = all[:maxPlottedHosts]
 	}
 	return all
 }
 
-func answerLines(r *record.Run) []Line {
-	by := map[string][]float64{}
+// answerSeries returns how many flows had each outcome.
+func answerSeries(r *record.Run) []Series {
+	byOutcome := map[string][]float64{}
 	for _, f := range r.Flows {
-		word, at := f.Answer()
+		outcome, at := f.Answer()
 		second := int(at / 1e6)
 		if at < 0 || second > int(r.Length/1e6) {
 			continue
 		}
-		if by[word] == nil {
-			by[word] = make([]float64, r.Length/1e6+1)
+		if byOutcome[outcome] == nil {
+			byOutcome[outcome] = make([]float64, r.Length/1e6+1)
 		}
-		by[word][second]++
+		byOutcome[outcome][second]++
 	}
-	var all []Line
-	for _, word := range answerWords {
-		if y := by[word]; y != nil {
-			all = append(all, Line{word, y})
+	var all []Series
+	for _, outcome := range outcomeOrder {
+		if y := byOutcome[outcome]; y != nil {
+			all = append(all, Series{outcome, y})
 		}
 	}
 	return all
--- a/rehearsal/trial/text.go
+++ b/rehearsal/trial/text.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Text writes an experiment as a table a script.
-func Text(w io.Writer, cells []Cell, seeds int) {
-	width := 8
-	for _, c := range cells {
+// Text writes the results of an experiment for people, as one table for each script.
+func Text(w io.Writer, results []Result, seeds int) {
+	width := 8 // of the first column
+	for _, c := range results {
 		width = max(width, len(c.Variant))
 	}
 	script := ""
-	for _, c := range cells {
+	for _, c := range results {
 		if c.Script != script {
 			script = c.Script
 			fmt.Fprintf(w, "\n%s, %d seeds\n  %-*s %8s %26s %9s %9s %9s %9s %7s %7s %8s  %s\n", script, seeds, width, "",
@@ -25,18 +25,19 @@
 		}
 		fmt.Fprintf(w, "  %-*s %8.3f %26s %9.3f %9.3f %9.2f %9.2f %7.3f %7.3f %8.3f  %s\n", width, c.Variant, c.Mean["service"],
 			diff, c.Mean["worst_10s"], c.Mean["worst_type"], c.Mean["connects"], c.Mean["crossings"], c.Mean["moves"],
-			c.Mean["breaks"], c.Mean["rejected"], broken(c))
+			c.Mean["breaks"], c.Mean["rejected"], breachSummary(c))
 	}
 }
 
-func broken(c Cell) string {
-	var names []string
+// breachSummary returns the broken rules of a result, each with the number of its breaches.
+func breachSummary(c Result) string {
+	var broken []string
 	for rule := range c.Breaches {
-		names = append(names, rule)
+		broken = append(broken, rule)
 	}
-	slices.Sort(names)
+	slices.Sort(broken)
 	text := ""
-	for i, rule := range names {
+	for i, rule := range broken {
 		if i > 0 {
 			text += ", "
 		}
