--- a/rehearsal/virtual/limits_test.go
+++ b/rehearsal/virtual/limits_test.go
@@ -16,7 +16,8 @@
 		"node.admission={rate=20.0,burst=10.0}", "cluster.on=true", `demand.loops=[{at="5s",for="20s",count=16,one_address=true}]`}, changes...)...)
 }
 
-// establishedTimes returns when the flows of the loop were established. They are recognized by their load of 0.01.
+// establishedTimes returns when the flows of the loop were established. They are recognized by their load
+// of 0.01, which is next to nothing.
 func establishedTimes(r *record.Run) (all []int64) {
 	for _, f := range r.Flows {
 		if outcome, at := f.Answer(); f.Load == 0.01 && outcome == "established" {
