--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -29,7 +29,7 @@
 // newSteppedNode returns a node whose loop holds at most room sockets, with these hosts on its list.
 func newSteppedNode(t *testing.T, room int, hosts ...*fakeHost) *steppedNode {
 	t.Helper()
-	set, err := settings.JSON([]byte(settingsText))
+	set, err := settings.ParseJSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		n.t.Fatal(err)
 	}
 	n.now += us
-	n.Turn(n.now, n.loop.Dispatch)
+	n.RunIteration(n.now, n.loop.Dispatch)
 }
 
 // stepUntil runs iterations, which advance the clock by a microsecond each, until done returns true.
@@ -72,7 +72,7 @@
 			n.t.Fatal(err)
 		}
 		n.now++
-		n.Turn(n.now, n.loop.Dispatch)
+		n.RunIteration(n.now, n.loop.Dispatch)
 	}
 }
 
@@ -138,8 +138,8 @@
 	n.loop.RefuseQueued(refusalTimeout)
 	wantAll(t, idle, "BUSY\r\n")
 	wantAll(t, asked, "BUSY\r\n")
-	if n.Count.Taken != 0 || n.Count.Connects != 0 {
-		t.Fatal("a request after the last answer was accepted", n.Count.Taken, n.Count.Connects)
+	if n.Count.Requests != 0 || n.Count.Connects != 0 {
+		t.Fatal("a request after the last answer was accepted", n.Count.Requests, n.Count.Connects)
 	}
 }
 
@@ -162,7 +162,7 @@
 	writeAndAwait(t, idle, fmt.Sprintf(openLine, 3))
 	n.loop.SetMaxSockets(n.loop.MaxSockets() - n.loop.Room()) // no descriptor is left
 	n.now += 1000
-	n.Turn(n.now, func() { n.Spare() }) // asks for room for one more client; input is not read in this iteration
+	n.RunIteration(n.now, func() { n.CanAccept() }) // asks for room for one more client; input is not read in this iteration
 	if n.Count.Shed != 2 {
 		t.Fatal("connections shed:", n.Count.Shed)
 	}
@@ -193,8 +193,8 @@
 		n.stepUntil("accepted", func() bool { return n.Count.Accepted == 1 })
 		writeAndAwait(t, c, fmt.Sprintf(openLine, 10+i))
 		leave(c)
-		n.stepUntil("left", func() bool { return n.Count.Left == 1 })
-		if n.Count.Connects != 0 || n.Count.Taken != 1 {
+		n.stepUntil("left", func() bool { return n.Count.ClientsLeft == 1 })
+		if n.Count.Connects != 0 || n.Count.Requests != 1 {
 			t.Fatal("a connect was made for a client that left", n.Count.Connects)
 		}
 	}
--- a/cmd/coursewinch/handover.go
+++ b/cmd/coursewinch/handover.go
@@ -99,7 +99,7 @@
 func (h *handoverManager) peerGone() {
 	h.loop.SetMaxSockets(h.maxSockets)
 	h.setMemoryShare(1)
-	if h.node.OtherGone() {
+	if h.node.PeerProcessGone() {
 		h.loop.SetAccepting(true)
 		h.listenForSuccessor()
 	}
@@ -112,7 +112,7 @@
 		log.Print(`msg=handover_off why="TMPDIR is not set"`)
 		return h.loop.Listen(h.listen, true)
 	}
-	h.socketPath = handover.Path(folder, h.name, h.listen)
+	h.socketPath = handover.SocketPath(folder, h.name, h.listen)
 	link, state, fd, err := h.callPredecessor()
 	if err == nil {
 		address := netip.AddrPort{}
@@ -133,18 +133,18 @@
 	return address, err
 }
 
-// other is the peer process at the other end of a link.
-type other struct {
+// peerProcess is the peer process at the other end of a link.
+type peerProcess struct {
 	manager *handoverManager
 	link    *handover.Link
 }
 
-// Tell sends a message without waiting.
-func (p *other) Tell(m *handover.Message) { p.link.Send(m) }
+// Send sends a message without waiting.
+func (p *peerProcess) Send(m *handover.Message) { p.link.Send(m) }
 
-// Give sends a message with the sockets of connections, which the peer process owns from then on. It returns false if they
+// HandOver sends a message with the sockets of connections, which the peer process owns from then on. It returns false if they
 // cannot be sent now.
-func (p *other) Give(m *handover.Message, conns ...uint64) bool {
+func (p *peerProcess) HandOver(m *handover.Message, conns ...uint64) bool {
 	loop := p.manager.loop
 	fds := make([]int, len(conns))
 	for i, id := range conns {
@@ -162,10 +162,10 @@
 	return true
 }
 
-// Take is called in the successor when it starts to accept connections.
-func (p *other) Take() {
+// TakeOver is called in the successor when it starts to accept connections.
+func (p *peerProcess) TakeOver() {
 	p.manager.loop.SetAccepting(true)
-	p.Tell(&handover.Message{Take: true})
+	p.Send(&handover.Message{Take: true})
 	p.manager.listenForSuccessor()
 }
 
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -28,9 +28,9 @@
 
 // Descriptors besides the loop's sockets.
 const (
-	ownDescriptors      = 16                  // standard ones, epoll, the eventfd, the runtime's own, and the listener
-	operatorDescriptors = node.CallPlaces + 8 // operators' listener and connections, and what a handover takes
-	peerDescriptors     = 1                   // the datagram socket
+	ownDescriptors      = 16                        // standard ones, epoll, the eventfd, the runtime's own, and the listener
+	operatorDescriptors = node.MaxOperatorConns + 8 // operators' listener and connections, and what a handover takes
+	peerDescriptors     = 1                         // the datagram socket
 )
 
 // Times in microseconds.
@@ -101,7 +101,7 @@
 		}
 		defer func() {
 			w.Close()
-			log.Printf("msg=captured dropped=%d stopped=%q", w.Dropped.Load(), w.Why())
+			log.Printf("msg=captured dropped=%d stopped=%q", w.Dropped.Load(), w.StopReason())
 		}()
 		nodeConfig.Capture = w
 	}
@@ -182,7 +182,7 @@
 			Reserve:    c.Admission.Reserve,
 		},
 		Limits: node.Limits{
-			Wide:    int(c.Limits.Memory << 20 / wideRingShare / lines.WideSize),
+			Wide:    int(c.Limits.Memory << 20 / wideRingShare / lines.WideRingSize),
 			Hosts:   c.Holding.Hosts,
 			Groups:  c.Holding.Groups,
 			IDs:     c.Holding.IDs,
@@ -192,7 +192,7 @@
 		},
 	}
 	if len(c.peerAddresses) > 0 {
-		nodeConfig.Tell = func(datagram []byte) {
+		nodeConfig.Broadcast = func(datagram []byte) {
 			for _, to := range p.config.peerAddresses {
 				p.loop.SendDatagram(to, datagram)
 			}
@@ -230,7 +230,7 @@
 		// Datagrams from an address that the file does not name are ignored.
 		address, err := p.loop.ListenDatagrams(c.Peers.Listen, false, func(from netip.AddrPort, datagram []byte) {
 			if slices.Contains(p.config.peerAddresses, from) {
-				p.handler.Heard(datagram)
+				p.handler.ReceivePeerDatagram(datagram)
 			}
 		})
 		if err != nil {
@@ -252,7 +252,7 @@
 // because two processes under one name would vote twice. A successor waits until the predecessor closes it.
 func (p *process) listenCluster() error {
 	address, err := p.loop.ListenDatagrams(p.config.Cluster.Listen, len(p.config.fleetLimits) > 0, func(from netip.AddrPort, datagram []byte) {
-		p.handler.HeardFrom(slices.Index(p.config.clusterAddresses, from), datagram)
+		p.handler.ReceiveClusterDatagram(slices.Index(p.config.clusterAddresses, from), datagram)
 	})
 	if errors.Is(err, epoll.ErrAddressTaken) && p.config.Admin != "" {
 		p.clusterState, p.rebindAt = "waiting", p.now()+rebindInterval
@@ -270,7 +270,7 @@
 	var lag epoll.Lag
 	for !p.handler.Done() {
 		start, timeout := p.now(), int64(-1)
-		if next, ok := p.handler.Next(); ok {
+		if next, ok := p.handler.NextDeadline(); ok {
 			timeout = max(next-start, 0)
 		}
 		if p.handler.Measuring() && (timeout < 0 || timeout > measuringWait) {
@@ -288,8 +288,8 @@
 		if len(p.config.fleetLimits) > 0 && p.handler.Yielded() {
 			p.loop.CloseDatagrams()
 		}
-		p.handler.Late(lag.WaitEnded(start, now, timeout, p.loop.EventsFull()))
-		p.handler.Turn(now, p.loop.Dispatch)
+		p.handler.ReportLateness(lag.WaitEnded(start, now, timeout, p.loop.EventsFull()))
+		p.handler.RunIteration(now, p.loop.Dispatch)
 	}
 	if !p.handler.HandedOver() {
 		p.loop.RefuseQueued(refusalTimeout)
--- a/cmd/coursewinch/predecessor.go
+++ b/cmd/coursewinch/predecessor.go
@@ -11,16 +11,16 @@
 // serveSuccessor sends a successor the state of this process, and handles its messages until either process ends.
 func (h *handoverManager) serveSuccessor(link *handover.Link) {
 	defer link.Close()
-	link.Within(stateTimeout)
+	link.SetTimeout(stateTimeout)
 	m, _, err := link.Receive()
 	if err != nil || m.Hello == nil || m.Hello.Name != h.name || m.Hello.Listen != h.listen {
 		return
 	}
-	successor := &other{h, link}
+	successor := &peerProcess{h, link}
 	var state *handover.State
 	ok := false
 	h.runInLoop(func() {
-		if state, ok = h.node.Heir(successor); ok {
+		if state, ok = h.node.BeginHandover(successor); ok {
 			givenRoom := h.loop.Room() * 3 / 4
 			h.loop.SetMaxSockets(h.loop.MaxSockets() - givenRoom)
 			state.Room = max(givenRoom-h.reservedDescriptors, minKeptSockets)
@@ -28,7 +28,7 @@
 		}
 	})
 	if !ok {
-		link.SendWait(&handover.Message{Refused: "another new version is at it"})
+		link.SendBlocking(&handover.Message{Refused: "another new version is at it"})
 		return
 	}
 	defer h.post(h.peerGone)
@@ -36,14 +36,14 @@
 		log.Printf("msg=handover_failed why=%q", err)
 		return
 	}
-	h.post(h.node.HeirKnows)
-	link.Within(takeoverTimeout) // this process has given sockets away, and must not wait for a successor that hangs
+	h.post(h.node.StateSent)
+	link.SetTimeout(takeoverTimeout) // this process has given sockets away, and must not wait for a successor that hangs
 	h.receiveFromSuccessor(successor)
 }
 
 // sendState sends the state in parts, the last one with the clients' listener.
 func (h *handoverManager) sendState(link *handover.Link, state *handover.State) error {
-	parts, err := state.Parts()
+	parts, err := state.Split()
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 		if i == len(parts)-1 {
 			fds = []int{h.loop.ListenerFD()}
 		}
-		if err := link.SendWait(m, fds...); err != nil {
+		if err := link.SendBlocking(m, fds...); err != nil {
 			return err
 		}
 	}
@@ -60,7 +60,7 @@
 }
 
 // receiveFromSuccessor handles the successor's messages until the link ends.
-func (h *handoverManager) receiveFromSuccessor(successor *other) {
+func (h *handoverManager) receiveFromSuccessor(successor *peerProcess) {
 	link := successor.link
 	for {
 		m, fds, err := link.Receive()
@@ -73,18 +73,18 @@
 		closeAll(fds)
 		switch {
 		case m.Take:
-			link.Within(0)
+			link.SetTimeout(0)
 			h.post(func() { h.yieldTo(successor) })
 		case m.Drains != nil:
-			h.post(func() { h.node.HearDrains(m.Drains) })
+			h.post(func() { h.node.ApplyPeerDrains(m.Drains) })
 		}
 	}
 }
 
 // yieldTo stops accepting, and gives the successor the sockets that this process does not need any more.
-func (h *handoverManager) yieldTo(successor *other) {
+func (h *handoverManager) yieldTo(successor *peerProcess) {
 	h.loop.SetAccepting(false)
 	room := max(h.loop.Room()-minKeptSockets, 0)
 	h.loop.SetMaxSockets(h.loop.MaxSockets() - room)
-	successor.Tell(&handover.Message{Yield: &handover.Yield{Room: room, IDs: h.node.Yield()}})
+	successor.Send(&handover.Message{Yield: &handover.Yield{Room: room, IDs: h.node.Yield()}})
 }
--- a/cmd/coursewinch/roll_test.go
+++ b/cmd/coursewinch/roll_test.go
@@ -209,7 +209,7 @@
 func TestUnusableHandoverFolders(t *testing.T) {
 	l, d := startHostsAndDiscovery(t)
 	taken := t.TempDir()
-	if err := os.WriteFile(handover.Path(taken, "n0", "127.0.0.1:0"), []byte("another's"), 0o600); err != nil {
+	if err := os.WriteFile(handover.SocketPath(taken, "n0", "127.0.0.1:0"), []byte("another's"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, folder := range []string{"", filepath.Join(t.TempDir(), "missing"), taken} {
--- a/cmd/coursewinch/successor.go
+++ b/cmd/coursewinch/successor.go
@@ -39,11 +39,11 @@
 
 // requestState receives the predecessor's state in parts, and its clients' listener with the last one.
 func (h *handoverManager) requestState(link *handover.Link) (*handover.State, int, error) {
-	link.Within(stateTimeout)
-	if err := link.SendWait(&handover.Message{Hello: &handover.Hello{Name: h.name, Listen: h.listen}}); err != nil {
+	link.SetTimeout(stateTimeout)
+	if err := link.SendBlocking(&handover.Message{Hello: &handover.Hello{Name: h.name, Listen: h.listen}}); err != nil {
 		return nil, -1, err
 	}
-	var assembler handover.Assembly
+	var assembler handover.StateAssembler
 	for {
 		m, fds, err := link.Receive()
 		switch {
@@ -61,7 +61,7 @@
 			return nil, -1, err
 		}
 		if state != nil {
-			link.Within(0)
+			link.SetTimeout(0)
 			return state, fds[0], nil
 		}
 	}
@@ -69,10 +69,10 @@
 
 // inheritFrom passes the predecessor's state to the node, and handles the predecessor's messages until it ends.
 func (h *handoverManager) inheritFrom(link *handover.Link, state *handover.State) {
-	predecessor := &other{h, link}
+	predecessor := &peerProcess{h, link}
 	h.loop.SetMaxSockets(state.Room)
 	h.setMemoryShare(2)
-	h.node.Inherit(predecessor, state)
+	h.node.InheritState(predecessor, state)
 	go func() {
 		defer link.Close()
 		for {
@@ -92,18 +92,18 @@
 	switch {
 	case m.Yield != nil:
 		h.loop.SetMaxSockets(h.loop.MaxSockets() + m.Yield.Room)
-		h.node.TakeIDs(m.Yield.IDs)
+		h.node.AddRequestIDs(m.Yield.IDs)
 	case m.Leave:
-		h.node.OldLeaves()
+		h.node.PredecessorStopping()
 	case m.Drains != nil:
-		h.node.HearDrains(m.Drains)
+		h.node.ApplyPeerDrains(m.Drains)
 	case m.Client != nil:
-		h.addAdopted(h.node.TakeClient(m.Client, epoll.PeerAddress(fds[0])), fds[0])
+		h.addAdopted(h.node.AdoptClient(m.Client, epoll.PeerAddress(fds[0])), fds[0])
 	case m.Flow != nil:
-		client, link := h.node.TakeFlow(m.Flow, epoll.PeerAddress(fds[0]))
+		client, link := h.node.AdoptFlow(m.Flow, epoll.PeerAddress(fds[0]))
 		h.loop.AddConnected(client.ID, fds[0], client.In, client.Out)
 		h.loop.AddConnected(link.ID, fds[1], link.In, link.Out)
-		h.node.Resumed(client.ID)
+		h.node.ResumeAdopted(client.ID)
 	default:
 		closeAll(fds)
 	}
@@ -112,5 +112,5 @@
 // addAdopted adds the socket of an adopted client connection, and resumes it.
 func (h *handoverManager) addAdopted(adopted node.Adopted, fd int) {
 	h.loop.AddConnected(adopted.ID, fd, adopted.In, adopted.Out)
-	h.node.Resumed(adopted.ID)
+	h.node.ResumeAdopted(adopted.ID)
 }
--- a/cmd/rehearse/experiment.go
+++ b/cmd/rehearse/experiment.go
@@ -16,7 +16,7 @@
 	var variants []string
 	var html string
 	var asJSON, quiet bool
-	plan := trial.Plan{First: 1}
+	plan := trial.Experiment{FirstSeed: 1}
 	c := &cobra.Command{
 		Use:   "experiment SCRIPT...",
 		Short: "Play scripts over many seeds with several builds, settings or baselines, and compare them",
@@ -58,20 +58,20 @@
 					return err
 				}
 				defer f.Close()
-				if err := trial.HTML(f, cells, plan.Seeds); err != nil {
+				if err := trial.WriteHTML(f, cells, plan.Seeds); err != nil {
 					return err
 				}
 			}
 			if asJSON {
-				return report.JSON(os.Stdout, cells)
+				return report.WriteJSON(os.Stdout, cells)
 			}
-			trial.Text(os.Stdout, cells, plan.Seeds)
+			trial.WriteText(os.Stdout, cells, plan.Seeds)
 			return nil
 		},
 	}
 	c.Flags().StringArrayVar(&variants, "variant", []string{"module"}, "a variant to compare; the first one is the reference")
 	c.Flags().IntVar(&plan.Seeds, "seeds", 20, "seeds for each script and variant")
-	c.Flags().Uint64Var(&plan.First, "first-seed", 1, "the first seed")
+	c.Flags().Uint64Var(&plan.FirstSeed, "first-seed", 1, "the first seed")
 	c.Flags().IntVar(&plan.Workers, "workers", 0, "concurrent runs; 0 for one per core")
 	c.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
 	c.Flags().StringVar(&html, "html", "", "write a page with plots to this `file`")
@@ -86,7 +86,7 @@
 			scripts = append(scripts, name)
 			continue
 		}
-		for _, s := range scenario.Shipped() {
+		for _, s := range scenario.ShippedNames() {
 			if s != "full-size" && s != "full-core" {
 				scripts = append(scripts, s)
 			}
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -105,7 +105,7 @@
 message_target = "60ms"
 `), 0o600)
 	out, complaint, code := runRehearse(t, dir, "play", script, "--json")
-	var sum report.Sum
+	var sum report.Summary
 	if err := json.Unmarshal([]byte(out), &sum); err != nil {
 		t.Fatalf("%v: %s%s", err, out, complaint)
 	}
--- a/cmd/rehearse/play.go
+++ b/cmd/rehearse/play.go
@@ -40,7 +40,7 @@
 			return err
 		}
 		defer f.Close()
-		if err := r.Answers(f); err != nil {
+		if err := r.WriteAnswers(f); err != nil {
 			return err
 		}
 	}
@@ -50,19 +50,19 @@
 			return err
 		}
 		defer f.Close()
-		if err := report.HTML(f, r, broken); err != nil {
+		if err := report.WriteHTML(f, r, broken); err != nil {
 			return err
 		}
 	}
 	if o.json {
-		if err := report.JSON(os.Stdout, report.Of(r, broken)); err != nil {
+		if err := report.WriteJSON(os.Stdout, report.Summarize(r, broken)); err != nil {
 			return err
 		}
 	} else {
-		report.Text(os.Stdout, r, broken)
+		report.WriteText(os.Stdout, r, broken)
 	}
 	switch {
-	case r.Void != "":
+	case r.VoidReason != "":
 		return &exitError{exitVoid, ""}
 	case len(broken) > 0:
 		return &exitError{exitBroken, ""}
@@ -97,7 +97,7 @@
 					return err
 				}
 				defer f.Close()
-				opt.Watch = func(at int64, all map[int][]node.Hold) {
+				opt.OnSecond = func(at int64, all map[int][]node.Holding) {
 					for no := range s.NodeCount() {
 						for _, h := range all[no] {
 							fmt.Fprintf(f, "%d n-%d %s %d %d\n", at/1_000_000, no, h.Purpose, h.Count, h.Bytes)
@@ -114,7 +114,7 @@
 			err = out.write(r)
 			if !out.json {
 				fmt.Printf("  played in %.2f s, %.0f events a second; answers %s\n", took.Seconds(),
-					float64(r.Counts.Events)/took.Seconds(), report.Hash(r)[:16])
+					float64(r.Counts.Events)/took.Seconds(), report.AnswersHash(r)[:16])
 			}
 			return err
 		},
@@ -159,7 +159,7 @@
 		Short: "List the scripts that are included in the program",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			for _, name := range scenario.Shipped() {
+			for _, name := range scenario.ShippedNames() {
 				s, err := scenario.Load(name)
 				if err != nil {
 					return err
--- a/cmd/rehearse/replay.go
+++ b/cmd/rehearse/replay.go
@@ -39,12 +39,12 @@
 				return err
 			}
 			var skipped []string
-			s.Recorded, skipped = replay.ToScript(all, s, from.Microseconds())
+			s.RecordedClients, skipped = replay.RecordedDemand(all, s, from.Microseconds())
 			for _, text := range skipped {
 				fmt.Fprintln(os.Stderr, "left out:", text)
 			}
-			if len(s.Recorded) == 0 {
-				return fmt.Errorf("no client in the captures of %s", replay.Names(all))
+			if len(s.RecordedClients) == 0 {
+				return fmt.Errorf("no client in the captures of %s", replay.NodeNames(all))
 			}
 			s.Demand.Flows, s.Name = filepath.Base(flows), s.Name+" (replay)"
 			if flows != "" {
@@ -98,5 +98,5 @@
 		return err
 	}
 	defer f.Close()
-	return scenario.WriteFlows(f, s, s.Recorded)
+	return scenario.WriteFlows(f, s, s.RecordedClients)
 }
--- a/cmd/rehearse/report.go
+++ b/cmd/rehearse/report.go
@@ -41,7 +41,7 @@
 				return err
 			}
 			defer f.Close()
-			if err := report.HTML(f, r, rules.Check(r)); err != nil {
+			if err := report.WriteHTML(f, r, rules.Check(r)); err != nil {
 				return err
 			}
 			fmt.Println("written:", to)
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -24,8 +24,8 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			plan.Script = args[0]
-			if plan.Seeds < 1 || len(plan.Times) == 0 || len(plan.Nodes) == 0 {
-				return fmt.Errorf("%d seeds, %d multiples and %d sizes: at least one of each is required", plan.Seeds, len(plan.Times), len(plan.Nodes))
+			if plan.Seeds < 1 || len(plan.DemandFactors) == 0 || len(plan.Nodes) == 0 {
+				return fmt.Errorf("%d seeds, %d multiples and %d sizes: at least one of each is required", plan.Seeds, len(plan.DemandFactors), len(plan.Nodes))
 			}
 			for _, n := range plan.Nodes {
 				if n < 1 {
@@ -40,13 +40,13 @@
 				return err
 			}
 			if asJSON {
-				return report.JSON(os.Stdout, all)
+				return report.WriteJSON(os.Stdout, all)
 			}
-			trial.SweepText(os.Stdout, all)
+			trial.WriteSweepText(os.Stdout, all)
 			return nil
 		},
 	}
-	c.Flags().Float64SliceVar(&plan.Times, "times", []float64{1, 2, 5, 10}, "multiples of the script's rate")
+	c.Flags().Float64SliceVar(&plan.DemandFactors, "times", []float64{1, 2, 5, 10}, "multiples of the script's rate")
 	c.Flags().IntSliceVar(&plan.Nodes, "nodes", []int{1, 4, 16}, "nodes in each zone")
 	c.Flags().IntVar(&plan.Seeds, "seeds", 3, "seeds; the median of them is printed")
 	c.Flags().IntVar(&plan.Workers, "workers", 0, "concurrent runs; 0 for one per core")
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -76,13 +76,13 @@
 				t.Fatal(step, err)
 			}
 		}
-		if got != "9 1;10 0;" || r.Whole != 4 {
-			t.Fatal(step, got, r.Whole)
+		if got != "9 1;10 0;" || r.CompleteLines != 4 {
+			t.Fatal(step, got, r.CompleteLines)
 		}
 	}
 	var r Reader
-	if err := r.Feed([]byte(head+indented[:13]+"\n\n\n"), func(List) { t.Error("an incomplete list was passed on") }); err != nil || r.Whole != 0 {
-		t.Fatal("a line within an incomplete list was counted as whole", r.Whole, err)
+	if err := r.Feed([]byte(head+indented[:13]+"\n\n\n"), func(List) { t.Error("an incomplete list was passed on") }); err != nil || r.CompleteLines != 0 {
+		t.Fatal("a line within an incomplete list was counted as whole", r.CompleteLines, err)
 	}
 	for _, bad := range []string{"{\"rev\": 9, \"all\n", "no list\n", "{\"rev\":9}}\n", "{\"rev\":9,\n{\"rev\":10}\n}\n"} {
 		var r Reader
--- a/discovery/http.go
+++ b/discovery/http.go
@@ -40,16 +40,16 @@
 
 // Reader parses the bytes of one HTTP response, in pieces of any size.
 type Reader struct {
-	state      readState
-	statusRead bool
-	chunked    bool
-	remaining  int    // bytes left of the chunk, or of a body that is not chunked
-	lineBuffer []byte // incomplete line outside the body
-	listBuffer []byte // incomplete list
-	depth      int    // open brackets in listBuffer; a list may span several lines
-	inString   bool   // listBuffer ends inside a JSON string
-	escaped    bool   // listBuffer ends with the backslash of an escape sequence
-	Whole      int    // number of line ends in the body at which no list was incomplete
+	state         readState
+	statusRead    bool
+	chunked       bool
+	remaining     int    // bytes left of the chunk, or of a body that is not chunked
+	lineBuffer    []byte // incomplete line outside the body
+	listBuffer    []byte // incomplete list
+	depth         int    // open brackets in listBuffer; a list may span several lines
+	inString      bool   // listBuffer ends inside a JSON string
+	escaped       bool   // listBuffer ends with the backslash of an escape sequence
+	CompleteLines int    // number of line ends in the body at which no list was incomplete
 }
 
 // Feed parses the next bytes and calls onList for every list that they complete. It returns ErrDone at the end of the
@@ -169,7 +169,7 @@
 			}
 			onList(l)
 		}
-		r.Whole++
+		r.CompleteLines++
 		r.listBuffer, r.depth, r.inString, r.escaped = r.listBuffer[:0], 0, false, false
 	}
 	return nil
--- a/epoll/accept_retry_test.go
+++ b/epoll/accept_retry_test.go
@@ -9,7 +9,7 @@
 // A machine runs out of descriptors while a client waits in the listener's queue. The loop has to accept it once there are
 // descriptors again, even though the loop itself closed nothing meanwhile, and has to pause before it tries.
 func TestListenerRetriesAfterDescriptorsRunOut(t *testing.T) {
-	h := &told{acceptQuota: 1}
+	h := &callRecorder{acceptQuota: 1}
 	l, client := newListeningLoop(t, h)
 	c := client()
 	var limit unix.Rlimit
--- a/epoll/close.go
+++ b/epoll/close.go
@@ -19,8 +19,8 @@
 	received int
 }
 
-// Shut closes the sending direction of a socket once its output ring is empty.
-func (l *Loop) Shut(id uint64) {
+// CloseWrite closes the sending direction of a socket once its output ring is empty.
+func (l *Loop) CloseWrite(id uint64) {
 	if s := l.lookup(id); s != nil && !s.connecting && s.fd >= 0 && !s.closeWrite {
 		s.closeWrite = true
 		l.flush(s)
@@ -28,9 +28,9 @@
 	}
 }
 
-// Gone reports whether the other side has closed or reset a connection. It also finds a close that has not been reported
+// PeerClosed reports whether the other side has closed or reset a connection. It also finds a close that has not been reported
 // yet, because other events or unread bytes come before it.
-func (l *Loop) Gone(id uint64) bool {
+func (l *Loop) PeerClosed(id uint64) bool {
 	s := l.lookup(id)
 	if s == nil || s.eof || s.unregistered {
 		return true
@@ -43,9 +43,9 @@
 	return err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Part closes a socket gracefully without its handler, which forgets the id: the content of the output ring is sent, and
+// CloseDetached closes a socket gracefully without its handler, which forgets the id: the content of the output ring is sent, and
 // input is discarded until the other side closes.
-func (l *Loop) Part(id uint64) {
+func (l *Loop) CloseDetached(id uint64) {
 	s := l.lookup(id)
 	if s == nil || s.fd < 0 || s.connecting || s.unregistered || s.operator {
 		l.Close(id)
--- a/epoll/close_test.go
+++ b/epoll/close_test.go
@@ -14,32 +14,37 @@
 	"coursewinch/lines"
 )
 
-// told is a handler that records its calls in order.
-type told struct {
+// callRecorder is a handler that records its calls in order.
+type callRecorder struct {
 	acceptQuota int // connections that an iteration may accept
 	lastID      uint64
 	in, out     lines.Ring
 	log         []string
 }
 
-func (h *told) Spare() bool       { return true }
-func (h *told) Quota() (int, int) { return h.acceptQuota, maxClientAccepts }
-func (h *told) Refused()          { h.log = append(h.log, "refused") }
-func (h *told) Call() (uint64, *lines.Ring, *lines.Ring, bool) {
+func (h *callRecorder) CanAccept() bool         { return true }
+func (h *callRecorder) AcceptQuota() (int, int) { return h.acceptQuota, maxClientAccepts }
+func (h *callRecorder) CountRefused()           { h.log = append(h.log, "refused") }
+func (h *callRecorder) AcceptOperator() (uint64, *lines.Ring, *lines.Ring, bool) {
 	return 0, nil, nil, false
 }
-func (h *told) Accept(netip.AddrPort) (uint64, *lines.Ring, *lines.Ring, bool) {
+func (h *callRecorder) Accept(netip.AddrPort) (uint64, *lines.Ring, *lines.Ring, bool) {
 	h.lastID += 1 << 32
 	return h.lastID, &h.in, &h.out, true
 }
-func (h *told) Connected(uint64) { h.log = append(h.log, "connected") }
-func (h *told) Received(uint64) {
+func (h *callRecorder) Connected(uint64) { h.log = append(h.log, "connected") }
+func (h *callRecorder) Received(uint64) {
 	h.log = append(h.log, "received "+string(h.in.Peek(h.in.Len())))
-	h.in.Drop(h.in.Len())
+	h.in.Discard(h.in.Len())
+}
+func (h *callRecorder) Sent(uint64) { h.log = append(h.log, "sent") }
+func (h *callRecorder) Ended(_ uint64, err error) {
+	h.log = append(h.log, fmt.Sprint("ended ", err != nil))
+}
+func (h *callRecorder) wantLog(t *testing.T, w string) {
+	t.Helper()
+	wantText(t, strings.Join(h.log, "; "), w)
 }
-func (h *told) Sent(uint64)                    { h.log = append(h.log, "sent") }
-func (h *told) Ended(_ uint64, err error)      { h.log = append(h.log, fmt.Sprint("ended ", err != nil)) }
-func (h *told) wantLog(t *testing.T, w string) { t.Helper(); wantText(t, strings.Join(h.log, "; "), w) }
 
 func wantText(t *testing.T, got, want string) {
 	t.Helper()
@@ -63,7 +68,7 @@
 }
 
 // newListeningLoop returns a loop that listens on loopback, and a function that connects to it.
-func newListeningLoop(t *testing.T, h *told) (l *Loop, client func() *net.TCPConn) {
+func newListeningLoop(t *testing.T, h *callRecorder) (l *Loop, client func() *net.TCPConn) {
 	t.Helper()
 	l, err := New(50, h, nil)
 	if err != nil {
@@ -99,7 +104,7 @@
 func TestRefusedConnectionClosesGracefully(t *testing.T) {
 	for _, c := range []struct{ first, later string }{{"", "OPEN 1 2 c=chat,d=2000\r\n"}, {"OPEN 1 2 c=ch", "at,d=2000\r\n"},
 		{"OPEN 1 2 c=chat,d=2000\r\n", ""}} {
-		h := &told{}
+		h := &callRecorder{}
 		l, client := newListeningLoop(t, h)
 		conn := client()
 		if io.WriteString(conn, c.first); c.first != "" {
@@ -130,7 +135,7 @@
 
 // At the end of a process, clients in the listener's queue have to receive BUSY and time to close, up to a limit.
 func TestQueuedConnectionsAreRefusedGracefully(t *testing.T) {
-	l, client := newListeningLoop(t, &told{})
+	l, client := newListeningLoop(t, &callRecorder{})
 	one, two, silent := client(), client(), client()
 	io.WriteString(two, "OPEN 1 2 c=ch")
 	results := make(chan string)
@@ -152,7 +157,7 @@
 	wantText(t, <-results, "BUSY\r\n<nil>")
 	wantText(t, <-results, "BUSY\r\n<nil>")
 	wantRest(t, silent, "BUSY\r\n")
-	l, client = newListeningLoop(t, &told{})
+	l, client = newListeningLoop(t, &callRecorder{})
 	client()
 	from = monotonicMicros()
 	if l.RefuseQueued(50_000); monotonicMicros()-from > 190_000 {
@@ -165,7 +170,7 @@
 func TestInputIsReadBeforeWriteFailureIsReported(t *testing.T) {
 	host, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer host.Close()
-	h := &told{}
+	h := &callRecorder{}
 	l, _ := New(50, h, nil)
 	const id = 1 << 32
 	l.Dial(id, host.Addr().String(), &h.in, &h.out)
@@ -181,7 +186,7 @@
 		t.Fatal(n, err)
 	}
 	h.out.Put([]byte("OPEN 1 2 c=chat,d=2000\r\n"))
-	l.Touch(id)
+	l.RingsChanged(id)
 	if h.out.Len() == 0 {
 		t.Fatal("the failed write took the line from the ring")
 	}
@@ -198,21 +203,21 @@
 	for name, leave := range map[string]func(*net.TCPConn){"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() }} {
-		h := &told{acceptQuota: 1}
+		h := &callRecorder{acceptQuota: 1}
 		l, client := newListeningLoop(t, h)
 		c := client()
 		runUntil(t, l, func() bool { return h.lastID > 0 })
-		if l.Gone(h.lastID) {
+		if l.PeerClosed(h.lastID) {
 			t.Fatal("reported closed while it is connected")
 		}
 		io.WriteString(c, "OPEN")
 		leave(c)
-		for from := time.Now(); !l.Gone(h.lastID); {
+		for from := time.Now(); !l.PeerClosed(h.lastID); {
 			if time.Since(from) > 10*time.Second {
 				t.Fatalf("%s: not detected", name)
 			}
 		}
-		if h.wantLog(t, ""); !l.Gone(7 << 32) {
+		if h.wantLog(t, ""); !l.PeerClosed(7 << 32) {
 			t.Fatal("an unknown id is reported as connected")
 		}
 	}
@@ -221,14 +226,14 @@
 // A client whose socket is closed detached has to receive the last answer although the rest of its line arrives at that
 // moment. Clients that do not close afterwards must not keep descriptors that the loop needs.
 func TestDetachedSocketClosesGracefully(t *testing.T) {
-	h := &told{acceptQuota: 1}
+	h := &callRecorder{acceptQuota: 1}
 	l, client := newListeningLoop(t, h)
 	c := client()
 	runUntil(t, l, func() bool { return h.lastID > 0 })
 	io.WriteString(c, "OPEN 1 2 c=ch")
 	waitUntilDelivered(t, c)
 	h.out.Put([]byte("BUSY\r\n"))
-	l.Part(h.lastID)
+	l.CloseDetached(h.lastID)
 	if l.Room() != 50 {
 		t.Fatal("its place is still counted", l.Room())
 	}
@@ -240,7 +245,7 @@
 		client()
 		previous := h.lastID
 		runUntil(t, l, func() bool { return h.lastID > previous })
-		l.Part(h.lastID)
+		l.CloseDetached(h.lastID)
 	}
 	if len(l.closing) > 50 {
 		t.Fatal(len(l.closing))
--- a/epoll/listen.go
+++ b/epoll/listen.go
@@ -97,7 +97,7 @@
 
 // accept takes new client connections up to the handler's quota, and refuses those beyond it.
 func (l *Loop) accept() {
-	take, refuse := l.handler.Quota()
+	take, refuse := l.handler.AcceptQuota()
 	for i := range min(take+refuse, maxClientAccepts) {
 		l.makeRoom()
 		if i >= take {
@@ -106,10 +106,10 @@
 				return
 			}
 			l.refuse(fd)
-			l.handler.Refused()
+			l.handler.CountRefused()
 			continue
 		}
-		if !l.handler.Spare() || l.Room() < 1 {
+		if !l.handler.CanAccept() || l.Room() < 1 {
 			l.updateListener(&l.clients, false) // the loop would spin on a queue that cannot be served
 			return
 		}
@@ -150,7 +150,7 @@
 			l.updateListener(&l.admins, false)
 			return
 		}
-		id, in, out, ok := l.handler.Call()
+		id, in, out, ok := l.handler.AcceptOperator()
 		if !ok {
 			unix.Close(fd)
 			continue
--- a/epoll/loop.go
+++ b/epoll/loop.go
@@ -14,16 +14,16 @@
 // Handler receives the events of sockets, by the ids that it assigned to them. An id is never reused. Its low 32 bits are an
 // index below the highest number of sockets that were open at once.
 type Handler interface {
-	// Quota returns how many new client connections this iteration may accept, and how many more it may refuse after these.
-	Quota() (take, refuse int)
-	// Spare reports whether one more client connection can be accepted. After false, the loop asks again when a socket closes.
-	Spare() bool
+	// AcceptQuota returns how many new client connections this iteration may accept, and how many more it may refuse after these.
+	AcceptQuota() (take, refuse int)
+	// CanAccept reports whether one more client connection can be accepted. After false, the loop asks again when a socket closes.
+	CanAccept() bool
 	// Accept receives a new client connection with its remote address. If ok is false, the loop refuses the connection.
 	Accept(from netip.AddrPort) (id uint64, in, out *lines.Ring, ok bool)
-	// Refused is called after the loop has refused a connection.
-	Refused()
-	// Call receives a new connection on the operators' address. Operators' sockets are not counted among the others.
-	Call() (id uint64, in, out *lines.Ring, ok bool)
+	// CountRefused is called after the loop has refused a connection.
+	CountRefused()
+	// AcceptOperator receives a new connection on the operators' address. Operators' sockets are not counted among the others.
+	AcceptOperator() (id uint64, in, out *lines.Ring, ok bool)
 	// Connected is called when a dialed connection is established.
 	Connected(id uint64)
 	// Received is called when bytes were added to the socket's input ring.
--- a/epoll/loop_test.go
+++ b/epoll/loop_test.go
@@ -9,26 +9,26 @@
 	"coursewinch/lines"
 )
 
-// heard is a handler that records which sockets have ended.
-type heard struct{ closed []uint64 }
+// closeRecorder is a handler that records which sockets have ended.
+type closeRecorder struct{ closed []uint64 }
 
-func (h *heard) Spare() bool       { return true }
-func (h *heard) Quota() (int, int) { return maxClientAccepts, 0 }
-func (h *heard) Refused()          {}
-func (h *heard) Call() (uint64, *lines.Ring, *lines.Ring, bool) {
+func (h *closeRecorder) CanAccept() bool         { return true }
+func (h *closeRecorder) AcceptQuota() (int, int) { return maxClientAccepts, 0 }
+func (h *closeRecorder) CountRefused()           {}
+func (h *closeRecorder) AcceptOperator() (uint64, *lines.Ring, *lines.Ring, bool) {
 	return 0, nil, nil, false
 }
-func (h *heard) Accept(netip.AddrPort) (uint64, *lines.Ring, *lines.Ring, bool) {
+func (h *closeRecorder) Accept(netip.AddrPort) (uint64, *lines.Ring, *lines.Ring, bool) {
 	return 0, nil, nil, true
 }
-func (h *heard) Connected(uint64)           {}
-func (h *heard) Received(uint64)            {}
-func (h *heard) Sent(uint64)                {}
-func (h *heard) Ended(id uint64, err error) { h.closed = append(h.closed, id) }
+func (h *closeRecorder) Connected(uint64)           {}
+func (h *closeRecorder) Received(uint64)            {}
+func (h *closeRecorder) Sent(uint64)                {}
+func (h *closeRecorder) Ended(id uint64, err error) { h.closed = append(h.closed, id) }
 
 // An event for a closed socket must not reach the new socket at the same index.
 func TestStaleEventsAreIgnored(t *testing.T) {
-	h := &heard{}
+	h := &closeRecorder{}
 	l, err := New(10, h, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 
 // A dial that fails at once must not be reported within the call of Dial, where the handler does not expect it.
 func TestDialFailureIsReportedInNextIteration(t *testing.T) {
-	h := &heard{}
+	h := &closeRecorder{}
 	l, err := New(10, h, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 
 // After a handover two processes hold a socket. The one that handed it over must not go on receiving its events.
 func TestUnregisteredSocketReportsNoEvents(t *testing.T) {
-	l, err := New(10, &heard{}, nil)
+	l, err := New(10, &closeRecorder{}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 func TestDatagramsReachOtherLoop(t *testing.T) {
 	got := ""
 	loop := func() (*Loop, netip.AddrPort) {
-		l, _ := New(10, &heard{}, nil)
+		l, _ := New(10, &closeRecorder{}, nil)
 		at, err := l.ListenDatagrams("127.0.0.1:0", false, func(from netip.AddrPort, p []byte) { got += from.String() + string(p) })
 		if err != nil {
 			t.Fatal(err)
--- a/epoll/socket.go
+++ b/epoll/socket.go
@@ -161,7 +161,7 @@
 		}
 		l.unregister(s) // the loop would spin: epoll cannot mask these events
 	}
-	s.in.Drop(0)
+	s.in.Discard(0)
 	id, eof := s.id, s.eof
 	if received {
 		l.handler.Received(id)
@@ -177,18 +177,18 @@
 // readAvailable reads into the input ring until the socket has no more bytes, the ring is full, or the input ends.
 func (s *socket) readAvailable() (received bool, failure error) {
 	for !s.eof && failure == nil {
-		space := s.in.Space()
+		space := s.in.WriteSpace()
 		if len(space) == 0 {
 			break
 		}
 		n, err := unix.Read(s.fd, space)
 		if n > 0 {
-			s.in.Grow(n)
+			s.in.Commit(n)
 			received = true
 			if n < len(space) {
 				break // the socket is empty; epoll reports an end
 			}
-			s.in.Widen()
+			s.in.RequestWide()
 		}
 		if n == 0 && err == nil {
 			s.eof = true
@@ -204,9 +204,9 @@
 // flush sends the content of the output ring and reports whether any byte was sent.
 func (l *Loop) flush(s *socket) (sent bool) {
 	for s.out.Len() > 0 && !s.writeFailed {
-		n, err := unix.Write(s.fd, s.out.Head())
+		n, err := unix.Write(s.fd, s.out.Contiguous())
 		if n > 0 {
-			s.out.Drop(n)
+			s.out.Discard(n)
 			sent = true
 		} else if err == unix.EINTR {
 			continue
@@ -224,8 +224,8 @@
 	return sent
 }
 
-// Touch is called after the rings of a socket have changed: it sends what can be sent, and resumes reading.
-func (l *Loop) Touch(id uint64) {
+// RingsChanged is called after the rings of a socket have changed: it sends what can be sent, and resumes reading.
+func (l *Loop) RingsChanged(id uint64) {
 	if s := l.lookup(id); s != nil && !s.connecting && s.fd >= 0 {
 		if s.out.Len() > 0 {
 			l.flush(s)
--- a/handover/handover.go
+++ b/handover/handover.go
@@ -165,8 +165,8 @@
 		max(len(f.ClientIn), len(f.ClientOut), len(f.HostIn), len(f.HostOut)) <= maxPendingBytes
 }
 
-// Parts encodes a state and splits it into messages. It fails if the state is longer than 8 MiB.
-func (s *State) Parts() ([]*Message, error) {
+// Split encodes a state and splits it into messages. It fails if the state is longer than 8 MiB.
+func (s *State) Split() ([]*Message, error) {
 	p, err := json.Marshal(s)
 	if err != nil {
 		return nil, err
@@ -185,15 +185,15 @@
 	return messages, nil
 }
 
-// Assembly puts the parts of a State together.
-type Assembly struct {
+// StateAssembler puts the parts of a State together.
+type StateAssembler struct {
 	received []byte // data of all parts so far
 	lastPart int    // number of the last part added
 }
 
 // Add adds the next part. The State is nil until the last part is added. Add fails if a part is missing or repeated, or if
 // the State is damaged or invalid.
-func (a *Assembly) Add(p *Part) (*State, error) {
+func (a *StateAssembler) Add(p *Part) (*State, error) {
 	a.lastPart++
 	if p.No != a.lastPart || len(p.Data) > maxPartBytes {
 		return nil, errMalformed
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -51,11 +51,11 @@
 	}
 	s.List.Entries = []discovery.Entry{{UID: "a", State: "ready"}, {UID: "b", State: "draining"}}
 	put := func(change func(parts []*Message) []*Message) (got *State, err error) {
-		parts, err := s.Parts()
+		parts, err := s.Split()
 		if err != nil || len(parts) < 2 {
 			t.Fatal(len(parts), err)
 		}
-		var a Assembly
+		var a StateAssembler
 		for _, m := range change(parts) {
 			if got, err = a.Add(m.State); err != nil {
 				return nil, err
--- a/handover/link.go
+++ b/handover/link.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Path returns the path of a node's socket in a folder. The node is identified by its name and listening address.
-func Path(folder, name, listen string) string {
+// SocketPath returns the path of a node's socket in a folder. The node is identified by its name and listening address.
+func SocketPath(folder, name, listen string) string {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + listen))
 	return filepath.Join(folder, fmt.Sprintf("coursewinch-%016x.sock", h.Sum64()))
@@ -95,8 +95,8 @@
 	return err == nil && cred.Uid == uint32(os.Getuid())
 }
 
-// Within limits how long receiving, and sending that waits, may take from now on. A duration of 0 removes the limit.
-func (l *Link) Within(d time.Duration) {
+// SetTimeout limits how long receiving, and sending that waits, may take from now on. A duration of 0 removes the limit.
+func (l *Link) SetTimeout(d time.Duration) {
 	if d == 0 {
 		l.conn.SetDeadline(time.Time{})
 		return
@@ -104,8 +104,8 @@
 	l.conn.SetDeadline(time.Now().Add(d))
 }
 
-// SendWait sends a message, with sockets, and waits until there is room for it.
-func (l *Link) SendWait(m *Message, sockets ...int) error {
+// SendBlocking sends a message, with sockets, and waits until there is room for it.
+func (l *Link) SendBlocking(m *Message, sockets ...int) error {
 	p, err := m.Encode()
 	if err != nil {
 		return err
--- a/lines/lines.go
+++ b/lines/lines.go
@@ -17,23 +17,23 @@
 
 // Open is the first line of a client that asks for a flow.
 type Open struct {
-	ID           string
-	Key          string
-	Class        string // service type
-	Wait         int64  // the client's connect timeout, microseconds
-	Group        string
-	Again        bool    // this client has connected before
-	At           string  // the host that already holds the connection
-	Hint         float64 // expected load, microseconds of work per second
-	text         string  // the line without its line end
-	timeoutStart int     // byte offsets in text of the value of d
-	timeoutEnd   int
+	ID             string
+	Key            string
+	ServiceType    string // service type
+	ConnectTimeout int64  // the client's connect timeout, microseconds
+	Group          string
+	Returning      bool    // this client has connected before
+	CurrentHost    string  // the host that already holds the connection
+	LoadHint       float64 // expected load, microseconds of work per second
+	text           string  // the line without its line end
+	timeoutStart   int     // byte offsets in text of the value of d
+	timeoutEnd     int
 }
 
 // Errors of ParseOpen. They are few and carry no details, so that a flood of invalid lines can be counted by error. The
 // lengths of their texts count in the memory that a node reports as held for log lines.
 var (
-	ErrLong             = errors.New("line too long")
+	ErrTooLong          = errors.New("line too long")
 	ErrNotOpen          = errors.New("not an OPEN line")
 	ErrInvalidName      = errors.New("id, key, group or host is invalid")
 	ErrInvalidParameter = errors.New("a parameter without name or value or given twice")
@@ -42,8 +42,8 @@
 	ErrMissingParameter = errors.New("c or d is missing")
 )
 
-// Bare returns a line without its line end.
-func Bare(line []byte) []byte {
+// TrimLineEnd returns a line without its line end.
+func TrimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
@@ -74,9 +74,9 @@
 // invalid line and would seem to have failed. Parameters with unknown names stay in the line. The error is one of the
 // Err variables of this package.
 func ParseOpen(line []byte) (*Open, error) {
-	o := &Open{text: string(Bare(line))}
-	if len(o.text) > Longest {
-		return nil, ErrLong
+	o := &Open{text: string(TrimLineEnd(line))}
+	if len(o.text) > MaxLineBytes {
+		return nil, ErrTooLong
 	}
 	parts := strings.Split(o.text, " ")
 	if len(parts) != 4 || parts[0] != "OPEN" || !isPrintable(o.text) {
@@ -96,53 +96,53 @@
 		seen[name] = true
 		switch name {
 		case "c":
-			o.Class = value
+			o.ServiceType = value
 		case "d":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0 && ms < maxTimeoutMs) {
 				return nil, ErrInvalidTimeout
 			}
-			o.Wait = int64(ms * 1000)
+			o.ConnectTimeout = int64(ms * 1000)
 			o.timeoutStart, o.timeoutEnd = pos+len("d="), pos+len(pair)
 		case "g":
 			o.Group, ok = value, isName(value)
 		case "r", "again":
-			o.Again = o.Again || value == "1"
+			o.Returning = o.Returning || value == "1"
 		case "at":
-			o.At, ok = value, isName(value)
+			o.CurrentHost, ok = value, isName(value)
 		case "h":
 			ms, err := strconv.ParseFloat(value, 64)
 			if err != nil || !(ms >= 0 && ms <= maxLoadMsPerSecond) {
 				return nil, ErrInvalidLoad
 			}
-			o.Hint = ms * 1000
+			o.LoadHint = ms * 1000
 		}
 		if !ok {
 			return nil, ErrInvalidName
 		}
 		pos += len(pair) + 1
 	}
-	if o.Class == "" || o.timeoutStart == 0 {
+	if o.ServiceType == "" || o.timeoutStart == 0 {
 		return nil, ErrMissingParameter
 	}
 	return o, nil
 }
 
-// Line returns the line to send to a host: the client's line, with d replaced by timeout (microseconds), the time that
+// HostLine returns the line to send to a host: the client's line, with d replaced by timeout (microseconds), the time that
 // this node will wait for the host.
-func (o *Open) Line(timeout int64) []byte {
+func (o *Open) HostLine(timeout int64) []byte {
 	b := append(make([]byte, 0, len(o.text)+12), o.text[:o.timeoutStart]...)
 	b = strconv.AppendInt(b, max(timeout/1000, 1), 10)
 	b = append(b, o.text[o.timeoutEnd:]...)
 	return append(b, '\r', '\n')
 }
 
-// Word is the keyword of a line from a host.
-type Word uint8
+// AnswerKind is the keyword of a line from a host.
+type AnswerKind uint8
 
 // The keywords. Other stands for any line that is not valid.
 const (
-	Other Word = iota
+	Other AnswerKind = iota
 	Up
 	Bye
 	Move
@@ -152,9 +152,9 @@
 	Load
 )
 
-// Answer parses a line from a host. load is set for Load only.
-func Answer(line []byte) (kind Word, load float64) {
-	text := Bare(line)
+// ParseAnswer parses a line from a host. load is set for Load only.
+func ParseAnswer(line []byte) (kind AnswerKind, load float64) {
+	text := TrimLineEnd(line)
 	word, rest, hasRest := bytes.Cut(text, []byte(" "))
 	switch string(word) {
 	case "UP":
--- a/lines/ring.go
+++ b/lines/ring.go
@@ -8,9 +8,9 @@
 
 // Sizes in bytes.
 const (
-	Longest  = 4096        // longest line, without its line end
-	RingSize = 2 * Longest // size of an ordinary ring
-	WideSize = 64 << 10    // size of a ring for bulk data
+	MaxLineBytes = 4096             // longest line, without its line end
+	RingSize     = 2 * MaxLineBytes // size of an ordinary ring
+	WideRingSize = 64 << 10         // size of a ring for bulk data
 
 	maxMoveBytes = 512 // up to this many bytes are moved to the start of a block, so that they lie in one piece with those added later
 )
@@ -24,7 +24,7 @@
 // keeps no memory.
 var (
 	narrowBlocks = sync.Pool{New: func() any { return &block{make([]byte, RingSize)} }}
-	wideBlocks   = sync.Pool{New: func() any { return &block{make([]byte, WideSize)} }}
+	wideBlocks   = sync.Pool{New: func() any { return &block{make([]byte, WideRingSize)} }}
 )
 
 // defaultBudget is for rings that belong to no node.
@@ -44,8 +44,8 @@
 	return b
 }
 
-// Held returns the number of blocks that hold bytes, and how many of them are wide.
-func (b *Budget) Held() (total, wide int) { return int(b.inUse.Load()), int(b.wideInUse.Load()) }
+// InUse returns the number of blocks that hold bytes, and how many of them are wide.
+func (b *Budget) InUse() (total, wide int) { return int(b.inUse.Load()), int(b.wideInUse.Load()) }
 
 // Ring is a byte queue of fixed size. It takes a block when the first byte is added, and gives it back when the last byte
 // is removed. The zero value is an empty ring of ordinary size.
@@ -56,8 +56,8 @@
 	assignedBudget *Budget // nil: defaultBudget
 }
 
-// Of assigns the ring to a budget. It has to be called before the ring holds any bytes.
-func (r *Ring) Of(b *Budget) { r.assignedBudget = b }
+// SetBudget assigns the ring to a budget. It has to be called before the ring holds any bytes.
+func (r *Ring) SetBudget(b *Budget) { r.assignedBudget = b }
 
 func (r *Ring) budget() *Budget {
 	if r.assignedBudget == nil {
@@ -77,8 +77,8 @@
 	return len(r.block.data) - r.length
 }
 
-// Widen makes the ring wide from the next time it is empty, if the budget allows it then.
-func (r *Ring) Widen() { r.wantsWide = true }
+// RequestWide makes the ring wide from the next time it is empty, if the budget allows it then.
+func (r *Ring) RequestWide() { r.wantsWide = true }
 
 // acquire takes a block for an empty ring.
 func (r *Ring) acquire() {
@@ -99,7 +99,7 @@
 func (r *Ring) release() {
 	b := r.budget()
 	b.inUse.Add(-1)
-	if len(r.block.data) == WideSize {
+	if len(r.block.data) == WideRingSize {
 		b.wideInUse.Add(-1)
 		wideBlocks.Put(r.block)
 	} else {
@@ -108,9 +108,9 @@
 	r.block = nil
 }
 
-// Space returns free memory for the next bytes, in one piece. The caller then adds the bytes that were written there to the
+// WriteSpace returns free memory for the next bytes, in one piece. The caller then adds the bytes that were written there to the
 // ring. If there are none, it has to remove 0 bytes, which releases the memory of an empty ring.
-func (r *Ring) Space() []byte {
+func (r *Ring) WriteSpace() []byte {
 	if r.block == nil {
 		r.acquire()
 	}
@@ -122,20 +122,20 @@
 	return r.block.data[writeAt:min(writeAt+r.Free(), size)]
 }
 
-// Grow adds n bytes that were written to the ring's free memory.
-func (r *Ring) Grow(n int) { r.length += n }
+// Commit adds n bytes that were written to the ring's free memory.
+func (r *Ring) Commit(n int) { r.length += n }
 
-// Head returns the first bytes of the ring, as far as they lie in one piece. They are valid until bytes are
+// Contiguous returns the first bytes of the ring, as far as they lie in one piece. They are valid until bytes are
 // removed.
-func (r *Ring) Head() []byte {
+func (r *Ring) Contiguous() []byte {
 	if r.block == nil {
 		return nil
 	}
 	return r.block.data[r.start:min(r.start+r.length, len(r.block.data))]
 }
 
-// Drop removes the first n bytes.
-func (r *Ring) Drop(n int) {
+// Discard removes the first n bytes.
+func (r *Ring) Discard(n int) {
 	if r.block == nil {
 		return
 	}
@@ -159,8 +159,8 @@
 		return false
 	}
 	for len(p) > 0 {
-		n := copy(r.Space(), p)
-		r.Grow(n)
+		n := copy(r.WriteSpace(), p)
+		r.Commit(n)
 		p = p[n:]
 	}
 	return true
@@ -168,7 +168,7 @@
 
 // Peek returns the first n bytes without removing them. It copies them only if they wrap around.
 func (r *Ring) Peek(n int) []byte {
-	head := r.Head()
+	head := r.Contiguous()
 	if n <= len(head) {
 		return head[:n]
 	}
@@ -176,9 +176,9 @@
 	return append(append(joined, head...), r.block.data[:n-len(head)]...)
 }
 
-// Line returns the first complete line with its line end, or nil. The line stays in the ring.
-func (r *Ring) Line() []byte {
-	head := r.Head()
+// PeekLine returns the first complete line with its line end, or nil. The line stays in the ring.
+func (r *Ring) PeekLine() []byte {
+	head := r.Contiguous()
 	if i := bytes.IndexByte(head, '\n'); i >= 0 {
 		return head[:i+1]
 	}
--- a/lines/stats.go
+++ b/lines/stats.go
@@ -5,12 +5,12 @@
 	"strconv"
 )
 
-// Figures holds the values of a host's load report, as texts.
-type Figures [][]byte
+// LoadReport holds the values of a host's load report, as texts.
+type LoadReport [][]byte
 
-// Stats parses the answer to a STATS probe: PONG and the values, separated by commas. ok is false for any other line.
-func Stats(line []byte) (report Figures, ok bool) {
-	word, rest, hasRest := bytes.Cut(Bare(line), []byte(" "))
+// ParseStats parses the answer to a STATS probe: PONG and the values, separated by commas. ok is false for any other line.
+func ParseStats(line []byte) (report LoadReport, ok bool) {
+	word, rest, hasRest := bytes.Cut(TrimLineEnd(line), []byte(" "))
 	if string(word) != "PONG" || hasRest && bytes.ContainsRune(rest, ' ') {
 		return nil, false
 	}
@@ -20,8 +20,8 @@
 	return report, true
 }
 
-// At returns the value at an index. ok is false if there is no value there, or no valid one.
-func (f Figures) At(index int) (value float64, ok bool) {
+// Value returns the value at an index. ok is false if there is no value there, or no valid one.
+func (f LoadReport) Value(index int) (value float64, ok bool) {
 	if index < 0 || index >= len(f) {
 		return 0, false
 	}
--- a/node/capture.go
+++ b/node/capture.go
@@ -27,15 +27,15 @@
 	request := f.request
 	f.record = &captureRecord{
 		flow: capture.Flow{
-			No:    n.capturedFlows,
-			At:    n.now,
-			Type:  request.Class,
-			Key:   request.Key,
-			Group: request.Group,
-			Again: request.Again,
-			Wait:  request.Wait,
+			Number:         n.capturedFlows,
+			At:             n.now,
+			Type:           request.ServiceType,
+			Key:            request.Key,
+			Group:          request.Group,
+			Returning:      request.Returning,
+			ConnectTimeout: request.ConnectTimeout,
 		},
-		end: capture.End{No: n.capturedFlows, How: capture.Severed},
+		end: capture.End{Number: n.capturedFlows, Outcome: capture.Severed},
 	}
 }
 
@@ -46,7 +46,7 @@
 		return
 	}
 	record.answered = true
-	record.flow.Answer, record.flow.Took, record.flow.Connects = answer, n.now-record.flow.At, f.Tries
+	record.flow.Answer, record.flow.AnswerTime, record.flow.Connects = answer, n.now-record.flow.At, f.Connects
 	if f.host != nil {
 		record.flow.Host = f.host.uid
 	}
@@ -59,7 +59,7 @@
 	switch {
 	case record == nil:
 	case !record.answered:
-		n.captureAnswer(f, capture.Left)
+		n.captureAnswer(f, capture.ClientLeft)
 	case record.flow.Answer == capture.Established:
 		record.end.At = n.now
 		n.config.Capture.End(record.end)
@@ -73,22 +73,22 @@
 		return
 	}
 	if n := bytes.Count(chunk, []byte("\n")); up {
-		s.end.Up += n
+		s.end.LinesUp += n
 	} else {
-		s.end.Down += n
+		s.end.LinesDown += n
 	}
 }
 
 // captureLoad writes a flow's load as its host reported it.
 func (n *Node) captureLoad(f *flow, load float64) {
 	if f.record != nil {
-		n.config.Capture.Load(capture.Load{No: f.record.flow.No, At: n.now, Load: load})
+		n.config.Capture.Load(capture.Load{Number: f.record.flow.Number, At: n.now, Load: load})
 	}
 }
 
 // setEnd sets how the flow ended.
 func (s *captureRecord) setEnd(how byte) {
 	if s != nil {
-		s.end.How = how
+		s.end.Outcome = how
 	}
 }
--- a/node/cold.go
+++ b/node/cold.go
@@ -44,7 +44,7 @@
 func (n *Node) coldLimit(limit *localLimit, key uint64) limits.Limit {
 	for _, h := range limit.coldHosts {
 		if limit.nameKey(h.uid) == key {
-			part := coldBaseShare + coldLentShare*float64(n.cluster.leases.Voters(int(key%lease.Slots)))/float64(n.config.Cluster.Others+1)
+			part := coldBaseShare + coldLentShare*float64(n.cluster.leases.VoterCount(int(key%lease.Slots)))/float64(n.config.Cluster.Others+1)
 			return limits.Limit{Rate: part * n.cluster.overload.ColdRate(&h.Server), Burst: coldBurst, Strict: true}
 		}
 	}
@@ -58,26 +58,26 @@
 	}
 	overload := n.cluster.overload
 	f.coldRequests++
-	if f.coldRequests == 1 && overload.Short() && !overload.Draw(&f.Flow) || f.coldRequests > maxColdRequests {
+	if f.coldRequests == 1 && overload.Overloaded() && !overload.DrawAdmission(&f.Flow) || f.coldRequests > maxColdRequests {
 		return false
 	}
 	start := n.rng.Intn(len(limit.coldHosts))
 	for i := range limit.coldHosts {
 		h := limit.coldHosts[(start+i)%len(limit.coldHosts)]
 		key := limit.nameKey(h.uid)
-		if h.Avoided(n.now) || !overload.Takes(&h.Server, &f.Flow) {
+		if h.Avoided(n.now) || !overload.HasRoom(&h.Server, &f.Flow) {
 			continue // the flow would not be sent there
 		}
-		if h.State != balance.Up || overload.Granted(&h.Server) {
+		if h.State != balance.Up || overload.HasColdGrant(&h.Server) {
 			return false // a grant is available
 		}
-		if limit.rate.Empty(key) || !n.cluster.leases.Lent(int(key%lease.Slots)) {
+		if limit.rate.IsExhausted(key) || !n.cluster.leases.VoteOutstanding(int(key%lease.Slots)) {
 			continue
 		}
 		request := &coldRequest{f, h}
-		granted, waits := limit.rate.Take(key, request, n.limitSender(limit))
+		granted, waits := limit.rate.Acquire(key, request, n.limitSender(limit))
 		if granted {
-			overload.Grant(&h.Server, &f.Flow, n.now+limit.rate.Held(key))
+			overload.SetColdGrant(&h.Server, &f.Flow, n.now+limit.rate.TokenLifetime(key))
 		} else if !waits {
 			continue
 		}
@@ -87,21 +87,21 @@
 }
 
 // coldAnswered applies the owner's answer to a request for a grant. The flow goes on with or without the grant.
-func (n *Node) coldAnswered(limit *localLimit, request *coldRequest, answer limits.Answer) {
-	if answer.Yes {
-		if answer.Until == 0 {
-			answer.Until = n.now + limit.rate.Held(limit.nameKey(request.host.uid))
+func (n *Node) coldAnswered(limit *localLimit, request *coldRequest, answer limits.Decision) {
+	if answer.Granted {
+		if answer.ExpiresAt == 0 {
+			answer.ExpiresAt = n.now + limit.rate.TokenLifetime(limit.nameKey(request.host.uid))
 		}
-		n.cluster.overload.Grant(&request.host.Server, &request.flow.Flow, answer.Until)
+		n.cluster.overload.SetColdGrant(&request.host.Server, &request.flow.Flow, answer.ExpiresAt)
 	}
 	if request.flow.ended {
-		n.cluster.overload.Forget(&request.flow.Flow)
+		n.cluster.overload.ForgetFlow(&request.flow.Flow)
 		return
 	}
-	if answer.Yes {
+	if answer.Granted {
 		request.flow.nextLimit++ // without a grant, the next cold host may have room
 	}
 	if !n.blockedByLimit(request.flow) {
-		n.decider.Demand(&request.flow.Flow)
+		n.decider.PlaceFlow(&request.flow.Flow)
 	}
 }
--- a/node/conns.go
+++ b/node/conns.go
@@ -22,7 +22,7 @@
 	}
 	if n.admission != nil {
 		c.admissionPrefix = admission.Key(from.Addr())
-		if reason := n.admission.Come(c.admissionPrefix, n.now, n.net.Room()-n.owedDescriptors()); reason != admission.Taken {
+		if reason := n.admission.Admit(c.admissionPrefix, n.now, n.net.Room()-n.owedDescriptors()); reason != admission.Admitted {
 			n.Count.Refused++
 			n.logThrottled("refused", reason.String())
 			return 0, nil, nil, false
@@ -50,10 +50,10 @@
 	case roleProbe:
 		n.nextLeg(&c.host.probeSpan)
 		c.out.Put(n.probeLine())
-		n.net.Touch(c.id)
+		n.net.RingsChanged(c.id)
 	case roleWatch:
 		c.out.Put(discovery.Request(c.discoveryAddr, c.requestedRev))
-		n.net.Touch(c.id)
+		n.net.RingsChanged(c.id)
 	}
 }
 
@@ -92,7 +92,7 @@
 		n.readCall(c)
 	case roleClosing:
 		c.drainedBytes += c.in.Len()
-		c.in.Drop(c.in.Len())
+		c.in.Discard(c.in.Len())
 		if c.drainedBytes > maxDrainedBytes {
 			n.close(c) // the other side may go on sending for ever
 		}
@@ -211,10 +211,10 @@
 // readFirstLine answers what a client sends before it has a flow: PING lines and its request.
 func (n *Node) readFirstLine(c *conn) {
 	for pings := 0; c.role == roleNew; pings++ {
-		line := c.in.Line()
+		line := c.in.PeekLine()
 		switch {
-		case line == nil && c.in.Len() > lines.Longest+2:
-			n.rejectLine(c, lines.ErrLong)
+		case line == nil && c.in.Len() > lines.MaxLineBytes+2:
+			n.rejectLine(c, lines.ErrTooLong)
 			return
 		case line == nil:
 			if c.in.Len() > 0 {
@@ -225,9 +225,9 @@
 			}
 			n.relieveBuffers()
 			return
-		case string(lines.Bare(line)) != "PING":
+		case string(lines.TrimLineEnd(line)) != "PING":
 			line = append([]byte(nil), line...)
-			c.in.Drop(len(line))
+			c.in.Discard(len(line))
 			n.acceptRequest(c, line)
 			return
 		case pings == maxPingsPerRead:
@@ -236,7 +236,7 @@
 		case c.out.Free() < len("PONG\r\n"):
 			return // it sends and does not read
 		}
-		c.in.Drop(len(line))
+		c.in.Discard(len(line))
 		if n.answersFront() {
 			c.out.Put([]byte("PONG\r\n"))
 		} else {
@@ -247,7 +247,7 @@
 			n.frontConn = c
 		}
 		n.setShedQueue(c, &n.pingedConns)
-		n.net.Touch(c.id)
+		n.net.RingsChanged(c.id)
 	}
 }
 
@@ -255,7 +255,7 @@
 // way, and BUSY answers that.
 func (n *Node) firstLineTimedOut(c *conn) {
 	if c.in.Len() == 0 {
-		n.Count.Bad++
+		n.Count.BadLines++
 		n.sendFinalLine(c, busyLine)
 		return
 	}
@@ -264,7 +264,7 @@
 
 // rejectLine answers ERR to a client whose line is invalid. The module learns nothing from it.
 func (n *Node) rejectLine(c *conn, cause error) {
-	n.Count.Bad++
+	n.Count.BadLines++
 	n.logThrottled("bad_line", cause.Error())
 	n.sendFinalLine(c, "ERR\r\n")
 }
@@ -320,9 +320,9 @@
 	}
 	c.timer.run = func() { n.close(c) }
 	n.deadlines.set(&c.timer, n.now+lingerTimeout)
-	c.in.Drop(c.in.Len())
-	n.net.Touch(c.id)
-	n.net.Shut(c.id)
+	c.in.Discard(c.in.Len())
+	n.net.RingsChanged(c.id)
+	n.net.CloseWrite(c.id)
 }
 
 // close closes a connection at once.
@@ -334,7 +334,7 @@
 // forgetConn removes a connection from all tables, without closing it.
 func (n *Node) forgetConn(c *conn) {
 	if c.admissionPrefix.IsValid() {
-		n.admission.Gone(c.admissionPrefix)
+		n.admission.Release(c.admissionPrefix)
 	}
 	if c.role == roleOperator {
 		n.operatorCalls.count--
--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -24,7 +24,7 @@
 	}
 	net.up[c] = true
 	net.run(1, func() {
-		net.Touch(c)
+		net.RingsChanged(c)
 		n.Sent(c)
 	})
 	net.expect(t, c, "BUSY\r\n", "close")
@@ -64,13 +64,13 @@
 		}
 		net.run(0, func() {})
 		if made > 1 || name == "first" && made > 0 || n.flows.count != 0 || n.upstreamCount != 0 ||
-			net.ended[c] != "close" || n.Count.Left != 1 {
+			net.ended[c] != "close" || n.Count.ClientsLeft != 1 {
 			t.Errorf("%s: %d connects, %d flows, %d upstreams, client %q, %d left", name,
-				made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.Left)
+				made, n.flows.count, n.upstreamCount, net.ended[c], n.Count.ClientsLeft)
 		}
 		for _, h := range n.hostList {
-			if h.Flows() != 0 {
-				t.Errorf("%s: the module still counts %d flows at %s", name, h.Flows(), h.uid)
+			if h.OwnFlows() != 0 {
+				t.Errorf("%s: the module still counts %d flows at %s", name, h.OwnFlows(), h.uid)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 		}},
 	} {
 		n, net := newNode(2)
-		n.settings.Dial = 0
+		n.settings.DialTimeout = 0
 		client := net.openClient(openLine)
 		first := net.connectLast()
 		if c.prepare != nil {
@@ -127,7 +127,7 @@
 			established, _ = net.establish()
 		}
 		net.run(1, func() { n.Stop() })
-		if take, _ := n.Quota(); take == 0 {
+		if take, _ := n.AcceptQuota(); take == 0 {
 			t.Fatal("accepting stopped at once")
 		}
 		for n.acceptStoppedAt == 0 && n.now < n.stopDeadline {
@@ -139,12 +139,12 @@
 		net.expect(t, silent, "BUSY\r\n", "shut")
 		net.expect(t, pinged, "PONG\r\nBUSY\r\n", "shut")
 		net.expect(t, half, "BUSY\r\n", "shut")
-		if take, refuse := n.Quota(); take != 0 || refuse == 0 {
+		if take, refuse := n.AcceptQuota(); take != 0 || refuse == 0 {
 			t.Fatal("connections accepted after the stop of accepting", take, refuse)
 		}
 		net.receive(silent, openLine) // crosses the last line sent to it
-		if n.Done() || n.Count.Taken > 1 || len(net.sent[silent]) != len("BUSY\r\n") {
-			t.Fatal(name, n.Done(), n.Count.Taken, net.sent[silent])
+		if n.Done() || n.Count.Requests > 1 || len(net.sent[silent]) != len("BUSY\r\n") {
+			t.Fatal(name, n.Done(), n.Count.Requests, net.sent[silent])
 		}
 		net.run(1, func() {
 			for _, c := range []uint64{silent, pinged, half, established} {
@@ -203,7 +203,7 @@
 		{"UP ", nil, balance.OnceOnly, "ERR\r\n", "shut"},
 		{"ERR\r\nUP 1\r\n", nil, balance.OnceOnly, "ERR\r\n", "shut"}, // a second answer after the first
 		{"UP 1\r\nUP 2\r\n", nil, balance.OnceOnly, "UP 1\r\nUP 2\r\n", "shut"},
-		{strings.Repeat("x", lines.Longest+3), nil, balance.OnceOnly, "ERR\r\n", "shut"}, // an answer that never ends
+		{strings.Repeat("x", lines.MaxLineBytes+3), nil, balance.OnceOnly, "ERR\r\n", "shut"}, // an answer that never ends
 	} {
 		n, net := newNode(2)
 		n.settings.Types[0].Effect = c.effect
--- a/node/ending.go
+++ b/node/ending.go
@@ -31,7 +31,7 @@
 	if n.stopAt == 0 {
 		log.Printf("msg=stopping flows=%d", n.flows.count)
 		n.stopAt = n.now
-		n.stopDeadline = n.now + min(cmp.Or(n.settings.Longest, maxStopTime), maxStopTime) + extraStopTime
+		n.stopDeadline = n.now + min(cmp.Or(n.settings.MaxConnectTimeout, maxStopTime), maxStopTime) + extraStopTime
 		first := n.now + (n.stopDeadline-moveMargin-n.now)/firstMoveDivisor
 		if n.drainAt > 0 {
 			first = min(first, max(n.now, n.drainAt+drainMoveDelay))
@@ -199,13 +199,13 @@
 // clientTakesLine reports whether the node can send the client a line of its own now: between two lines, and after the
 // host's lines that wait for room.
 func (f *flow) clientTakesLine() bool {
-	return !f.client.midLine && f.client.out.Free() >= len(moveLine) && f.upstream.in.Line() == nil
+	return !f.client.midLine && f.client.out.Free() >= len(moveLine) && f.upstream.in.PeekLine() == nil
 }
 
 // canMove reports whether a flow can be moved now: its client can be sent the MOVE line, and its host has neither sent its
 // last line nor closed its connection, read or not.
 func (n *Node) canMove(f *flow) bool {
-	return f.clientTakesLine() && f.lastWord == lines.Other && !n.net.Gone(f.upstream.id)
+	return f.clientTakesLine() && f.lastWord == lines.Other && !n.net.PeerClosed(f.upstream.id)
 }
 
 // moveLine asks a client to reconnect.
--- a/node/ending_test.go
+++ b/node/ending_test.go
@@ -9,7 +9,7 @@
 		"not up yet": func(net *fakeNet) {}, "asked": func(net *fakeNet) { net.connectLast() },
 	} {
 		n, net := newNode(1)
-		n.settings.Longest, n.settings.Dial = 4800*ms, 0
+		n.settings.MaxConnectTimeout, n.settings.DialTimeout = 4800*ms, 0
 		c := net.openClient("OPEN 1 2 c=chat,d=4798\r\n")
 		begin(net)
 		net.run(second, func() { n.Stop() })
@@ -27,7 +27,7 @@
 func TestStopEndsBeforeKill(t *testing.T) {
 	for _, longest := range []int64{300 * ms, 800 * ms, 2 * second, 9 * second} {
 		n, net := newNode(1)
-		n.settings.Longest = longest
+		n.settings.MaxConnectTimeout = longest
 		c, _ := net.establish()
 		net.run(1, func() { n.Stop() })
 		for from := n.now; !n.Done(); {
--- a/node/figures.go
+++ b/node/figures.go
@@ -25,7 +25,7 @@
 func (n *Node) receiveFigure(f *flow, figure float64) {
 	h := f.host
 	// No client waits longer than the longest connect timeout, so a larger figure is a load. So is 0: every message takes time.
-	if !n.settings.TellsTime || figure > float64(n.settings.Longest/ms) || figure == 0 {
+	if !n.settings.ReportsMessageTime || figure > float64(n.settings.MaxConnectTimeout/ms) || figure == 0 {
 		n.receiveLoad(f, figure)
 		return
 	}
@@ -40,7 +40,7 @@
 	case series, f.reportedLoad > 0 && figure < f.reportedLoad/maxLoadDrop, f.reportedLoad == 0 && n.hostsReportTimes:
 		n.hostsReportTimes = n.hostsReportTimes || series
 		h.reported.lastMessageTime = n.now
-		n.decider.Slow(&h.Server, int64(figure*float64(ms)))
+		n.decider.DelayMeasured(&h.Server, int64(figure*float64(ms)))
 	}
 	h.reported.lastFigure = n.now // of a figure that may be either, only the time is used
 }
@@ -50,9 +50,9 @@
 	f.reportedLoad = load
 	n.captureLoad(f, load)
 	if n.cluster != nil {
-		n.cluster.overload.Load(f.TypeNo, load)
+		n.cluster.overload.ObserveFlowLoad(f.TypeIndex, load)
 	}
-	n.decider.Load(&f.Flow, load)
+	n.decider.LoadMeasured(&f.Flow, load)
 }
 
 // reportMessageTimes reports to the module how long messages take at each host, while that is over a third of the shortest
@@ -83,7 +83,7 @@
 			selfMeasured := n.now-h.reported.lastMessageTime > hostReportValidity || h.reported.lastMessageTime == 0
 			if typical := h.messageTimes[len(h.messageTimes)/2]; selfMeasured && (typical > n.slowMessageTime || h.slowReported) {
 				h.slowReported = typical > n.slowMessageTime
-				n.decider.Slow(&h.Server, typical)
+				n.decider.DelayMeasured(&h.Server, typical)
 			}
 		}
 		h.messageTimes, h.pendingAges = h.messageTimes[:0], h.pendingAges[:0]
--- a/node/figures_test.go
+++ b/node/figures_test.go
@@ -13,12 +13,12 @@
 	calls []string
 }
 
-func (d *figureDecider) Load(f *balance.Flow, perSecond float64) {
+func (d *figureDecider) LoadMeasured(f *balance.Flow, perSecond float64) {
 	d.calls = append(d.calls, fmt.Sprintf("load %.0f", perSecond))
-	d.Decider.Load(f, perSecond)
+	d.Decider.LoadMeasured(f, perSecond)
 }
 
-func (d *figureDecider) Slow(s *balance.Server, us int64) {
+func (d *figureDecider) DelayMeasured(s *balance.Server, us int64) {
 	d.calls = append(d.calls, fmt.Sprintf("slow %d", us)) // not passed on, so that the flow is not moved
 }
 
@@ -49,7 +49,7 @@
 			"[load 60000 load 600 load 500]"},
 	} {
 		n, net := newNode(1)
-		n.settings.TellsTime, n.hostsReportTimes = c.tells, c.heard
+		n.settings.ReportsMessageTime, n.hostsReportTimes = c.tells, c.heard
 		d := &figureDecider{Decider: n.decider}
 		n.decider = d
 		_, host := net.establish()
--- a/node/flows.go
+++ b/node/flows.go
@@ -77,24 +77,24 @@
 		n.rejectLine(c, err)
 		return
 	}
-	typeIndex, ok := n.settings.Names[request.Class]
+	typeIndex, ok := n.settings.ServiceTypeIndex[request.ServiceType]
 	if !ok {
 		n.rejectLine(c, errUnknownType)
 		return
 	}
-	n.Count.Taken++
+	n.Count.Requests++
 	switch {
 	case !n.recentIDs.add(hash(request.ID)): // a host would take this flow for the earlier one with that id
-		n.Types[typeIndex].Failure++
+		n.Answers[typeIndex].Failure++
 		n.rejectLine(c, errDuplicateID)
 		return
 	case c.in.Len() > 0:
-		n.Types[typeIndex].Failure++
+		n.Answers[typeIndex].Failure++
 		n.rejectLine(c, errEarlyData)
 		return
 	}
-	wait := request.Wait
-	if limit := n.settings.Limits[typeIndex]; limit > 0 && request.At == "" {
+	wait := request.ConnectTimeout
+	if limit := n.settings.ConnectTimeouts[typeIndex]; limit > 0 && request.CurrentHost == "" {
 		wait = min(wait, limit)
 	}
 	f := n.newFlow(c, request, typeIndex, wait)
@@ -104,16 +104,16 @@
 	for n.net.Room() <= n.owedDescriptors() && n.shedOne() {
 	}
 	if n.net.Room() < n.owedDescriptors() {
-		n.Count.Crowded++
+		n.Count.NoDescriptor++
 		n.countAnswer(f, capture.Rejected)
 		n.sendFinalLine(c, "BUSY\r\n")
 		return
 	}
 	f.id = n.flows.add(f)
 	f.joinNamedGroup(n, request.Group)
-	if request.At != "" {
+	if request.CurrentHost != "" {
 		f.rejoins = true
-		n.Count.Stood++
+		n.Count.Rejoined++
 		n.rejoin(f)
 		return
 	}
@@ -129,15 +129,15 @@
 	f := &flow{request: request, client: c}
 	n.startCapture(f)
 	f.Flow = balance.Flow{
-		Type:     &n.settings.Types[typeIndex],
-		TypeNo:   typeIndex,
-		Hash:     hash(request.Key),
-		Again:    request.Again,
-		Hint:     request.Hint,
-		Worth:    n.worth(typeIndex),
-		Deadline: n.now + wait - answerMargin,
-		Passed:   n.settings.Passes,
-		Ref:      f,
+		Type:        &n.settings.Types[typeIndex],
+		TypeIndex:   typeIndex,
+		Hash:        hash(request.Key),
+		Returning:   request.Returning,
+		LoadHint:    request.LoadHint,
+		Benefit:     n.worth(typeIndex),
+		Deadline:    n.now + wait - answerMargin,
+		Passthrough: n.settings.PassThrough,
+		Ref:         f,
 	}
 	n.shortenDeadline(f)
 	f.timer.run = func() { n.flowTimedOut(f) }
@@ -146,7 +146,7 @@
 
 // joinNamedGroup adds the flow to the group of that name, if it has one and the settings use groups.
 func (f *flow) joinNamedGroup(n *Node, name string) {
-	if name == "" || !n.settings.Groups {
+	if name == "" || !n.settings.HasGroups {
 		return
 	}
 	f.joinGroup(n, hash(name))
@@ -172,7 +172,7 @@
 	for id, g := range n.groups {
 		if g.flowCount == 0 {
 			delete(n.groups, id)
-			delete(n.groupHashes, peers.Short(id))
+			delete(n.groupHashes, peers.ShortHash(id))
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		n.sendFinalLine(f.client, "BUSY\r\n")
 		return
 	}
-	if h := n.hosts[f.request.At]; h != nil {
+	if h := n.hosts[f.request.CurrentHost]; h != nil {
 		n.dial(f, h, f.Deadline-n.now)
 		return
 	}
@@ -209,7 +209,7 @@
 	for n.net.Room() < 1 && n.shedOne() {
 	}
 	switch {
-	case n.net.Gone(f.client.id): // the client has left, although its end has not been read yet
+	case n.net.PeerClosed(f.client.id): // the client has left, although its end has not been read yet
 		c.timer.run = func() { n.clientGone(f) }
 	case n.net.Room() < 1:
 		c.timer.run = func() { n.connectFailed(f, errNoDescriptor) }
@@ -225,11 +225,11 @@
 	h := f.host
 	n.Count.Connects++
 	if n.cluster != nil {
-		n.cluster.overload.Placed(&h.Server)
+		n.cluster.overload.ObserveConnect(&h.Server)
 	}
 	n.deadlines.set(&f.timer, n.now+max(wait, 0))
-	if n.settings.Dial > 0 && n.settings.Dial < wait {
-		n.deadlines.set(&c.timer, n.now+n.settings.Dial)
+	if n.settings.DialTimeout > 0 && n.settings.DialTimeout < wait {
+		n.deadlines.set(&c.timer, n.now+n.settings.DialTimeout)
 	}
 	n.net.Dial(c.id, h.addr, &c.in, &c.out)
 }
@@ -240,7 +240,7 @@
 	f, left := c.flow, c.flow.connectAt+c.flow.connectTimeout-n.now
 	n.deadlines.cancel(&c.timer)
 	switch {
-	case n.net.Gone(f.client.id):
+	case n.net.PeerClosed(f.client.id):
 		n.clientGone(f)
 		return
 	case left <= 0:
@@ -255,8 +255,8 @@
 		return
 	}
 	n.nextLeg(&f.setupSpan)
-	c.out.Put(f.request.Line(left))
-	n.net.Touch(c.id)
+	c.out.Put(f.request.HostLine(left))
+	n.net.RingsChanged(c.id)
 	n.checkRequestSent(c)
 }
 
@@ -270,7 +270,7 @@
 // requestSent records that a flow's whole request has been sent to its host.
 func (n *Node) requestSent(f *flow) {
 	f.stage = AwaitingAnswer
-	n.Count.Asked++
+	n.Count.RequestsSent++
 }
 
 // flowTimedOut handles a flow's timer. What it stands for depends on the flow's state.
@@ -279,7 +279,7 @@
 	case f.ended: // moved in the previous iteration; see Move
 		n.reportEnd(f, balance.Recalled)
 	case f.stage == Established:
-		n.Count.Silent++
+		n.Count.SilentHosts++
 		n.moveClient(f)
 		n.endFlow(f, balance.Severed)
 	case f.stage != Waiting:
@@ -287,7 +287,7 @@
 	case f.rejoins:
 		n.rejoin(f)
 	case f.awaitsList:
-		n.Reject(&f.Flow, n.settings.MaxWait/2)
+		n.Reject(&f.Flow, n.settings.MaxRetryAfter/2)
 	case n.pendingLimit(f) != nil: // no host has seen it, so a retry is harmless
 		n.refuseFlow(f, n.pendingLimit(f))
 	default: // the module has not answered, and every flow gets an answer
@@ -334,16 +334,16 @@
 // readHostAnswer reads the first line that a host sent back, which accepts or refuses the flow.
 func (n *Node) readHostAnswer(c *conn) {
 	f := c.flow
-	line := c.in.Line()
+	line := c.in.PeekLine()
 	if line == nil {
-		if c.in.Len() > lines.Longest+2 {
+		if c.in.Len() > lines.MaxLineBytes+2 {
 			n.connectFailed(f, errAnswer)
 		} else if c.inputEnded {
 			n.connectFailed(f, errEnded)
 		}
 		return
 	}
-	word, _ := lines.Answer(line)
+	word, _ := lines.ParseAnswer(line)
 	switch word {
 	case lines.Up:
 	case lines.Busy:
@@ -362,7 +362,7 @@
 // hostAccepted passes the host's accepting line to the client and begins to relay.
 func (n *Node) hostAccepted(f *flow, c *conn, line []byte) {
 	f.client.out.Put(line)
-	c.in.Drop(len(line))
+	c.in.Discard(len(line))
 	n.countAnswer(f, capture.Established)
 	f.stage, f.request, f.establishedAt = Established, nil, n.now
 	n.establishedCount++
@@ -372,17 +372,17 @@
 	}
 	n.deadlines.cancel(&f.timer)
 	if f.client.admissionPrefix.IsValid() {
-		n.admission.Stood(f.client.admissionPrefix, n.now)
+		n.admission.Established(f.client.admissionPrefix, n.now)
 	}
 	if f.rejoins {
-		n.decider.Opened(&f.Flow, &c.host.Server)
+		n.decider.AdoptFlow(&f.Flow, &c.host.Server)
 	} else {
 		took, sure := n.elapsed(f.setupSpan)
 		n.noteSetup(c.host, took, sure)
-		f.Unsure = n.isStarved()
+		f.SetupTimeUnsure = n.isStarved()
 		n.decider.Established(&f.Flow, took)
 	}
-	n.net.Touch(f.client.id)
+	n.net.RingsChanged(f.client.id)
 	n.relay(f)
 }
 
@@ -417,7 +417,7 @@
 	f.ended = true
 	f.releasePermits()
 	if n.cluster != nil {
-		n.cluster.overload.Forget(&f.Flow)
+		n.cluster.overload.ForgetFlow(&f.Flow)
 	}
 	n.captureEnd(f)
 	n.detachHost(f)
@@ -432,14 +432,14 @@
 
 // rejectEarlyData handles a client that sends data before its answer, which the protocol forbids.
 func (n *Node) rejectEarlyData(f *flow) {
-	n.Types[f.TypeNo].Failure++
+	n.Answers[f.TypeIndex].Failure++
 	n.rejectLine(f.client, errEarlyData)
 	n.withdraw(f)
 }
 
 // clientGone handles a client that left before its answer.
 func (n *Node) clientGone(f *flow) {
-	n.Count.Left++
+	n.Count.ClientsLeft++
 	n.close(f.client)
 	n.withdraw(f)
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -25,19 +25,19 @@
 	maxDrainsPerMessage = 500       // hosts
 )
 
-// Other is the peer process of this node during a handover. Its methods must not block.
-type Other interface {
-	// Tell sends a message.
-	Tell(m *handover.Message)
-	// Give hands connections over with a message about them. It returns false if that is not possible at the moment.
-	Give(m *handover.Message, conns ...uint64) bool
-	// Take is called at the successor: from now on it accepts the node's connections.
-	Take()
+// PeerProcess is the peer process of this node during a handover. Its methods must not block.
+type PeerProcess interface {
+	// Send sends a message.
+	Send(m *handover.Message)
+	// HandOver hands connections over with a message about them. It returns false if that is not possible at the moment.
+	HandOver(m *handover.Message, conns ...uint64) bool
+	// TakeOver is called at the successor: from now on it accepts the node's connections.
+	TakeOver()
 }
 
 // handoverState is the state of a handover between two processes of this node.
 type handoverState struct {
-	peer        Other
+	peer        PeerProcess
 	joining     bool // successor that has not taken over yet
 	isSuccessor bool // this process started as a successor, so its first list is the one its predecessor used
 	stateSent   bool // predecessor that has sent its state
@@ -50,14 +50,14 @@
 // balancerMemory is implemented by deciders whose knowledge can be handed over.
 type balancerMemory interface {
 	Memory() balance.Memory
-	MemoryOf(*balance.Server) balance.ServerMemory
-	Recall(now int64, m balance.Memory)
-	RecallOf(*balance.Server, balance.ServerMemory)
+	ServerMemory(*balance.Server) balance.ServerMemory
+	Restore(now int64, m balance.Memory)
+	RestoreServer(*balance.Server, balance.ServerMemory)
 }
 
-// Heir begins a handover to a successor process and returns the state to send to it. It returns false while another
+// BeginHandover begins a handover to a successor process and returns the state to send to it. It returns false while another
 // handover is in progress.
-func (n *Node) Heir(peer Other) (*handover.State, bool) {
+func (n *Node) BeginHandover(peer PeerProcess) (*handover.State, bool) {
 	if n.handover.peer != nil {
 		return nil, false
 	}
@@ -79,14 +79,14 @@
 	if memory, ok := n.decider.(balancerMemory); ok {
 		state.Types, state.Node = n.typeNames(), memory.Memory()
 		for _, h := range n.hostList {
-			state.Hosts[h.uid] = memory.MemoryOf(&h.Server)
+			state.Hosts[h.uid] = memory.ServerMemory(&h.Server)
 		}
 	}
 	return state, true
 }
 
-// HeirKnows is called at the predecessor once the whole state has been sent.
-func (n *Node) HeirKnows() {
+// StateSent is called at the predecessor once the whole state has been sent.
+func (n *Node) StateSent() {
 	n.handover.stateSent = n.handover.peer != nil
 	n.announceStop()
 }
@@ -94,7 +94,7 @@
 // announceStop tells a successor that has not taken over yet that this process is stopping.
 func (n *Node) announceStop() {
 	if state := &n.handover; state.stateSent && !state.yielded && n.stopAt > 0 {
-		state.peer.Tell(&handover.Message{Leave: true})
+		state.peer.Send(&handover.Message{Leave: true})
 	}
 }
 
@@ -117,9 +117,9 @@
 	return n.recentIDs.newest(min(n.recentIDs.added-state.idsAtState, maxLateIDs))
 }
 
-// OtherGone is called when the peer process or the link to it has ended. It reports whether this process has to accept
+// PeerProcessGone is called when the peer process or the link to it has ended. It reports whether this process has to accept
 // connections from now on.
-func (n *Node) OtherGone() (take bool) {
+func (n *Node) PeerProcessGone() (take bool) {
 	state := &n.handover
 	take = state.yielded || state.joining
 	log.Printf("msg=other_process_gone yielded=%t joining=%t", state.yielded, state.joining)
@@ -128,8 +128,8 @@
 	return take
 }
 
-// Inherit is called at a successor before Begin, with the state that its predecessor sent.
-func (n *Node) Inherit(peer Other, state *handover.State) {
+// InheritState is called at a successor before Begin, with the state that its predecessor sent.
+func (n *Node) InheritState(peer PeerProcess, state *handover.State) {
 	n.handover.peer, n.handover.inherited, n.handover.joining, n.handover.isSuccessor = peer, state, true, true
 }
 
@@ -138,13 +138,13 @@
 	state := n.handover.inherited
 	n.handover.inherited = nil
 	n.listRev, n.listAddr = state.List.Rev, state.From
-	n.applyList(balance.Remembered, state.List)
-	n.TakeIDs(state.IDs)
+	n.applyList(balance.ListRemembered, state.List)
+	n.AddRequestIDs(state.IDs)
 	if memory, ok := n.decider.(balancerMemory); ok {
-		memory.Recall(n.now, state.Node.By(state.Types, n.typeNames()))
+		memory.Restore(n.now, state.Node.ForTypes(state.Types, n.typeNames()))
 		for _, h := range n.hostList {
 			if known, ok := state.Hosts[h.uid]; ok {
-				memory.RecallOf(&h.Server, known)
+				memory.RestoreServer(&h.Server, known)
 			}
 		}
 	}
@@ -155,8 +155,8 @@
 	log.Printf("msg=joining hosts=%d rev=%d ids=%d drained=%t", len(state.List.Entries), state.List.Rev, len(state.IDs), state.Drained)
 }
 
-// OldLeaves is called at a successor when its predecessor is stopping and waits for it to take over.
-func (n *Node) OldLeaves() { n.finishJoining() }
+// PredecessorStopping is called at a successor when its predecessor is stopping and waits for it to take over.
+func (n *Node) PredecessorStopping() { n.finishJoining() }
 
 // finishJoining makes a successor take over: from now on it accepts connections.
 func (n *Node) finishJoining() {
@@ -167,11 +167,11 @@
 	state.joining = false
 	n.deadlines.cancel(&state.timer)
 	log.Printf("msg=took_over hosts=%d rev=%d", len(n.hostList), n.listRev)
-	state.peer.Take()
+	state.peer.TakeOver()
 }
 
-// TakeIDs adds request ids that clients gave to the predecessor.
-func (n *Node) TakeIDs(ids []uint64) {
+// AddRequestIDs adds request ids that clients gave to the predecessor.
+func (n *Node) AddRequestIDs(ids []uint64) {
 	for _, id := range ids[max(len(ids)-n.limits.IDs, 0):] {
 		n.recentIDs.add(id)
 	}
@@ -195,18 +195,18 @@
 	var uids []string
 	for _, e := range update.Entries {
 		// Where only draining binds, a host that is gone from the list without having drained does not bind the peer.
-		if e.State == "draining" || e.State == "gone" && !n.settings.DrainsAlone {
+		if e.State == "draining" || e.State == "gone" && !n.settings.DrainBindsAlone {
 			uids = append(uids, e.UID)
 		}
 	}
 	for batch := range slices.Chunk(uids, maxDrainsPerMessage) {
-		n.handover.peer.Tell(&handover.Message{Drains: batch})
+		n.handover.peer.Send(&handover.Message{Drains: batch})
 	}
 }
 
-// HearDrains marks hosts as draining that the peer process was told to drain. This process's own list decides when they take
+// ApplyPeerDrains marks hosts as draining that the peer process was told to drain. This process's own list decides when they take
 // flows again.
-func (n *Node) HearDrains(uids []string) {
+func (n *Node) ApplyPeerDrains(uids []string) {
 	var update discovery.List
 	for _, uid := range uids {
 		if h := n.hosts[uid]; h != nil && h.State == balance.Up {
@@ -216,7 +216,7 @@
 		}
 	}
 	if len(update.Entries) > 0 {
-		n.applyList(balance.Remembered, update)
+		n.applyList(balance.ListRemembered, update)
 	}
 }
 
@@ -262,10 +262,10 @@
 		Front: c.shedQueue == &n.pingedConns,
 		Age:   n.now - (c.timer.at - firstLineTimeout),
 	}}
-	if !n.handover.peer.Give(message, c.id) {
+	if !n.handover.peer.HandOver(message, c.id) {
 		return false
 	}
-	n.Count.HandedOn++
+	n.Count.HandedOver++
 	n.close(c)
 	return true
 }
@@ -279,10 +279,10 @@
 		return false
 	}
 	message := &handover.Flow{
-		Type:      n.typeNames()[f.TypeNo],
+		Type:      n.typeNames()[f.TypeIndex],
 		Key:       f.Hash,
-		Again:     f.Again,
-		Hint:      f.Hint,
+		Again:     f.Returning,
+		Hint:      f.LoadHint,
 		Load:      f.reportedLoad,
 		Age:       n.now - f.establishedAt,
 		Host:      n.listEntry(f.host),
@@ -299,10 +299,10 @@
 	if left := n.permitTimeLeft(f); left > 0 {
 		message.Process, message.Left = n.config.Cluster.Process, left
 	}
-	if !n.handover.peer.Give(&handover.Message{Flow: message}, client.id, upstream.id) {
+	if !n.handover.peer.HandOver(&handover.Message{Flow: message}, client.id, upstream.id) {
 		return false
 	}
-	n.Count.HandedOn++
+	n.Count.HandedOver++
 	f.record.setEnd(capture.Moved)
 	n.close(client)
 	n.close(upstream)
@@ -313,7 +313,7 @@
 // typeNames returns the names of the service types in the order of the settings.
 func (n *Node) typeNames() []string {
 	names := make([]string, len(n.settings.Types))
-	for name, typeIndex := range n.settings.Names {
+	for name, typeIndex := range n.settings.ServiceTypeIndex {
 		names[typeIndex] = name
 	}
 	return names
@@ -331,13 +331,13 @@
 	if n.admission == nil {
 		return
 	}
-	if key := admission.Key(from.Addr()); n.admission.Come(key, n.now, n.net.Room()-n.owedDescriptors()) == admission.Taken {
+	if key := admission.Key(from.Addr()); n.admission.Admit(key, n.now, n.net.Room()-n.owedDescriptors()) == admission.Admitted {
 		c.admissionPrefix = key
 	}
 }
 
-// TakeClient adds a client without a request that was handed over.
-func (n *Node) TakeClient(handed *handover.Client, from netip.AddrPort) Adopted {
+// AdoptClient adds a client without a request that was handed over.
+func (n *Node) AdoptClient(handed *handover.Client, from netip.AddrPort) Adopted {
 	c := &conn{role: roleNew, up: true}
 	c.timer.run = func() { n.firstLineTimedOut(c) }
 	c.id = n.register(c)
@@ -354,9 +354,9 @@
 	return Adopted{c.id, &c.in, &c.out}
 }
 
-// TakeFlow adds an established flow that was handed over, with its connections to the client (front) and the host (back).
+// AdoptFlow adds an established flow that was handed over, with its connections to the client (front) and the host (back).
 // A flow of a service type that this process's settings don't have is moved as soon as its client can be told.
-func (n *Node) TakeFlow(handed *handover.Flow, from netip.AddrPort) (front, back Adopted) {
+func (n *Node) AdoptFlow(handed *handover.Flow, from netip.AddrPort) (front, back Adopted) {
 	h := n.hosts[handed.Host.UID]
 	if h == nil {
 		h = n.addUnlistedHost(handed.Host)
@@ -369,14 +369,14 @@
 	client.receivedAt, client.sentAt = n.now, n.now
 	n.countHandedOver(client, from)
 	if client.admissionPrefix.IsValid() {
-		n.admission.Stood(client.admissionPrefix, n.now)
+		n.admission.Established(client.admissionPrefix, n.now)
 	}
 	client.in.Put(handed.ClientIn)
 	client.out.Put(handed.ClientOut)
 	upstream.in.Put(handed.HostIn)
 	upstream.out.Put(handed.HostOut)
 	f.id = n.flows.add(f)
-	if handed.Grouped && n.settings.Groups {
+	if handed.Grouped && n.settings.HasGroups {
 		f.joinGroup(n, handed.Group)
 		f.group.established = true
 	}
@@ -388,9 +388,9 @@
 		client.limitPrefix = admission.Key(from.Addr())
 	}
 	n.adoptPermits(f, handed.Process, handed.Left)
-	n.decider.Opened(&f.Flow, &h.Server)
+	n.decider.AdoptFlow(&f.Flow, &h.Server)
 	if handed.Load > 0 {
-		n.decider.Load(&f.Flow, handed.Load)
+		n.decider.LoadMeasured(&f.Flow, handed.Load)
 	}
 	return Adopted{client.id, &client.in, &client.out}, Adopted{upstream.id, &upstream.in, &upstream.out}
 }
@@ -418,7 +418,7 @@
 
 // handedFlow returns the established flow described by a handover message.
 func (n *Node) handedFlow(handed *handover.Flow, client, upstream *conn) *flow {
-	typeIndex, known := n.settings.Names[handed.Type]
+	typeIndex, known := n.settings.ServiceTypeIndex[handed.Type]
 	f := &flow{
 		client:        client,
 		upstream:      upstream,
@@ -430,29 +430,29 @@
 	}
 	f.movePending = !known
 	f.Flow = balance.Flow{
-		Type:     &n.settings.Types[typeIndex],
-		TypeNo:   typeIndex,
-		Worth:    n.worth(typeIndex),
-		Hash:     handed.Key,
-		Again:    handed.Again,
-		Hint:     handed.Hint,
-		Passed:   n.settings.Passes,
-		Deadline: n.now,
-		Ref:      f,
+		Type:        &n.settings.Types[typeIndex],
+		TypeIndex:   typeIndex,
+		Benefit:     n.worth(typeIndex),
+		Hash:        handed.Key,
+		Returning:   handed.Again,
+		LoadHint:    handed.Hint,
+		Passthrough: n.settings.PassThrough,
+		Deadline:    n.now,
+		Ref:         f,
 	}
 	f.timer.run = func() { n.flowTimedOut(f) }
 	return f
 }
 
-// Resumed is called when a connection that was handed over has been added to the event loop. It processes what its rings
+// ResumeAdopted is called when a connection that was handed over has been added to the event loop. It processes what its rings
 // hold.
-func (n *Node) Resumed(id uint64) {
+func (n *Node) ResumeAdopted(id uint64) {
 	c := n.conns.get(id)
 	if c == nil {
 		return
 	}
 	defer n.recoverPanic(c)
-	n.net.Touch(c.id)
+	n.net.RingsChanged(c.id)
 	switch {
 	case c.role == roleNew && c.in.Len() > 0:
 		n.readFirstLine(c)
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -25,9 +25,9 @@
 	moved     map[uint64]uint64 // ids of connections at the successor by ids at the predecessor
 }
 
-func (peer *fakePeer) Tell(m *handover.Message) { peer.messages = append(peer.messages, m) }
-func (peer *fakePeer) Take()                    { peer.accepting = true }
-func (peer *fakePeer) Give(m *handover.Message, conns ...uint64) bool {
+func (peer *fakePeer) Send(m *handover.Message) { peer.messages = append(peer.messages, m) }
+func (peer *fakePeer) TakeOver()                { peer.accepting = true }
+func (peer *fakePeer) HandOver(m *handover.Message, conns ...uint64) bool {
 	if peer.refuses {
 		return false
 	}
@@ -41,9 +41,9 @@
 	peer.to.run(1, func() {
 		var got []Adopted
 		if m.Client != nil {
-			got = []Adopted{peer.to.node.TakeClient(m.Client, peer.to.from)}
+			got = []Adopted{peer.to.node.AdoptClient(m.Client, peer.to.from)}
 		} else {
-			front, back := peer.to.node.TakeFlow(m.Flow, peer.to.from)
+			front, back := peer.to.node.AdoptFlow(m.Flow, peer.to.from)
 			got = []Adopted{front, back}
 		}
 		for i, a := range got {
@@ -52,7 +52,7 @@
 			peer.moved[conns[i]] = a.ID
 		}
 		for _, a := range got {
-			peer.to.node.Resumed(a.ID)
+			peer.to.node.ResumeAdopted(a.ID)
 		}
 	})
 	return true
@@ -62,7 +62,7 @@
 func newPredecessor(t *testing.T, hosts int) (*fakeNet, *fakePeer) {
 	t.Helper()
 	_, predecessor := newNode(hosts)
-	predecessor.node.settings.Groups = true
+	predecessor.node.settings.HasGroups = true
 	return predecessor, &fakePeer{t: t, from: predecessor, moved: map[uint64]uint64{}}
 }
 
@@ -72,11 +72,11 @@
 	n, net := newNode(1)
 	successor := New(n.settings, Config{Admission: admission.Limits{PerAddress: 100}}, net)
 	net.from = netip.MustParseAddrPort("127.0.0.9:1")
-	successor.settings.Groups = true
+	successor.settings.HasGroups = true
 	net.node = successor
 	peer.to = net
 	back := &fakePeer{t: peer.t}
-	successor.Inherit(back, state)
+	successor.InheritState(back, state)
 	successor.Begin(peer.from.node.now, discovery.List{})
 	return net
 }
@@ -93,10 +93,10 @@
 func TestHandoverMatchesTypesByName(t *testing.T) {
 	newTypedNode := func(net *fakeNet, names ...string) *Node {
 		set := *net.node.settings
-		set.Types, set.Names, set.Limits = nil, map[string]int{}, nil
+		set.Types, set.ServiceTypeIndex, set.ConnectTimeouts = nil, map[string]int{}, nil
 		for i, name := range names {
 			set.Types = append(set.Types, net.node.settings.Types[0])
-			set.Names[name], set.Limits = i, append(set.Limits, 0)
+			set.ServiceTypeIndex[name], set.ConnectTimeouts = i, append(set.ConnectTimeouts, 0)
 		}
 		return New(&set, Config{}, net)
 	}
@@ -113,25 +113,25 @@
 	}
 	toll, _ := establish("toll")
 	gone, _ := establish("gone")
-	state, _ := n.Heir(peer)
+	state, _ := n.BeginHandover(peer)
 	_, successor := newNode(1)
 	successor.node = newTypedNode(successor, "toll", "chat")
 	peer.to = successor
-	successor.node.Inherit(&fakePeer{t: t}, state)
+	successor.node.InheritState(&fakePeer{t: t}, state)
 	successor.node.Begin(n.now, discovery.List{})
 	successor.run(joinTimeout, func() {})
-	m := state.Node.By(state.Types, successor.node.typeNames())
+	m := state.Node.ForTypes(state.Types, successor.node.typeNames())
 	if len(m.Loads) != 2 || m.Loads[0] != state.Node.Loads[1] || m.Loads[1] != state.Node.Loads[0] || len(state.Types) != 3 {
 		t.Fatal(m.Loads, state.Node.Loads)
 	}
-	if lost := state.Node.By(state.Types[:1], successor.node.typeNames()); lost.Loads != nil {
+	if lost := state.Node.ForTypes(state.Types[:1], successor.node.typeNames()); lost.Loads != nil {
 		t.Fatal("figures without type names were used", lost.Loads)
 	}
 	predecessor.run(1, func() { n.Yield(); n.Stop() })
 	peer.steps(predecessor, 3)
 	f := successor.node.conns.get(peer.moved[toll]).flow
-	if f.TypeNo != 0 || f.movePending {
-		t.Fatal("the flow has another service type at the successor", f.TypeNo, f.movePending)
+	if f.TypeIndex != 0 || f.movePending {
+		t.Fatal("the flow has another service type at the successor", f.TypeIndex, f.movePending)
 	}
 	successor.expect(t, peer.moved[gone], "MOVE\r\n", "shut")
 }
@@ -149,8 +149,8 @@
 	silent := predecessor.openClient("OPEN 77 2 c=ch")
 	pending := predecessor.openClient(openLine)
 	pendingHost := predecessor.connectLast()
-	state, ok := n.Heir(peer)
-	if _, again := n.Heir(peer); !ok || again {
+	state, ok := n.BeginHandover(peer)
+	if _, again := n.BeginHandover(peer); !ok || again {
 		t.Fatal("the first handover was refused, or a second one accepted")
 	}
 	successor := peer.startSuccessor(state)
@@ -185,10 +185,10 @@
 	predecessor.connectLast()
 	predecessor.receive(predecessor.lastConn(), "UP 9\r\n")
 	peer.steps(predecessor, 2)
-	if peer.moved[pending] == 0 || peer.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOn != 6 {
+	if peer.moved[pending] == 0 || peer.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOver != 6 {
 		t.Fatal(peer.moved, n.flows.count, n.Count)
 	}
-	if known, strangers := successor.node.admission.Held(); known+strangers != 1 {
+	if known, strangers := successor.node.admission.AddressCounts(); known+strangers != 1 {
 		t.Fatal("connections handed over are not counted for their address")
 	}
 	successor.receive(peer.moved[c], "ne\r\n")
@@ -210,7 +210,7 @@
 		t.Fatal(got)
 	}
 	successor.receive(successor.openClient(""), fmt.Sprintf("OPEN %d 2 c=chat,d=2000\r\n", predecessor.clients-1))
-	if successor.node.Count.Bad != 1 {
+	if successor.node.Count.BadLines != 1 {
 		t.Fatal("a request id used at the predecessor was accepted again")
 	}
 }
@@ -220,23 +220,23 @@
 	predecessor, peer := newPredecessor(t, 1)
 	n := predecessor.node
 	c, _ := predecessor.establish()
-	state, _ := n.Heir(peer)
-	if take := n.OtherGone(); take {
+	state, _ := n.BeginHandover(peer)
+	if take := n.PeerProcessGone(); take {
 		t.Fatal("told to accept connections that it had not given up")
 	}
 	successor := peer.startSuccessor(state)
 	successor.run(1, func() {
-		if !successor.node.OtherGone() {
+		if !successor.node.PeerProcessGone() {
 			t.Fatal("the predecessor has ended and the successor does not accept connections")
 		}
 	})
 	if !successor.node.Ready() {
 		t.Fatal(successor.node.state())
 	}
-	if _, ok := n.Heir(peer); !ok {
+	if _, ok := n.BeginHandover(peer); !ok {
 		t.Fatal("a second handover was refused")
 	}
-	n.HeirKnows()
+	n.StateSent()
 	predecessor.run(1, n.Stop) // before the successor has taken over
 	if len(peer.messages) != 1 || !peer.messages[0].Leave {
 		t.Fatal(peer.messages)
@@ -256,7 +256,7 @@
 func TestDrainsHoldInBothProcesses(t *testing.T) {
 	predecessor, peer := newPredecessor(t, 2)
 	predecessor.node.Drain()
-	state, _ := predecessor.node.Heir(peer)
+	state, _ := predecessor.node.BeginHandover(peer)
 	successor := peer.startSuccessor(state)
 	successor.run(joinTimeout, func() {})
 	if successor.node.state() != "drained" {
@@ -267,8 +267,8 @@
 	if len(peer.messages) != 1 || !slices.Equal(peer.messages[0].Drains, []string{"s-0"}) {
 		t.Fatal(peer.messages)
 	}
-	successor.run(1, func() { successor.node.HearDrains(append(peer.messages[0].Drains, "unknown")) })
-	peer.messages, predecessor.node.settings.DrainsAlone = nil, true
+	successor.run(1, func() { successor.node.ApplyPeerDrains(append(peer.messages[0].Drains, "unknown")) })
+	peer.messages, predecessor.node.settings.DrainBindsAlone = nil, true
 	predecessor.run(1, func() { predecessor.node.receiveList(&conn{}, entries("gone", 2)) })
 	if len(peer.messages) != 0 {
 		t.Fatal("an absent host was reported as draining, although only draining binds")
@@ -287,13 +287,13 @@
 	c, h := predecessor.establish()
 	predecessor.receive(h, "LOAD 900\r\n")
 	predecessor.run(1, func() { predecessor.node.Ended(c, nil) }) // the load of its key is remembered
-	state, _ := predecessor.node.Heir(peer)
+	state, _ := predecessor.node.BeginHandover(peer)
 	known := state.Hosts["s-1"]
 	known.Started = 5
 	state.Hosts["s-1"] = known
 	successor := peer.startSuccessor(state).node
 	memory, none := successor.decider.(balancerMemory), balance.ServerMemory{}
-	first, anew := memory.MemoryOf(&successor.hosts["s-0"].Server), memory.MemoryOf(&successor.hosts["s-1"].Server)
+	first, anew := memory.ServerMemory(&successor.hosts["s-0"].Server), memory.ServerMemory(&successor.hosts["s-1"].Server)
 	if first.Rank == 0 || !reflect.DeepEqual(first, state.Hosts["s-0"]) || anew.Latency != none.Latency {
 		t.Fatal(first, anew)
 	}
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -22,8 +22,8 @@
 
 const defaultMaxHosts = 20_000 // where Limits.Hosts is 0
 
-// Hold is what a node holds for one purpose.
-type Hold struct {
+// Holding is what a node holds for one purpose.
+type Holding struct {
 	Purpose string
 	Count   int
 	Bytes   int
@@ -32,7 +32,7 @@
 
 // Holdings returns what the node holds by purpose, descriptors first, then memory. It walks all tables, so it is meant for
 // operators' requests and not for each loop iteration.
-func (n *Node) Holdings() []Hold {
+func (n *Node) Holdings() []Holding {
 	roles := map[role]int{}
 	for _, entry := range n.conns.entries {
 		if entry.value != nil {
@@ -42,27 +42,27 @@
 	var requestBytes int // estimated size of requests without an answer
 	for _, entry := range n.flows.entries {
 		if entry.value != nil && entry.value.request != nil {
-			requestBytes += int(unsafe.Sizeof(*entry.value.request)) + lines.Longest/8
+			requestBytes += int(unsafe.Sizeof(*entry.value.request)) + lines.MaxLineBytes/8
 		}
 	}
 	known, strangers := 0, 0
 	if n.admission != nil {
-		known, strangers = n.admission.Held()
+		known, strangers = n.admission.AddressCounts()
 	}
 	logs := 0
 	for key := range n.logKinds {
 		logs += len(key) + int(unsafe.Sizeof(logKind{}))
 	}
-	buffers, wide := n.ringBudget.Held()
-	return []Hold{
+	buffers, wide := n.ringBudget.InUse()
+	return []Holding{
 		{"fd_new", roles[roleNew], 0, 0}, {"fd_client", roles[roleClient], 0, 0}, {"fd_connect", roles[roleUpstream], 0, 0},
 		{"fd_probe", roles[roleProbe], 0, 0}, {"fd_watch", roles[roleWatch], 0, 0}, {"fd_leaving", roles[roleClosing], 0, 0},
-		{"fd_operator", roles[roleOperator], 0, CallPlaces},
+		{"fd_operator", roles[roleOperator], 0, MaxOperatorConns},
 		{"connections", n.conns.count, n.conns.count*int(unsafe.Sizeof(conn{})) + n.flows.count*int(unsafe.Sizeof(flow{})) + requestBytes, 0},
 		{"hosts", len(n.hosts), len(n.hosts) * int(unsafe.Sizeof(host{})+64), n.limits.Hosts},
 		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.limits.Groups},
 		{"ids", len(n.recentIDs.ring), len(n.recentIDs.ring) * 32, n.limits.IDs},
-		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideSize, n.limits.Buffers},
+		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideRingSize, n.limits.Buffers},
 		{"addresses", known + strangers, (known + strangers) * 192, 0},
 		{"logs", len(n.logKinds), logs, maxLogKinds},
 		{"deadlines", len(n.deadlines.heap), cap(n.deadlines.heap) * 8, 0},
@@ -112,7 +112,7 @@
 // part of a line, the one that has waited longest. This bounds the memory that clients can take with incomplete lines.
 func (n *Node) relieveBuffers() {
 	for n.limits.Buffers > 0 {
-		if held, _ := n.ringBudget.Held(); held <= n.limits.Buffers {
+		if held, _ := n.ringBudget.InUse(); held <= n.limits.Buffers {
 			return
 		}
 		var oldest *conn
--- a/node/late.go
+++ b/node/late.go
@@ -25,9 +25,9 @@
 	lengths   [keptIterations]int32 // lengths of past iterations, by number
 }
 
-// Late is called by the event loop before an iteration with how long the iteration's events may have waited and how long the
+// ReportLateness is called by the event loop before an iteration with how long the iteration's events may have waited and how long the
 // previous iteration took, in microseconds.
-func (n *Node) Late(lateness, lastLength int64) {
+func (n *Node) ReportLateness(lateness, lastLength int64) {
 	n.lateness.current = max(lateness, 0)
 	n.adjustQuota(n.lateness.current, lastLength)
 	decay := math.Exp(-float64(max(n.now-n.lateness.updatedAt, 0)) / float64(second))
@@ -38,7 +38,7 @@
 	n.lateness.iteration++
 	n.lateness.lengths[n.lateness.iteration%keptIterations] = 0
 	if lateness > 0 {
-		n.Count.LateTurns++
+		n.Count.LateIterations++
 		n.Count.LateUs += lateness
 	}
 }
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -40,7 +40,7 @@
 
 // runLate runs a loop iteration whose events have waited for late, after an iteration that took before.
 func (net *fakeNet) runLate(late, before int64, in func()) {
-	net.node.Late(late, before)
+	net.node.ReportLateness(late, before)
 	net.run(late+1, in)
 }
 
@@ -63,11 +63,11 @@
 		id := net.lastConn()
 		net.up[id] = true
 		net.runLate(0, 0, func() { n.Connected(id) })
-		n.Late(0, 0)
+		n.ReportLateness(0, 0)
 		net.run(1, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		h.probes = nil
 		net.runLate(0, 0, func() { n.Probe(&s.Server) })
-		n.Late(c.late, c.before)
+		n.ReportLateness(c.late, c.before)
 		net.run(2*ms+c.late, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		if len(h.probes) != 1 || h.probes[0] != c.want {
 			t.Errorf("%s: module was told %v, want %v", c.name, h.probes, c.want)
@@ -78,13 +78,13 @@
 // The set-up time reported to the module contains the node's own lateness in neither of its two legs.
 func TestOwnLatenessInSetUps(t *testing.T) {
 	n, net, h := newRecordingNode(t)
-	n.Late(0, 0)
+	n.ReportLateness(0, 0)
 	net.openClient(openLine)
 	id := net.lastConn()
 	net.up[id] = true
-	n.Late(30*ms, 10*ms) // the connection was up long before the node noticed it
+	n.ReportLateness(30*ms, 10*ms) // the connection was up long before the node noticed it
 	net.run(41*ms, func() { n.Connected(id) })
-	n.Late(5*ms, 2*ms)
+	n.ReportLateness(5*ms, 2*ms)
 	net.run(8*ms, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 	if len(h.setups) != 1 || h.setups[0] > 3*ms {
 		t.Errorf("a set-up of 2 ms with 47 ms of own lateness was reported as %v us", h.setups)
@@ -114,10 +114,10 @@
 // The lengths of past iterations are kept in a ring. A length must not be read for an older iteration at the same index.
 func TestLatenessHistoryWraps(t *testing.T) {
 	n, _ := newNode(1)
-	n.Late(0, 0)
+	n.ReportLateness(0, 0)
 	m := n.startSpan()
 	for i := range 2*keptIterations + 3 {
-		n.Late(0, int64(i%2)*40*ms)
+		n.ReportLateness(0, int64(i%2)*40*ms)
 	}
 	n.now += second
 	if us, sure := n.elapsed(m); us != second || !sure {
@@ -129,15 +129,15 @@
 // and the next flow is served.
 func TestClockJumps(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
-	n.Late(0, 0)
+	n.ReportLateness(0, 0)
 	c := net.openClient(openLine)
-	n.Late(3600*second, 0)
+	n.ReportLateness(3600*second, 0)
 	net.run(3600*second, func() {})
 	net.run(1, func() {})
 	if net.sent[c] == "" || n.Count.Panics > 0 {
 		t.Errorf("answered %q, %d panics", net.sent[c], n.Count.Panics)
 	}
-	n.Late(-second, -second)
+	n.ReportLateness(-second, -second)
 	net.run(-second, func() {})
 	net.run(2*second, func() {})
 	if client, _ := net.establish(); net.sent[client] != "UP 7\r\n" || n.Count.Panics > 0 {
@@ -183,26 +183,26 @@
 	number := 0
 	serve := func(flows int, late, took int64) {
 		for range flows {
-			n.Late(late, 0)
+			n.ReportLateness(late, 0)
 			number++
 			before := n.Count.Connects
 			net.openClient(fmt.Sprintf("OPEN %d k%d c=chat,d=2000\r\n", number, number))
 			if n.Count.Connects > before {
 				id := net.connectLast()
-				n.Late(late, 0)
+				n.ReportLateness(late, 0)
 				net.run(took, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
 			}
 		}
 	}
 	serve(12, 0, 2*ms)
-	before := n.Types[0].Busy
+	before := n.Answers[0].Busy
 	serve(20, 60*ms, 200*ms)
-	if n.Types[0].Busy > before {
-		t.Errorf("%d flows rejected while the node was late itself", n.Types[0].Busy-before)
+	if n.Answers[0].Busy > before {
+		t.Errorf("%d flows rejected while the node was late itself", n.Answers[0].Busy-before)
 	}
 	net.run(5*second, func() {})
 	serve(20, 0, 200*ms)
-	if n.Types[0].Busy == before {
+	if n.Answers[0].Busy == before {
 		t.Error("no flow rejected, although set-ups are slow and the node is in time")
 	}
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -40,8 +40,8 @@
 // Check returns an error if the limit is invalid or can't be kept by that many nodes.
 func (l FleetLimit) Check(nodes int) error {
 	switch {
-	case nodes > lease.MostNodes:
-		return fmt.Errorf("limit over %d nodes: at most %d nodes can share one", nodes, lease.MostNodes)
+	case nodes > lease.MaxNodes:
+		return fmt.Errorf("limit over %d nodes: at most %d nodes can share one", nodes, lease.MaxNodes)
 	case !slices.Contains([]string{OverAddress, OverType, OverGroup, OverHost, OverCold}, l.Over):
 		return fmt.Errorf("over %q: want \"address\", \"type\", \"group\", \"host\" or \"cold\"", l.Over)
 	case l.Over == OverCold && (l != FleetLimit{Over: OverCold, Rate: limits.Limit{Strict: true}, AtOnce: permits.Limit{Strict: true}}):
@@ -52,14 +52,14 @@
 		return nil
 	case l.Over == OverAddress && l.Of != "":
 		return fmt.Errorf("of %q: a limit over \"address\" holds for each address", l.Of)
-	case l.AtOnce.Most != 0 && l.Rate != (limits.Limit{Strict: l.Rate.Strict}):
+	case l.AtOnce.Max != 0 && l.Rate != (limits.Limit{Strict: l.Rate.Strict}):
 		return fmt.Errorf("both a rate and a number at once are given; want one of them")
-	case l.AtOnce.Most == 0 && l.Over == OverHost:
+	case l.AtOnce.Max == 0 && l.Over == OverHost:
 		return fmt.Errorf("over \"host\": only a number at once can be kept")
-	case l.AtOnce.Most == 0:
+	case l.AtOnce.Max == 0:
 		return l.Rate.Check(nodes)
-	case l.Over == OverHost && l.AtOnce.Most < nodes:
-		return fmt.Errorf("%d at once at a host can't be shared by %d nodes: each node needs one", l.AtOnce.Most, nodes)
+	case l.Over == OverHost && l.AtOnce.Max < nodes:
+		return fmt.Errorf("%d at once at a host can't be shared by %d nodes: each node needs one", l.AtOnce.Max, nodes)
 	}
 	return l.AtOnce.Check()
 }
@@ -70,7 +70,7 @@
 // name returns the name of a limit in metrics. Its hash identifies the limit on the wire.
 func (l FleetLimit) name() string {
 	kind := "rate"
-	if l.AtOnce.Most != 0 {
+	if l.AtOnce.Max != 0 {
 		kind = "at_once"
 	}
 	name := l.Over + "." + kind
@@ -102,11 +102,11 @@
 	for _, limit := range given {
 		local := &localLimit{FleetLimit: limit, name: limit.name(), id: uint32(hash(limit.name()))}
 		if limit.Over == OverCold {
-			local.rate = limits.Varied(func(key uint64) limits.Limit { return n.coldLimit(local, key) }, process, nodes, keyOwner{n})
-			n.cluster.overload.ColdByGrant(func(server *balance.Server) bool {
-				return n.cluster.leases.Lent(int(local.nameKey(server.Name) % lease.Slots))
+			local.rate = limits.NewPerKey(func(key uint64) limits.Limit { return n.coldLimit(local, key) }, process, nodes, keyOwner{n})
+			n.cluster.overload.UseColdGrants(func(server *balance.Server) bool {
+				return n.cluster.leases.VoteOutstanding(int(local.nameKey(server.Name) % lease.Slots))
 			})
-		} else if limit.AtOnce.Most > 0 {
+		} else if limit.AtOnce.Max > 0 {
 			local.concurrent, local.exhaustedAt = permits.New(limit.AtOnce, process, nodes, keyOwner{n}), map[*host]int64{}
 		} else {
 			local.rate = limits.New(limit.Rate, process, nodes, keyOwner{n})
@@ -116,7 +116,7 @@
 	// Permits can be given back, so their limits come first: a flow that is refused later has not used up a rate. Limits
 	// over cold hosts come last, so that a refused flow takes no grant.
 	rank := func(limit *localLimit) int {
-		return map[bool]int{true: 2}[limit.Over == OverCold] + map[bool]int{true: 1}[limit.AtOnce.Most == 0]
+		return map[bool]int{true: 2}[limit.Over == OverCold] + map[bool]int{true: 1}[limit.AtOnce.Max == 0]
 	}
 	slices.SortStableFunc(all, func(x, y *localLimit) int { return cmp.Compare(rank(x), rank(y)) })
 	return all
@@ -137,9 +137,9 @@
 		}
 		local := n.cluster.limits[i]
 		if local.FleetLimit = limit; local.concurrent != nil {
-			local.concurrent.Set(limit.AtOnce)
+			local.concurrent.SetLimit(limit.AtOnce)
 		} else {
-			local.rate.Set(limit.Rate)
+			local.rate.SetLimit(limit.Rate)
 		}
 	}
 	return known
@@ -164,8 +164,8 @@
 
 // typeName returns the name of the flow's service type.
 func (f *flow) typeName(n *Node) string {
-	for name, no := range n.settings.Names {
-		if no == f.TypeNo {
+	for name, no := range n.settings.ServiceTypeIndex {
+		if no == f.TypeIndex {
 			return name
 		}
 	}
@@ -189,15 +189,15 @@
 // keyOwner knows which node owns a key, as far as this process can tell.
 type keyOwner struct{ n *Node }
 
-// Mine reports whether this node owns a key, since when, and until when its lease lasts.
-func (o keyOwner) Mine(key uint64) (since, until int64, ok bool) {
+// OwnedHere reports whether this node owns a key, since when, and until when its lease lasts.
+func (o keyOwner) OwnedHere(key uint64) (since, until int64, ok bool) {
 	leases, slot := o.n.cluster.leases, int(key%lease.Slots)
 	since, ok = leases.Owned(slot)
-	return since, leases.Until(slot), ok
+	return since, leases.ExpiresAt(slot), ok
 }
 
-// Who returns the node to ask about a key; negative for this node.
-func (o keyOwner) Who(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
+// LikelyOwner returns the node to ask about a key; negative for this node.
+func (o keyOwner) LikelyOwner(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
 // believedOwner returns the node that should own a slot: of this node and the linked nodes, the one with the highest hash of
 // slot and name. It is negative for this node. Nodes may differ in it; it decides only which node is asked.
@@ -211,8 +211,8 @@
 	best := rank(uint32(hash(n.config.Cluster.Name)))
 	others := n.cluster.members
 	for i := range n.config.Cluster.Others {
-		name, ok := others.Name(i)
-		if !ok || others.Standing(i) != members.Linked {
+		name, ok := others.NameHash(i)
+		if !ok || others.State(i) != members.Linked {
 			continue
 		}
 		if score := rank(name); score > best {
@@ -229,20 +229,20 @@
 	if cluster == nil {
 		return
 	}
-	cluster.overload.Turn(n.now)
+	cluster.overload.Tick(n.now)
 	if cluster.leases == nil {
 		return
 	}
-	cluster.leases.Turn(n.now)
+	cluster.leases.Tick(n.now)
 	for _, limit := range cluster.limits {
 		if limit.rate != nil {
-			n.settleRate(limit, limit.rate.Turn(n.now, n.limitSender(limit)))
+			n.settleRate(limit, limit.rate.Tick(n.now, n.limitSender(limit)))
 			continue
 		}
-		if limit.Over == OverHost && limit.concurrent.Due(n.now) {
+		if limit.Over == OverHost && limit.concurrent.SweepDue(n.now) {
 			n.keepHostPermits(limit)
 		}
-		answers, excesses := limit.concurrent.Turn(n.now, n.limitSender(limit))
+		answers, excesses := limit.concurrent.Tick(n.now, n.limitSender(limit))
 		n.settleConcurrent(limit, answers)
 		for _, excess := range excesses {
 			n.endExcessFlows(limit, excess)
@@ -263,7 +263,7 @@
 		}
 	}
 	desired := func(slot int) bool { return len(cluster.desiredSlots) == 0 || cluster.desiredSlots[slot] }
-	cluster.leases.Ask(desired, func(payload []byte) {
+	cluster.leases.RequestVotes(desired, func(payload []byte) {
 		for to := range n.config.Cluster.Others {
 			n.sendToNode(to, payload)
 		}
@@ -316,9 +316,9 @@
 		}
 		var granted, waits bool
 		if limit.concurrent != nil {
-			granted, waits = limit.concurrent.Take(key, f, n.limitSender(limit))
+			granted, waits = limit.concurrent.Acquire(key, f, n.limitSender(limit))
 		} else {
-			granted, waits = limit.rate.Take(key, f, n.limitSender(limit))
+			granted, waits = limit.rate.Acquire(key, f, n.limitSender(limit))
 		}
 		if waits {
 			f.pendingKey = key
@@ -344,7 +344,7 @@
 // releasePermits gives back a flow's permits.
 func (f *flow) releasePermits() {
 	for _, p := range f.permits {
-		p.limit.concurrent.Done(p.key)
+		p.limit.concurrent.Release(p.key)
 	}
 	f.permits = nil
 }
@@ -359,27 +359,27 @@
 
 // busyAnswer returns the BUSY line, with half of the longest retry delay that clients obey where there is one.
 func (n *Node) busyAnswer() string {
-	if wait := n.settings.MaxWait / 2; wait > 0 {
+	if wait := n.settings.MaxRetryAfter / 2; wait > 0 {
 		return fmt.Sprintf("BUSY %d\r\n", wait/ms)
 	}
 	return "BUSY\r\n"
 }
 
 // settleRate applies answers of a rate limit to the flows that wait for them.
-func (n *Node) settleRate(limit *localLimit, answers []limits.Answer) {
+func (n *Node) settleRate(limit *localLimit, answers []limits.Decision) {
 	for _, answer := range answers {
 		if request, ok := answer.Waiter.(*coldRequest); ok {
 			n.coldAnswered(limit, request, answer)
 			continue
 		}
-		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
+		n.settleFlow(limit, answer.Waiter.(*flow), answer.Granted)
 	}
 }
 
 // settleConcurrent applies answers of a concurrent limit to the flows that wait for them.
-func (n *Node) settleConcurrent(limit *localLimit, answers []permits.Answer) {
+func (n *Node) settleConcurrent(limit *localLimit, answers []permits.Decision) {
 	for _, answer := range answers {
-		n.settleFlow(limit, answer.Waiter.(*flow), answer.Yes)
+		n.settleFlow(limit, answer.Waiter.(*flow), answer.Granted)
 	}
 }
 
@@ -396,12 +396,12 @@
 	key := f.pendingKey // stored, because a flow that has ended has no group to derive it from
 	switch {
 	case f.ended && granted && limit.concurrent != nil:
-		limit.concurrent.Done(key) // the flow ended before its answer came
+		limit.concurrent.Release(key) // the flow ended before its answer came
 	case f.ended:
 	case granted:
 		f.passLimit(limit, key)
 		if !n.blockedByLimit(f) {
-			n.decider.Demand(&f.Flow)
+			n.decider.PlaceFlow(&f.Flow)
 		}
 	default:
 		n.refuseFlow(f, limit)
@@ -429,7 +429,7 @@
 	slices.SortStableFunc(flows, func(x, y *flow) int {
 		return cmp.Or(cmp.Compare(order[x.stage], order[y.stage]), cmp.Compare(y.establishedAt, x.establishedAt))
 	})
-	for _, f := range flows[:min(excess.N, len(flows))] {
+	for _, f := range flows[:min(excess.Count, len(flows))] {
 		n.logThrottled("permit_ran_out", limit.name)
 		f.releasePermits()
 		if f.stage == Established {
@@ -458,19 +458,19 @@
 		if !ok {
 			continue
 		}
-		use, spare := h.Flows(), 0
+		use, spare := h.OwnFlows(), 0
 		exhaustedAt, exhausted := limit.exhaustedAt[h]
 		switch {
 		case h.State != balance.Up:
 		case exhausted && n.now-exhaustedAt < exhaustedFor:
 			spare = 1 + use/4
-		case use == 0 || limit.AtOnce.Most >= 4*nodes:
+		case use == 0 || limit.AtOnce.Max >= 4*nodes:
 			spare = 1
 		}
 		if n.now-exhaustedAt >= exhaustedFor {
 			delete(limit.exhaustedAt, h)
 		}
-		limit.concurrent.Keep(key, use, spare)
+		limit.concurrent.SetUsage(key, use, spare)
 	}
 }
 
@@ -480,12 +480,12 @@
 	n *Node
 }
 
-// Room returns the room for a flow at a server, which is 0 where this node holds no free permit for it.
-func (b hostBounds) Room(server *balance.Server, f *balance.Flow) float64 {
-	room := b.Bounds.Room(server, f)
+// RoomProbability returns the room for a flow at a server, which is 0 where this node holds no free permit for it.
+func (b hostBounds) RoomProbability(server *balance.Server, f *balance.Flow) float64 {
+	room := b.Bounds.RoomProbability(server, f)
 	if h := b.n.hosts[server.Name]; room > 0 && h != nil {
 		for _, limit := range b.n.cluster.limits {
-			if key, ok := limit.hostKey(h); ok && h.Flows() >= limit.concurrent.May(key) {
+			if key, ok := limit.hostKey(h); ok && h.OwnFlows() >= limit.concurrent.Allowed(key) {
 				limit.exhaustedAt[h] = b.n.now
 				return 0
 			}
@@ -520,13 +520,13 @@
 	if n.cluster == nil {
 		return 0
 	}
-	left = permits.Use
+	left = permits.UserTerm
 	for _, held := range f.permits {
-		left = min(left, held.limit.concurrent.Left(held.key))
+		left = min(left, held.limit.concurrent.Remaining(held.key))
 	}
 	for _, limit := range n.cluster.limits {
 		if key, ok := limit.hostKey(f.host); ok {
-			left = min(left, limit.concurrent.Left(key))
+			left = min(left, limit.concurrent.Remaining(key))
 		}
 	}
 	return left
@@ -540,19 +540,19 @@
 	}
 	for _, limit := range n.cluster.limits {
 		if limit.concurrent != nil {
-			limit.concurrent.Yield()
+			limit.concurrent.StopGranting()
 		}
 	}
 }
 
 // receiveLimitMessage handles a message of another node about leases or limits. It reports false for any other message.
-func (n *Node) receiveLimitMessage(from int, message members.Word) bool {
+func (n *Node) receiveLimitMessage(from int, message members.Message) bool {
 	cluster := n.cluster
 	if cluster.leases == nil {
 		return false
 	}
 	payload := message.Payload
-	if cluster.leases.Take(from+1, message.Process, payload, func(payload []byte) { n.sendToNode(from, payload) }) {
+	if cluster.leases.HandleMessage(from+1, message.Process, payload, func(payload []byte) { n.sendToNode(from, payload) }) {
 		return true
 	}
 	if len(payload) <= limitHeaderSize || payload[0] != limitMessageKind {
@@ -567,17 +567,17 @@
 	limit, payload := cluster.limits[index], payload[limitHeaderSize:]
 	answer := func(payload []byte) { n.sendToNode(from, limit.encode(payload)) }
 	if limit.concurrent != nil {
-		if limit.concurrent.TakeAsk(message.Process, payload, answer) {
+		if limit.concurrent.HandleRequest(message.Process, payload, answer) {
 			return true
 		}
-		answers, ok := limit.concurrent.Told(from, payload)
+		answers, ok := limit.concurrent.HandleReply(from, payload)
 		n.settleConcurrent(limit, answers)
 		return ok
 	}
-	if limit.rate.TakeAsk(payload, answer) {
+	if limit.rate.HandleRequest(payload, answer) {
 		return true
 	}
-	answers, ok := limit.rate.Told(from, payload, n.limitSender(limit))
+	answers, ok := limit.rate.HandleReply(from, payload, n.limitSender(limit))
 	n.settleRate(limit, answers)
 	return ok
 }
@@ -599,26 +599,26 @@
 	for _, limit := range cluster.limits {
 		add := func(name string, v int64) { fmt.Fprintf(&text, "limit.%s.%s=%d\n", limit.name, name, v) }
 		if concurrent := limit.concurrent; concurrent != nil {
-			used, ledgers := concurrent.Keys()
-			add("held", int64(concurrent.Used()))
+			used, ledgers := concurrent.KeyCounts()
+			add("held", int64(concurrent.InUse()))
 			add("granted", concurrent.Granted)
 			add("refused", concurrent.Refused)
-			add("over", concurrent.Ended)
-			add("asked", concurrent.Asked)
-			add("alone", concurrent.Alone)
-			add("stray", concurrent.Stray)
+			add("over", concurrent.Revoked)
+			add("asked", concurrent.RequestsSent)
+			add("alone", concurrent.GrantedLocally)
+			add("stray", concurrent.Discarded)
 			add("keys", int64(used+ledgers))
-			add("word_ms", concurrent.Oldest()/ms)
+			add("word_ms", concurrent.OldestRenewal()/ms)
 			continue
 		}
 		rate := limit.rate
 		add("granted", rate.Granted)
 		add("refused", rate.Refused)
-		add("asked", rate.Asked)
-		add("alone", rate.Alone)
-		add("stray", rate.Stray)
-		add("keys", int64(rate.Keys()))
-		add("word_ms", rate.Oldest()/ms)
+		add("asked", rate.RequestsSent)
+		add("alone", rate.GrantedLocally)
+		add("stray", rate.Discarded)
+		add("keys", int64(rate.KeyCount()))
+		add("word_ms", rate.LongestWait()/ms)
 	}
 	return text.String()
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -12,7 +12,7 @@
 // newLimitedNode returns a node with fleet limits that is the only node of its fleet and owns all keys.
 func newLimitedNode(hosts int, all ...FleetLimit) (*Node, *fakeNet) {
 	n, net := newNodeWith(hosts, Config{Cluster: Cluster{On: true, Name: "a", Process: 7, Limits: all}})
-	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
+	n.settings.HasGroups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
 		net.run(50*ms, func() {}) // until no earlier process can own keys or hold permits
 	}
@@ -31,7 +31,7 @@
 
 // concurrentLimit returns a strict limit of concurrent flows.
 func concurrentLimit(over, of string, most int) FleetLimit {
-	return FleetLimit{Over: over, Of: of, AtOnce: permits.Limit{Most: most, Strict: true}, Rate: limits.Limit{Strict: true}}
+	return FleetLimit{Over: over, Of: of, AtOnce: permits.Limit{Max: most, Strict: true}, Rate: limits.Limit{Strict: true}}
 }
 
 // Each kind of limit refuses flows over it at once, and flows that end make room.
@@ -76,8 +76,8 @@
 		for range 40 {
 			net.run(50*ms, func() {})
 		}
-		if l := n.cluster.limits[0]; l.concurrent != nil && l.concurrent.Used() != 0 {
-			t.Errorf("%s: %d permits in use after all flows have ended", c.name, l.concurrent.Used())
+		if l := n.cluster.limits[0]; l.concurrent != nil && l.concurrent.InUse() != 0 {
+			t.Errorf("%s: %d permits in use after all flows have ended", c.name, l.concurrent.InUse())
 		}
 		if again := net.openAndAnswer(c.line); strings.HasPrefix(net.sent[again], "BUSY") {
 			t.Errorf("%s: flow refused after all others have ended", c.name)
@@ -99,7 +99,7 @@
 	for range 10 {
 		net.run(50*ms, func() {})
 	}
-	if used := n.cluster.limits[0].concurrent.Used(); used != 1 {
+	if used := n.cluster.limits[0].concurrent.InUse(); used != 1 {
 		t.Errorf("%d permits in use of 1", used)
 	}
 	moved := 0
@@ -151,7 +151,7 @@
 		Limits:  all,
 		Send:    func(int, []byte) {},
 	}})
-	n.settings.Groups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
+	n.settings.HasGroups, net.from, net.room = true, netip.MustParseAddrPort("10.0.0.1:9"), 1000
 	for range 250 {
 		net.run(50*ms, func() {})
 	}
@@ -175,8 +175,8 @@
 			}
 		}
 		l := n.cluster.limits[0].concurrent
-		if l.Granted == 0 || l.Used() != 0 {
-			t.Errorf("over %s: %d granted, %d permits in use after all clients have left", over, l.Granted, l.Used())
+		if l.Granted == 0 || l.InUse() != 0 {
+			t.Errorf("over %s: %d granted, %d permits in use after all clients have left", over, l.Granted, l.InUse())
 		}
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -25,19 +25,19 @@
 type Net interface {
 	// Dial opens a connection to an address and sends and receives through the two rings.
 	Dial(id uint64, to string, in, out *lines.Ring)
-	// Touch reports that the rings have changed: there may be bytes to send and room to read.
-	Touch(id uint64)
-	// Shut sends what the output ring holds and then closes the sending side.
-	Shut(id uint64)
+	// RingsChanged reports that the rings have changed: there may be bytes to send and room to read.
+	RingsChanged(id uint64)
+	// CloseWrite sends what the output ring holds and then closes the sending side.
+	CloseWrite(id uint64)
 	// Close closes the connection at once.
 	Close(id uint64)
 	// Reset aborts the connection so that the other side sees an error.
 	Reset(id uint64)
-	// Part sends what the output ring holds and closes the connection in order without involving the node, which
+	// CloseDetached sends what the output ring holds and closes the connection in order without involving the node, which
 	// forgets the id.
-	Part(id uint64)
-	// Gone reports whether the other side has closed the connection, even if Ended has not been called for it yet.
-	Gone(id uint64) bool
+	CloseDetached(id uint64)
+	// PeerClosed reports whether the other side has closed the connection, even if Ended has not been called for it yet.
+	PeerClosed(id uint64) bool
 	// Room returns how many more connections may be opened.
 	Room() int
 }
@@ -74,14 +74,14 @@
 
 // Config configures a node besides its settings.
 type Config struct {
-	Discovery string                                  // address of discovery
-	Seed      int64                                   // of all random sources of the node
-	Decide    func(*settings.Settings, int64) Decider // makes the decider; nil selects the decision module
-	Capture   Capture                                 // records flows; nil records nothing
-	Admission admission.Limits                        // zero accepts every connection
-	Limits    Limits
-	Tell      func([]byte) // sends a datagram to all other nodes; nil where they receive nothing
-	Cluster   Cluster
+	Discovery  string                                  // address of discovery
+	Seed       int64                                   // of all random sources of the node
+	NewDecider func(*settings.Settings, int64) Decider // makes the decider; nil selects the decision module
+	Capture    Capture                                 // records flows; nil records nothing
+	Admission  admission.Limits                        // zero accepts every connection
+	Limits     Limits
+	Broadcast  func([]byte) // sends a datagram to all other nodes; nil where they receive nothing
+	Cluster    Cluster
 }
 
 // Capture records the outcomes of flows. Its methods must not block.
@@ -96,34 +96,34 @@
 type Decider interface {
 	// Round runs in, which reports the events of a loop iteration, and then writes the decisions to out.
 	Round(now int64, in func(), out balance.Writer)
-	// List begins a list of servers.
-	List(balance.ListKind)
-	// Entry reports a server of the list. started is when the server started.
-	Entry(s *balance.Server, state balance.State, size float64, started int64)
-	// ListEnd ends a list.
-	ListEnd(balance.ListKind)
-	// Demand reports a flow that needs a connection.
-	Demand(*balance.Flow)
-	// Opened reports a flow whose connection to a server was open before.
-	Opened(*balance.Flow, *balance.Server)
+	// BeginList begins a list of servers.
+	BeginList(balance.ListKind)
+	// ListEntry reports a server of the list. started is when the server started.
+	ListEntry(s *balance.Server, state balance.State, size float64, started int64)
+	// EndList ends a list.
+	EndList(balance.ListKind)
+	// PlaceFlow reports a flow that needs a connection.
+	PlaceFlow(*balance.Flow)
+	// AdoptFlow reports a flow whose connection to a server was open before.
+	AdoptFlow(*balance.Flow, *balance.Server)
 	// Established reports that a flow's connect has succeeded.
 	Established(f *balance.Flow, took int64)
 	// Ended reports the end of a connect, or of an established flow. over is true if the flow has ended with it.
 	Ended(f *balance.Flow, s *balance.Server, end balance.Outcome, took int64, over bool)
 	// Expired reports that a flow without a connection has ended: its client has left or its time is over.
 	Expired(*balance.Flow)
-	// Reported reports a server's load. own is false if another node has passed the report on.
-	Reported(s *balance.Server, busy float64, own bool)
-	// Held reports that another node holds flows of a group at a server.
-	Held(*balance.Group, *balance.Server)
-	// Load reports a flow's load in microseconds of work per second.
-	Load(f *balance.Flow, perSecond float64)
-	// Slow reports how long messages take at a server.
-	Slow(s *balance.Server, us int64)
+	// LoadReported reports a server's load. own is false if another node has passed the report on.
+	LoadReported(s *balance.Server, busy float64, own bool)
+	// PlacementReported reports that another node holds flows of a group at a server.
+	PlacementReported(*balance.Group, *balance.Server)
+	// LoadMeasured reports a flow's load in microseconds of work per second.
+	LoadMeasured(f *balance.Flow, perSecond float64)
+	// DelayMeasured reports how long messages take at a server.
+	DelayMeasured(s *balance.Server, us int64)
 	// Probed reports the end of a probe.
 	Probed(s *balance.Server, end balance.Outcome, took int64)
-	// Tick reports that the time has come that was requested from the writer's alarm.
-	Tick()
+	// AlarmFired reports that the time has come that was requested from the writer's alarm.
+	AlarmFired()
 }
 
 // module adapts the decision module to Decider.
@@ -216,11 +216,11 @@
 	stage           Stage
 	rejoins         bool // its connection was open before: it goes back to its host without a decision
 	ended           bool
-	awaitsList      bool       // waits for the first list
-	movePending     bool       // is moved as soon as its client can be sent the MOVE line
-	lastWord        lines.Word // BYE or MOVE once the host has sent it
-	unansweredSince int64      // when the oldest line without an answer was passed to the host; 0 for none
-	unansweredSpan  span       // measures that line
+	awaitsList      bool             // waits for the first list
+	movePending     bool             // is moved as soon as its client can be sent the MOVE line
+	lastWord        lines.AnswerKind // BYE or MOVE once the host has sent it
+	unansweredSince int64            // when the oldest line without an answer was passed to the host; 0 for none
+	unansweredSpan  span             // measures that line
 	timer           deadline
 	establishedAt   int64
 	reportedLoad    float64        // its load as last reported by its host
@@ -265,7 +265,7 @@
 	lateness         lateness
 	acceptQuota      acceptQuota
 	limits           Limits
-	admission        *admission.Gate // nil accepts every connection
+	admission        *admission.Controller // nil accepts every connection
 	activeProbes     int
 	establishedCount int
 	capturedFlows    uint64
@@ -292,8 +292,8 @@
 	handover        handoverState
 	cluster         *cluster // nil where the node works alone
 
-	Count Counters
-	Types []Tally // answers by service type
+	Count   Counters
+	Answers []Tally // answers by service type
 }
 
 // New returns a node for the given settings, which it copies.
@@ -312,25 +312,25 @@
 		logKinds:         map[string]*logKind{},
 		listAddr:         conf.Discovery,
 	}
-	n.Types = make([]Tally, len(nodeSettings.Types))
+	n.Answers = make([]Tally, len(nodeSettings.Types))
 	n.limits = conf.Limits
 	n.limits.Hosts = cmp.Or(n.limits.Hosts, defaultMaxHosts)
 	n.limits.Groups = cmp.Or(n.limits.Groups, defaultMaxGroups)
 	n.limits.IDs = cmp.Or(n.limits.IDs, defaultMaxIDs)
 	n.recentIDs.limit = n.limits.IDs
 	n.ringBudget = lines.NewBudget(n.limits.Wide)
-	if conf.Admission.On() {
+	if conf.Admission.Enabled() {
 		n.admission = admission.New(conf.Admission)
 	}
 	n.newCluster()
-	if n.decider = (module{balance.New(&nodeSettings.Settings, conf.Seed)}); conf.Decide != nil {
-		n.decider = conf.Decide(nodeSettings, conf.Seed)
+	if n.decider = (module{balance.New(&nodeSettings.Settings, conf.Seed)}); conf.NewDecider != nil {
+		n.decider = conf.NewDecider(nodeSettings, conf.Seed)
 	}
 	n.slowMessageTime = nodeSettings.Types[0].MessageTarget / 3
 	for _, t := range nodeSettings.Types {
 		n.slowMessageTime = min(n.slowMessageTime, t.MessageTarget/3)
 	}
-	n.tickAlarm.run = n.decider.Tick
+	n.tickAlarm.run = n.decider.AlarmFired
 	n.messageTimeTimer.run = n.reportMessageTimes
 	n.moveTimer.run = n.moveDueFlows
 	n.stopAcceptTimer.run = n.stopAccepting
@@ -346,14 +346,14 @@
 	s := &copied
 	if !s.OnRequest {
 		// Over HTTP a list that is pushed has to be requested as well. A change counts as known at once.
-		s.Pushed = true
+		s.ListsPushed = true
 		s.OnRequest = true
 		s.AskWithin = defaultAskWithin
-		s.AskSpread = 1
-		s.AskMost = max(s.Grace/2, 10*ms)
+		s.WatchSpread = 1
+		s.MaxWatchBackoff = max(s.DrainGrace/2, 10*ms)
 	}
-	s.Peers = s.Peers && conf.Tell != nil
-	s.Untold = true // no line of the protocol carries message times
+	s.PeerMessages = s.PeerMessages && conf.Broadcast != nil
+	s.NoDelayReports = true // no line of the protocol carries message times
 	return s
 }
 
@@ -361,29 +361,29 @@
 // state handed over instead.
 func (n *Node) Begin(now int64, known discovery.List) {
 	n.startedAt = now
-	n.Turn(now, func() {
+	n.RunIteration(now, func() {
 		if n.handover.inherited != nil {
 			n.restoreState()
 		} else {
 			n.listRev = known.Rev
-			n.applyList(balance.Remembered, known)
+			n.applyList(balance.ListRemembered, known)
 		}
 		n.deadlines.set(&n.messageTimeTimer, now+messageTimeInterval)
 		if cluster := n.cluster; cluster != nil {
 			if cluster.members != nil {
-				cluster.members.Begin(now)
+				cluster.members.Start(now)
 			}
 			if cluster.leases != nil {
-				cluster.leases.Begin(now)
+				cluster.leases.Start(now)
 			}
 			n.deadlines.set(&cluster.timer, now+clusterInterval)
 		}
 	})
 }
 
-// Turn runs one loop iteration: in delivers the events that have arrived, then due deadlines run, and the module decides.
+// RunIteration runs one loop iteration: in delivers the events that have arrived, then due deadlines run, and the module decides.
 // Consequences of its decisions reach the module in the next iteration, never within its own call.
-func (n *Node) Turn(now int64, in func()) {
+func (n *Node) RunIteration(now int64, in func()) {
 	n.now = now
 	defer n.recoverPanic(nil)
 	n.dueNow = n.deadlines.takeDue(now, n.dueNow[:0])
@@ -423,13 +423,13 @@
 	n.close(c)
 }
 
-// Next returns the time of the earliest deadline, when the next iteration must run at the latest. ok is false when there
+// NextDeadline returns the time of the earliest deadline, when the next iteration must run at the latest. ok is false when there
 // is none.
-func (n *Node) Next() (at int64, ok bool) { return n.deadlines.next() }
+func (n *Node) NextDeadline() (at int64, ok bool) { return n.deadlines.next() }
 
 // applyList updates the hosts from a list and passes it to the module.
 func (n *Node) applyList(kind balance.ListKind, update discovery.List) {
-	n.decider.List(kind)
+	n.decider.BeginList(kind)
 	for _, entry := range update.Entries {
 		h := n.hosts[entry.UID]
 		if h == nil && len(n.hosts) >= n.limits.Hosts {
@@ -453,9 +453,9 @@
 		if !ok {
 			state = balance.Removed
 		}
-		n.decider.Entry(&h.Server, state, size, entry.BootMs*ms)
+		n.decider.ListEntry(&h.Server, state, size, entry.BootMs*ms)
 	}
-	n.decider.ListEnd(kind)
+	n.decider.EndList(kind)
 	n.forgetRemovedHosts()
 	n.updateClusterHosts()
 }
@@ -471,22 +471,22 @@
 		n.probeFailed(h, balance.Overdue)
 	}
 	n.hosts[uid] = h
-	n.hostsByShortHash[peers.Short(h.Hash)] = h
+	n.hostsByShortHash[peers.ShortHash(h.Hash)] = h
 	n.hostList = append(n.hostList, h)
 	return h
 }
 
 // register adds a connection to the table and counts its rings against this node's budget. It returns the id.
 func (n *Node) register(c *conn) uint64 {
-	c.in.Of(n.ringBudget)
-	c.out.Of(n.ringBudget)
+	c.in.SetBudget(n.ringBudget)
+	c.out.SetBudget(n.ringBudget)
 	return n.conns.add(c)
 }
 
 // zoneNumber returns the number of a zone. Zones that the settings don't name get distinct negative numbers: a repeat that
 // is recognised only within its zone must not go to another unnamed zone.
 func (n *Node) zoneNumber(name string) int {
-	if no, ok := n.settings.Zones[name]; ok {
+	if no, ok := n.settings.ZoneIndex[name]; ok {
 		return no
 	}
 	return -1 - int(hash(name)>>2)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -38,21 +38,21 @@
 	net.address[id], net.in[id], net.out[id] = to, in, out
 }
 func (net *fakeNet) Dial(id uint64, to string, in, out *lines.Ring) { net.register(id, to, in, out) }
-func (net *fakeNet) Touch(id uint64) {
+func (net *fakeNet) RingsChanged(id uint64) {
 	for r := net.out[id]; net.up[id] && r.Len() > 0; {
-		net.sent[id] += string(r.Head())
-		r.Drop(len(r.Head()))
+		net.sent[id] += string(r.Contiguous())
+		r.Discard(len(r.Contiguous()))
 	}
 }
-func (net *fakeNet) Shut(id uint64)  { net.ended[id] = "shut" }
-func (net *fakeNet) Close(id uint64) { net.ended[id] = "close" }
-func (net *fakeNet) Reset(id uint64) { net.ended[id] = "reset" }
-func (net *fakeNet) Room() int       { return net.room }
-func (net *fakeNet) Part(id uint64) {
-	net.Touch(id)
+func (net *fakeNet) CloseWrite(id uint64) { net.ended[id] = "shut" }
+func (net *fakeNet) Close(id uint64)      { net.ended[id] = "close" }
+func (net *fakeNet) Reset(id uint64)      { net.ended[id] = "reset" }
+func (net *fakeNet) Room() int            { return net.room }
+func (net *fakeNet) CloseDetached(id uint64) {
+	net.RingsChanged(id)
 	net.ended[id] = "part"
 }
-func (net *fakeNet) Gone(id uint64) bool { return net.endedUnread[id] }
+func (net *fakeNet) PeerClosed(id uint64) bool { return net.endedUnread[id] }
 
 const startTime = 1_000 * second
 
@@ -72,10 +72,10 @@
 			ColdTime:     20 * second,
 			FallMultiple: 3,
 		},
-		Names:   map[string]int{"chat": 0},
-		Dial:    250 * ms,
-		Longest: 2 * second,
-		Limits:  []int64{0},
+		ServiceTypeIndex:  map[string]int{"chat": 0},
+		DialTimeout:       250 * ms,
+		MaxConnectTimeout: 2 * second,
+		ConnectTimeouts:   []int64{0},
 	}
 	net := &fakeNet{
 		address:     map[uint64]string{},
@@ -101,7 +101,7 @@
 	return l
 }
 
-func (net *fakeNet) run(after int64, in func()) { net.node.Turn(net.node.now+after, in) }
+func (net *fakeNet) run(after int64, in func()) { net.node.RunIteration(net.node.now+after, in) }
 
 // receive delivers text on a connection.
 func (net *fakeNet) receive(id uint64, text string) {
@@ -169,7 +169,7 @@
 	net.receive(c, "c\r\n")
 	net.expect(t, c, "UP 7\r\nLOAD 9\r\nxy\r\n", "")
 	net.expect(t, h, "OPEN 1 2 c=chat,d=1994\r\na\r\nbc\r\n", "")
-	if n.Count.Taken != 1 || n.Types[0].Success != 1 {
+	if n.Count.Requests != 1 || n.Answers[0].Success != 1 {
 		t.Fatal(n.Count)
 	}
 }
@@ -307,7 +307,7 @@
 	net.receive(c, "M 3\r\n") // the timeout counts from the first line
 	net.run(3*second, func() {})
 	net.expect(t, c, "UP 7\r\nM 1\r\nMOVE\r\n", "shut")
-	if n.flows.count != 0 || n.Count.Silent != 1 {
+	if n.flows.count != 0 || n.Count.SilentHosts != 1 {
 		t.Fatal(n.Count)
 	}
 }
@@ -342,7 +342,7 @@
 	}
 	net.up[c] = true
 	net.run(1, func() {
-		net.Touch(c)
+		net.RingsChanged(c)
 		n.Sent(c)
 	})
 	if net.expect(t, c, expected+"MOVE\r\n", "shut"); n.flows.count != 0 {
@@ -364,7 +364,7 @@
 	}
 	net.up[c] = true
 	for range 4 {
-		net.Touch(c)
+		net.RingsChanged(c)
 		net.run(1, func() { n.Sent(c) })
 	}
 	net.expect(t, c, "UP 7\r\n"+strings.Repeat(line, 4), "")
@@ -373,7 +373,7 @@
 func TestNoRequestToDrainingHost(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(openLine)
-	net.run(1, func() { n.applyList(balance.Changes, entries("draining", 1)) })
+	net.run(1, func() { n.applyList(balance.ListChanges, entries("draining", 1)) })
 	h := net.connectLast()
 	net.expect(t, h, "", "close")
 	net.expect(t, c, "BUSY\r\n", "shut")
@@ -385,11 +385,11 @@
 	update := entries("ready", 2)
 	update.Rev = 8
 	update.Entries[1].Endpoint, update.Entries[1].BootMs = "h9", startTime/ms
-	net.run(1, func() { n.applyList(balance.Changes, update) })
+	net.run(1, func() { n.applyList(balance.ListChanges, update) })
 	if n.hosts["s-1"] != h || h.addr != "h9" || h.Started != startTime || h.Hash != hash("s-1") {
 		t.Fatal(h)
 	}
-	net.run(1, func() { n.applyList(balance.Whole, entries("ready", 1)) })
+	net.run(1, func() { n.applyList(balance.ListComplete, entries("ready", 1)) })
 	if len(n.hosts) != 1 || h.State != balance.Removed {
 		t.Fatal("a host absent from the whole list was kept")
 	}
@@ -431,8 +431,8 @@
 	n, net := newNode(1)
 	old := net.connectLast()
 	net.receive(old, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(`{"rev":30,"all":false,"targets":[]}`))
-	net.run(1, func() { n.Follow("d2") })
-	net.run(1, func() { n.Follow("d3") }) // the last address counts
+	net.run(1, func() { n.SetDiscovery("d2") })
+	net.run(1, func() { n.SetDiscovery("d3") }) // the last address counts
 	call := net.connectLast()
 	if net.address[call] != "d3" || net.ended[old] != "" || strings.Contains(net.sent[call], "after=") {
 		t.Fatal(net.address[call], net.ended[old], net.sent[call])
@@ -512,7 +512,7 @@
 	net.run(shedAfterSilence, func() {})
 	young := net.openClient("")
 	net.run(1, func() {
-		if !n.Spare() {
+		if !n.CanAccept() {
 			t.Error("no client was shed for a new one")
 		}
 	})
@@ -600,7 +600,7 @@
 	net.out[c].Put(make([]byte, lines.RingSize)) // the client reads nothing for a while
 	net.up[c] = false
 	net.receive(c, "PING\r\n")
-	net.out[c].Drop(lines.RingSize)
+	net.out[c].Discard(lines.RingSize)
 	net.up[c] = true
 	net.run(1, func() { n.Sent(c) })
 	net.expect(t, c, "PONG\r\n", "")
@@ -623,7 +623,7 @@
 	var text bytes.Buffer
 	log.SetOutput(&text)
 	defer log.SetOutput(os.Stderr)
-	n.settings.Groups = true
+	n.settings.HasGroups = true
 	for i := range 500 {
 		net.openClient("frob\r\n")
 		c := net.openClient(fmt.Sprintf("OPEN 1 2 c=chat,d=2000,g=%d\r\n", i))
@@ -643,7 +643,7 @@
 	n, net := newNode(1)
 	net.room = reservedDescriptors - 1
 	net.expect(t, net.openClient(openLine), "BUSY\r\n", "shut")
-	if n.Count.Crowded != 1 || n.flows.count != 0 {
+	if n.Count.NoDescriptor != 1 || n.flows.count != 0 {
 		t.Fatal(n.Count)
 	}
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -11,8 +11,8 @@
 // Operators call the node on a listener of its own. A call is answered in the loop iteration in which its request is complete,
 // so its command has taken effect before the answer is sent. Operators' connections are counted apart from clients'.
 
-// CallPlaces is the largest number of operators' connections at once.
-const CallPlaces = 16
+// MaxOperatorConns is the largest number of operators' connections at once.
+const MaxOperatorConns = 16
 
 // operatorCallTimeout is the time for a call to be complete and its answer to be read.
 const operatorCallTimeout = 5 * second
@@ -24,12 +24,12 @@
 	answered   list.List // with an answer, sent or not
 }
 
-// Call adds a connection on the admin address. When all places are taken, a connection whose answer has been sent is closed,
+// AcceptOperator adds a connection on the admin address. When all places are taken, a connection whose answer has been sent is closed,
 // otherwise the oldest one without a complete request. Callers that never complete a request so can't block others. ok is
 // false where no place could be made.
-func (n *Node) Call() (id uint64, in, out *lines.Ring, ok bool) {
+func (n *Node) AcceptOperator() (id uint64, in, out *lines.Ring, ok bool) {
 	queues := &n.operatorCalls
-	for queues.count >= CallPlaces {
+	for queues.count >= MaxOperatorConns {
 		evicted := queues.incomplete.Front()
 		for e := queues.answered.Front(); e != nil; e = e.Next() {
 			if e.Value.(*conn).out.Len() == 0 {
@@ -58,13 +58,13 @@
 func (n *Node) readCall(c *conn) {
 	if c.shedQueue == &n.operatorCalls.answered {
 		c.drainedBytes += c.in.Len()
-		c.in.Drop(c.in.Len())
+		c.in.Discard(c.in.Len())
 		if c.drainedBytes > maxDrainedBytes {
 			n.close(c) // the request body may never end
 		}
 		return
 	}
-	call, status, allow := admin.Read(c.in.Peek(c.in.Len()))
+	call, status, allow := admin.ParseCall(c.in.Peek(c.in.Len()))
 	if status == 0 {
 		if c.inputEnded {
 			n.close(c) // the request will not be completed
@@ -72,18 +72,18 @@
 		return
 	}
 	n.setShedQueue(c, &n.operatorCalls.answered)
-	c.in.Drop(c.in.Len())
+	c.in.Discard(c.in.Len())
 	n.Count.AdminCalls++
-	body := admin.Reason(status) + "\n"
+	body := admin.StatusText(status) + "\n"
 	if status == admin.OK {
 		status, body = n.serveCall(call)
 	}
-	c.out.Widen()
-	if !c.out.Put(admin.Answer(status, allow, body)) {
-		c.out.Put(admin.Answer(admin.Failed, "", "the answer is too long\n"))
+	c.out.RequestWide()
+	if !c.out.Put(admin.FormatResponse(status, allow, body)) {
+		c.out.Put(admin.FormatResponse(admin.InternalError, "", "the answer is too long\n"))
 	}
-	n.net.Touch(c.id)
-	n.net.Shut(c.id)
+	n.net.RingsChanged(c.id)
+	n.net.CloseWrite(c.id)
 }
 
 // serveCall carries out a call and returns the answer.
@@ -91,7 +91,7 @@
 	switch call {
 	case admin.Ready:
 		if !n.Ready() {
-			return admin.Unready, n.state() + "\n"
+			return admin.NotReady, n.state() + "\n"
 		}
 		return admin.OK, n.state() + "\n"
 	case admin.Metrics:
@@ -103,7 +103,7 @@
 		n.Resume()
 		return admin.OK, n.state() + "\n"
 	}
-	return admin.Failed, "not served\n"
+	return admin.InternalError, "not served\n"
 }
 
 // callSent closes an operator's connection that has ended, once its answer has been sent.
--- a/node/operators_test.go
+++ b/node/operators_test.go
@@ -15,7 +15,7 @@
 	var id uint64
 	net.run(1, func() {
 		var in, out *lines.Ring
-		id, in, out, _ = net.node.Call()
+		id, in, out, _ = net.node.AcceptOperator()
 		net.register(id, "", in, out)
 		net.up[id] = true
 	})
@@ -60,18 +60,18 @@
 func TestOperatorCallPlaces(t *testing.T) {
 	n, net := newNode(1)
 	var half []uint64
-	for range CallPlaces {
+	for range MaxOperatorConns {
 		half = append(half, net.openCall("GET /-/ready HTTP"))
 	}
 	if status, _ := net.callOperator(t, "GET", "/-/ready"); status != 200 || net.ended[half[0]] == "" || net.ended[half[1]] != "" {
 		t.Fatal(status, net.ended)
 	}
-	for i := range 3 * CallPlaces {
+	for i := range 3 * MaxOperatorConns {
 		if status, _ := net.callOperator(t, "GET", "/-/metrics"); status != 200 {
 			t.Fatal(i, status)
 		}
 	}
-	if n.operatorCalls.count > CallPlaces || n.Count.AdminShed != 1 {
+	if n.operatorCalls.count > MaxOperatorConns || n.Count.AdminShed != 1 {
 		t.Fatal(n.operatorCalls.count, n.Count.AdminShed)
 	}
 	net.receive(half[5], "/1.1\r\n\r\nGET /-/ready HTTP/1.1\r\n\r\n") // of two requests at once, the first is answered
--- a/node/peers.go
+++ b/node/peers.go
@@ -7,19 +7,19 @@
 
 const maxPeerHeldGroups = 4096 // groups known only from messages of other nodes
 
-// Tell sends what the module reports to the other nodes. Where no way to send is configured, it does nothing.
-func (n *Node) Tell(servers []*balance.Server, holders []balance.Home) {
-	if n.config.Tell != nil {
-		peers.Write(servers, holders, n.config.Tell)
+// Publish sends what the module reports to the other nodes. Where no way to send is configured, it does nothing.
+func (n *Node) Publish(servers []*balance.Server, holders []balance.GroupPlacement) {
+	if n.config.Broadcast != nil {
+		peers.Encode(servers, holders, n.config.Broadcast)
 	}
 }
 
-// Heard handles a datagram of another node. Invalid datagrams and hosts that are not listed are ignored.
-func (n *Node) Heard(datagram []byte) {
+// ReceivePeerDatagram handles a datagram of another node. Invalid datagrams and hosts that are not listed are ignored.
+func (n *Node) ReceivePeerDatagram(datagram []byte) {
 	defer n.recoverPanic(nil)
-	if !peers.Read(datagram, func(host uint32, busy float64) {
+	if !peers.Decode(datagram, func(host uint32, busy float64) {
 		if h := n.hostsByShortHash[host]; h != nil {
-			n.decider.Reported(&h.Server, busy, false)
+			n.decider.LoadReported(&h.Server, busy, false)
 		}
 	}, n.peerHoldsGroup) {
 		n.logThrottled("peer_unread", "datagram in an unknown encoding")
@@ -38,14 +38,14 @@
 	}
 	n.peerHeldGroups[group] = h
 	if g := n.groups[n.groupHashes[group]]; g != nil {
-		n.decider.Held(&g.Group, &h.Server)
+		n.decider.PlacementReported(&g.Group, &h.Server)
 	}
 }
 
 // announcePeerHolder tells the module which host holds a new group for another node, if that is known.
 func (n *Node) announcePeerHolder(g *group) {
-	n.groupHashes[peers.Short(g.Hash)] = g.Hash
-	if h := n.peerHeldGroups[peers.Short(g.Hash)]; h != nil {
-		n.decider.Held(&g.Group, &h.Server)
+	n.groupHashes[peers.ShortHash(g.Hash)] = g.Hash
+	if h := n.peerHeldGroups[peers.ShortHash(g.Hash)]; h != nil {
+		n.decider.PlacementReported(&g.Group, &h.Server)
 	}
 }
--- a/node/probes.go
+++ b/node/probes.go
@@ -21,7 +21,7 @@
 	}
 	if h.probe != nil {
 		h.probe.out.Put(n.probeLine())
-		n.net.Touch(h.probe.id)
+		n.net.RingsChanged(h.probe.id)
 		return
 	}
 	c := &conn{role: roleProbe, host: h}
@@ -32,7 +32,7 @@
 
 // probeLine returns the line of a probe: STATS, which asks for a load report, where the settings say that hosts give one.
 func (n *Node) probeLine() []byte {
-	if n.settings.Reports {
+	if n.settings.HostsReportLoad {
 		return []byte("STATS\r\n")
 	}
 	return []byte("PING\r\n")
@@ -52,28 +52,28 @@
 func (n *Node) readProbeAnswer(c *conn) {
 	h := c.host
 	for {
-		line := c.in.Line()
+		line := c.in.PeekLine()
 		if line == nil {
-			if c.in.Len() > lines.Longest+2 {
+			if c.in.Len() > lines.MaxLineBytes+2 {
 				n.probeFailed(h, balance.Errored)
 			}
 			return
 		}
-		word, _ := lines.Answer(line)
+		word, _ := lines.ParseAnswer(line)
 		busy, reported := 0.0, false
-		if n.settings.Reports {
-			if figures, ok := lines.Stats(line); ok {
+		if n.settings.HostsReportLoad {
+			if figures, ok := lines.ParseStats(line); ok {
 				word = lines.Pong // the host answered, even if its report lacks the figure
-				busy, reported = figures.At(n.settings.Report)
+				busy, reported = figures.Value(n.settings.LoadReportIndex)
 			}
 		}
-		c.in.Drop(len(line))
+		c.in.Discard(len(line))
 		if h.probeSentAt == 0 || word == lines.Load {
 			continue
 		}
 		if reported {
 			n.noteBusy(h, busy)
-			n.decider.Reported(&h.Server, busy, true)
+			n.decider.LoadReported(&h.Server, busy, true)
 		}
 		if word != lines.Pong {
 			n.probeFailed(h, balance.Errored)
--- a/node/quota.go
+++ b/node/quota.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Quota returns how many connections this loop iteration may accept, and how many further ones it may refuse.
-func (n *Node) Quota() (take, refuse int) {
+// AcceptQuota returns how many connections this loop iteration may accept, and how many further ones it may refuse.
+func (n *Node) AcceptQuota() (take, refuse int) {
 	quota := &n.acceptQuota
 	if n.acceptStoppedAt > 0 {
 		return 0, maxAccepts
@@ -55,5 +55,5 @@
 	return quota.accepts, refuse
 }
 
-// Refused counts a connection that the event loop has refused.
-func (n *Node) Refused() { n.Count.Refused++ }
+// CountRefused counts a connection that the event loop has refused.
+func (n *Node) CountRefused() { n.Count.Refused++ }
--- a/node/relay.go
+++ b/node/relay.go
@@ -24,8 +24,8 @@
 		}
 		n.relayToClient(f, chunk, endsLine)
 	}
-	n.net.Touch(f.client.id)
-	n.net.Touch(f.upstream.id)
+	n.net.RingsChanged(f.client.id)
+	n.net.RingsChanged(f.upstream.id)
 	if n.finishIfEnded(f); f.movePending && !f.ended && n.canMove(f) {
 		n.moveClient(f)
 		n.endFlow(f, balance.Recalled)
@@ -35,7 +35,7 @@
 // nextChunk returns what can be passed on next: as many whole lines as are contiguous in the ring and fit into the output
 // ring, or the rest where no end of line will come. endsLine reports whether it ends with a line. The bytes stay in the ring.
 func nextChunk(from, to *conn) (chunk []byte, endsLine bool) {
-	head := from.in.Head()
+	head := from.in.Contiguous()
 	if room := to.out.Free(); len(head) > room {
 		head = head[:room]
 	}
@@ -45,7 +45,7 @@
 	if from.in.Len() == 0 {
 		return nil, false
 	}
-	if line := from.in.Line(); line != nil {
+	if line := from.in.PeekLine(); line != nil {
 		if len(line) > to.out.Free() {
 			return nil, false
 		}
@@ -61,7 +61,7 @@
 // bytes for the same number of system calls.
 func enqueue(to *conn, chunk []byte) {
 	if len(chunk) > lines.RingSize/2 {
-		to.out.Widen()
+		to.out.RequestWide()
 	}
 	to.out.Put(chunk)
 }
@@ -74,7 +74,7 @@
 	f.record.countLines(true, chunk)
 	enqueue(to, chunk)
 	to.midLine = !endsLine
-	f.client.in.Drop(len(chunk))
+	f.client.in.Discard(len(chunk))
 	if startsLine && f.unansweredSince == 0 {
 		f.unansweredSince, f.unansweredSpan = n.now, n.startSpan()
 		n.deadlines.set(&f.timer, n.now+hostSilenceTimeout)
@@ -93,7 +93,7 @@
 		case to.midLine || !endsLine || first != 'L' && first != 'B' && first != 'M':
 			answered = true
 		default:
-			word, load := lines.Answer(rest[:end])
+			word, load := lines.ParseAnswer(rest[:end])
 			answered = answered || word != lines.Load
 			switch word {
 			case lines.Load:
@@ -111,7 +111,7 @@
 	}
 	enqueue(to, chunk)
 	to.midLine = !endsLine
-	f.upstream.in.Drop(len(chunk))
+	f.upstream.in.Discard(len(chunk))
 	if answered && f.unansweredSince > 0 {
 		took, _ := n.elapsed(f.unansweredSpan)
 		f.host.messageTimes = append(f.host.messageTimes, took)
@@ -137,7 +137,7 @@
 		n.close(upstream)
 		n.endFlow(f, end)
 	case client.inputEnded && (client.in.Len() == 0 || client.err != nil):
-		f.record.setEnd(capture.Gone)
+		f.record.setEnd(capture.ClientClosed)
 		n.closeLikeOtherSide(upstream, client.err)
 		n.close(client)
 		n.endFlow(f, balance.Recalled)
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -26,10 +26,10 @@
 	return owed
 }
 
-// Spare reports whether one more client can be accepted, and sheds idle connections to make room. Each client that may
+// CanAccept reports whether one more client can be accepted, and sheds idle connections to make room. Each client that may
 // still send a request is owed a second descriptor. This keeps descriptors for ordinary clients, connects, probes and the
 // watch when a crowd of clients connects and requests nothing.
-func (n *Node) Spare() bool {
+func (n *Node) CanAccept() bool {
 	for n.net.Room() <= n.owedDescriptors()+n.silentConns.Len() && n.shedOne() {
 	}
 	if n.net.Room() > n.owedDescriptors()-reservedDescriptors/2 { // half of the reserve serves to answer BUSY
@@ -97,6 +97,6 @@
 	if c.role == roleNew {
 		c.out.Put([]byte(busyLine))
 	}
-	n.net.Part(c.id)
+	n.net.CloseDetached(c.id)
 	n.forgetConn(c)
 }
--- a/node/watch.go
+++ b/node/watch.go
@@ -60,7 +60,7 @@
 	if !n.callRefused {
 		return callTimeout
 	}
-	return min(queuedCallTimeout, maxChangeDelay-roundTripMargin-n.settings.RefusedMost())
+	return min(queuedCallTimeout, maxChangeDelay-roundTripMargin-n.settings.WatchBackoffLimit())
 }
 
 // watchSilent handles a watch that has missed a line. The watch is kept until another one works, but no longer trusted.
@@ -71,25 +71,25 @@
 
 // readWatch reads what came on a watch or call.
 func (n *Node) readWatch(c *conn) {
-	wholeBefore := c.reader.Whole
+	wholeBefore := c.reader.CompleteLines
 	for c.in.Len() > 0 {
-		chunk := c.in.Head()
+		chunk := c.in.Contiguous()
 		size := len(chunk)
 		err := c.reader.Feed(chunk, func(update discovery.List) { n.receiveList(c, update) })
 		if n.conns.get(c.id) != c {
 			return // the list has closed this connection
 		}
-		c.in.Drop(size)
+		c.in.Discard(size)
 		if err != nil {
 			n.watchLost(c, err.Error())
 			return
 		}
 	}
-	if c == n.watch && c.reader.Whole > wholeBefore { // only whole lines count, not bytes of a line that never ends
+	if c == n.watch && c.reader.CompleteLines > wholeBefore { // only whole lines count, not bytes of a line that never ends
 		c.stale = false
 		n.deadlines.set(&c.timer, n.now+watchSilenceTimeout)
 	}
-	n.net.Touch(c.id)
+	n.net.RingsChanged(c.id)
 }
 
 // receiveList applies a list. The first list of a call makes that call the watch.
@@ -109,9 +109,9 @@
 		n.deadlines.set(&c.timer, n.now+watchSilenceTimeout)
 		log.Printf("msg=watching discovery=%s rev=%d all=%t hosts=%d", c.discoveryAddr, update.Rev, update.All, len(update.Entries))
 	}
-	kind := balance.Changes
+	kind := balance.ListChanges
 	if update.All {
-		kind = balance.Whole
+		kind = balance.ListComplete
 	}
 	n.listAddr, n.listRev = c.discoveryAddr, update.Rev
 	n.Count.Lists++
@@ -141,13 +141,13 @@
 	n.Count.CallsFailed++
 	log.Printf("msg=watch_lost why=%q discovery=%s rev=%d", reason, c.discoveryAddr, n.listRev)
 	if n.pendingCall == nil {
-		n.decider.List(balance.Refused)
-		n.decider.ListEnd(balance.Refused)
+		n.decider.BeginList(balance.ListRefused)
+		n.decider.EndList(balance.ListRefused)
 	}
 }
 
-// Follow watches discovery at another address. The current watch is kept until the new one has brought a list.
-func (n *Node) Follow(addr string) {
+// SetDiscovery watches discovery at another address. The current watch is kept until the new one has brought a list.
+func (n *Node) SetDiscovery(addr string) {
 	n.Count.Reloads++
 	if addr == n.config.Discovery {
 		return
@@ -166,7 +166,7 @@
 // the list that this process started with may be old: while a first list can be expected, no flow is sent to a host by the
 // old list alone. A successor's list is not old.
 func (n *Node) holdsFlows() bool {
-	return n.settings.Pushed && n.Count.Lists == 0 && !n.handover.isSuccessor && n.now < n.startedAt+firstListWait
+	return n.settings.ListsPushed && n.Count.Lists == 0 && !n.handover.isSuccessor && n.now < n.startedAt+firstListWait
 }
 
 // holdFlow keeps a flow until the first list has come. After half of its time it is rejected, which leaves the client the
@@ -197,6 +197,6 @@
 func (n *Node) startFlow(f *flow) {
 	n.deadlines.set(&f.timer, f.Deadline)
 	if !n.blockedByLimit(f) {
-		n.decider.Demand(&f.Flow)
+		n.decider.PlaceFlow(&f.Flow)
 	}
 }
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -35,7 +35,7 @@
 		n, net := newNode(1)
 		n.settings.Nodes = nodes
 		n.callRefused = true
-		if sum := n.settings.RefusedMost() + n.callPatience() + roundTripMargin; sum > maxChangeDelay || n.callPatience() < callTimeout {
+		if sum := n.settings.WatchBackoffLimit() + n.callPatience() + roundTripMargin; sum > maxChangeDelay || n.callPatience() < callTimeout {
 			t.Error(nodes, "nodes: many refused, then one answered at the last moment:", sum, n.callPatience())
 		}
 		n.callRefused = false
@@ -83,7 +83,7 @@
 		t.Fatal("a lost call was kept although discovery had refused none")
 	}
 	n.callRefused = true
-	if n.Follow("d9"); n.callRefused {
+	if n.SetDiscovery("d9"); n.callRefused {
 		t.Fatal("a refusal of one address counts at another")
 	}
 	first := net.connectLast()
@@ -184,13 +184,13 @@
 	n, net := newNode(1)
 	old := net.connectLast()
 	net.receive(old, watchHead+chunk(`{"rev":30,"all":false,"targets":[]}`))
-	net.run(1, func() { n.Follow("d2") })
+	net.run(1, func() { n.SetDiscovery("d2") })
 	call := net.connectLast()
-	net.run(1, func() { n.Follow("") }) // back, while the call is out
+	net.run(1, func() { n.SetDiscovery("") }) // back, while the call is out
 	if net.ended[call] != "close" || net.ended[old] != "" || n.pendingCall != nil {
 		t.Fatal("the old watch was not kept", net.ended[call], net.ended[old])
 	}
-	net.run(1, func() { n.Follow("d2") })
+	net.run(1, func() { n.SetDiscovery("d2") })
 	net.run(1, func() { n.Ended(old, nil) }) // while the second call is out
 	second := net.lastConn()
 	net.run(300*ms, func() {})
@@ -202,7 +202,7 @@
 	if n.hosts["s-7"] == nil || n.hosts["s-0"] != nil || n.watch == nil || n.watch.discoveryAddr != "d2" {
 		t.Fatal(n.hosts)
 	}
-	net.run(1, func() { n.Follow("d3") })
+	net.run(1, func() { n.SetDiscovery("d3") })
 	third := net.connectLast()
 	net.receive(second, chunk(`{"rev":2,"all":false,"targets":[{"uid":"s-7","state":"draining"}]}`)) // just before the switch
 	net.receive(third, watchHead+chunk(`{"rev":9,"all":true,"targets":[{"uid":"s-8","endpoint":"h8","state":"ready"}]}`))
@@ -218,7 +218,7 @@
 func newPushedNode(hosts int) (*Node, *fakeNet) {
 	n, net := newNode(hosts)
 	set := *n.settings
-	set.OnRequest, set.Grace = false, 400*ms
+	set.OnRequest, set.DrainGrace = false, 400*ms
 	otherNet := &fakeNet{
 		address:     net.address,
 		in:          net.in,
@@ -276,12 +276,12 @@
 // Where lists are pushed, a successor does not wait for a first list, because the list handed over is not old.
 func TestSuccessorDoesNotWaitForFirstList(t *testing.T) {
 	predecessor, peer := newPredecessor(t, 1)
-	state, _ := predecessor.node.Heir(peer)
+	state, _ := predecessor.node.BeginHandover(peer)
 	n, net := newPushedNode(0)
 	successor := New(n.settings, Config{}, net)
-	successor.settings.Pushed = true
+	successor.settings.ListsPushed = true
 	net.node = successor
-	successor.Inherit(&fakePeer{t: t}, state)
+	successor.InheritState(&fakePeer{t: t}, state)
 	successor.Begin(n.now, discovery.List{})
 	net.run(joinTimeout, func() {})
 	net.expect(t, net.openClient("PING\r\n"), "PONG\r\n", "")
@@ -300,7 +300,7 @@
 		for n.pendingCall == nil {
 			net.run(ms, func() {})
 		}
-		if n.now-from > n.settings.Grace/2+2*ms {
+		if n.now-from > n.settings.DrainGrace/2+2*ms {
 			t.Fatal("no call for", n.now-from)
 		}
 	}
@@ -334,7 +334,7 @@
 	}
 	net.run(shedAfterPing, func() {})
 	net.room = 0
-	net.run(1, func() { n.Follow("d2") })
+	net.run(1, func() { n.SetDiscovery("d2") })
 	if n.Count.Shed == 0 || net.ended[idle[1]] != "part" || net.address[net.lastConn()] != "d2" {
 		t.Fatal(n.Count.Shed, net.ended[idle[1]], net.address[net.lastConn()])
 	}
@@ -354,8 +354,8 @@
 			AskWithin:   second,
 			ColdTime:    second,
 		},
-		Names:  map[string]int{"toll": 1, "chat": 0},
-		Limits: []int64{0, 0},
+		ServiceTypeIndex: map[string]int{"toll": 1, "chat": 0},
+		ConnectTimeouts:  []int64{0, 0},
 	}
 	before := fmt.Sprintf("%+v", *shared)
 	otherNet := &fakeNet{
@@ -373,16 +373,16 @@
 		t.Error("a node changed the settings given to it:", *shared)
 	}
 	other.Begin(startTime, discovery.List{})
-	if n.settings.Pushed || !other.settings.Pushed || n.config.Discovery == other.config.Discovery || len(n.hosts) == len(other.hosts) {
+	if n.settings.ListsPushed || !other.settings.ListsPushed || n.config.Discovery == other.config.Discovery || len(n.hosts) == len(other.hosts) {
 		t.Fatal("the nodes share settings or hosts")
 	}
 	c := net.openClient("OPEN 1 2 c=toll,d=2000\r\n")
 	net.expect(t, c, "ERR\r\n", "shut")
 	net.receive(net.openClient(""), "half a line") // takes a ring of the first node
-	if own, _ := n.ringBudget.Held(); own != 1 {
+	if own, _ := n.ringBudget.InUse(); own != 1 {
 		t.Fatal(own)
 	}
-	if others, _ := other.ringBudget.Held(); others != 0 {
+	if others, _ := other.ringBudget.InUse(); others != 0 {
 		t.Fatal("the memory of one node counts at the other", others)
 	}
 	net.run(1, func() { n.Drain() })
@@ -435,7 +435,7 @@
 	for i, zone := range []string{"x", "y z", "x", ""} {
 		update.Entries[i].Zone = zone
 	}
-	net.run(1, func() { n.applyList(balance.Whole, update) })
+	net.run(1, func() { n.applyList(balance.ListComplete, update) })
 	at := func(i int) int { return n.hosts[fmt.Sprintf("s-%d", i)].Zone }
 	if at(0) == at(1) || at(0) != at(2) || at(3) == at(0) || at(0) >= 0 || at(1) >= 0 || at(3) >= 0 {
 		t.Fatal(at(0), at(1), at(2), at(3))
--- a/rehearsal/baseline/baseline.go
+++ b/rehearsal/baseline/baseline.go
@@ -91,34 +91,34 @@
 	}
 	if next := max(d.nextCallAt, now+1000); !d.listReceived && d.alarmAt != next {
 		d.alarmAt = next
-		writer.Alarm(next)
+		writer.SetAlarm(next)
 	}
 }
 
-// Tick does nothing: Round handles what is due.
-func (d *decider) Tick() {}
+// AlarmFired does nothing: Round handles what is due.
+func (d *decider) AlarmFired() {}
 
-// List begins a list. After a refused list call the next one follows in half a second to a second.
-func (d *decider) List(kind balance.ListKind) {
+// BeginList begins a list. After a refused list call the next one follows in half a second to a second.
+func (d *decider) BeginList(kind balance.ListKind) {
 	switch kind {
-	case balance.Refused:
+	case balance.ListRefused:
 		d.listReceived = false
 		d.nextCallAt = d.now + 500_000 + d.rng.Int63n(500_000)
 		return
-	case balance.Remembered:
+	case balance.ListRemembered:
 	default:
 		d.listReceived = true
 	}
-	if d.readingComplete = kind == balance.Whole; d.readingComplete {
+	if d.readingComplete = kind == balance.ListComplete; d.readingComplete {
 		for _, v := range d.servers {
-			v.server.Seen = false
+			v.server.SeenInList = false
 		}
 	}
 }
 
-// Entry handles an entry of the list.
-func (d *decider) Entry(s *balance.Server, state balance.State, size float64, started int64) {
-	s.State, s.Size, s.Started, s.Seen = state, size, started, true
+// ListEntry handles an entry of the list.
+func (d *decider) ListEntry(s *balance.Server, state balance.State, size float64, started int64) {
+	s.State, s.Size, s.Started, s.SeenInList = state, size, started, true
 	if d.byServer[s] == nil && state != balance.Removed {
 		d.byServer[s] = &server{server: s}
 		d.servers = append(d.servers, d.byServer[s])
@@ -135,21 +135,21 @@
 	d.servers = slices.DeleteFunc(d.servers, func(v *server) bool { return v.server == s })
 }
 
-// ListEnd ends a list. Servers that a complete list does not name are removed.
-func (d *decider) ListEnd(balance.ListKind) {
+// EndList ends a list. Servers that a complete list does not name are removed.
+func (d *decider) EndList(balance.ListKind) {
 	if !d.readingComplete {
 		return
 	}
 	d.readingComplete = false
 	for _, v := range slices.Clone(d.servers) {
-		if !v.server.Seen {
+		if !v.server.SeenInList {
 			d.remove(v.server)
 		}
 	}
 }
 
-// Demand connects a flow to a server that has not failed it yet, or rejects or aborts the flow.
-func (d *decider) Demand(f *balance.Flow) {
+// PlaceFlow connects a flow to a server that has not failed it yet, or rejects or aborts the flow.
+func (d *decider) PlaceFlow(f *balance.Flow) {
 	var candidates []*server
 	for _, chosen := range d.servers {
 		if chosen.server.State == balance.Up && !slices.Contains(d.failed[f], chosen.server) {
@@ -160,10 +160,10 @@
 	// Baselines keep the rules too: a set-up that may have run is repeated only where a repeat is harmless.
 	mayRepeat := firstRun == nil || f.Type.Effect == balance.Repeatable ||
 		f.Type.Effect == balance.Referenced && f.Type.Scope == balance.ScopeAll
-	if len(candidates) == 0 || f.Tries >= d.settings.MaxConnects || f.Deadline <= d.now || !mayRepeat {
+	if len(candidates) == 0 || f.Connects >= d.settings.MaxConnects || f.Deadline <= d.now || !mayRepeat {
 		d.forgetFlow(f)
 		if mayRepeat {
-			d.writer.Reject(f, d.settings.MaxWait/2)
+			d.writer.Reject(f, d.settings.MaxRetryAfter/2)
 		} else {
 			d.writer.Abort(f)
 		}
@@ -172,9 +172,9 @@
 	chosen := d.pick(d, candidates)
 	chosen.flows++
 	d.current[f] = chosen
-	f.Tries++
+	f.Connects++
 	timeout := f.Deadline - d.now
-	if f.Tries < d.settings.MaxConnects {
+	if f.Connects < d.settings.MaxConnects {
 		timeout = min(timeout, max(f.Type.SetupTarget, timeout/3))
 	}
 	d.writer.Connect(f, chosen.server, timeout)
@@ -186,8 +186,8 @@
 	delete(d.mayHaveRun, f)
 }
 
-// Opened adopts a flow that is established already.
-func (d *decider) Opened(f *balance.Flow, s *balance.Server) {
+// AdoptFlow adopts a flow that is established already.
+func (d *decider) AdoptFlow(f *balance.Flow, s *balance.Server) {
 	if v := d.byServer[s]; v != nil {
 		v.flows++
 		d.current[f] = v
@@ -211,7 +211,7 @@
 		d.mayHaveRun[f] = s
 	}
 	d.failed[f] = append(d.failed[f], s)
-	d.Demand(f)
+	d.PlaceFlow(f)
 }
 
 // Expired drops a flow whose deadline has passed.
@@ -219,8 +219,8 @@
 
 // Baselines use neither loads, reports, groups, delays nor probes.
 
-func (d *decider) Load(*balance.Flow, float64)                    {}
-func (d *decider) Reported(*balance.Server, float64, bool)        {}
-func (d *decider) Held(*balance.Group, *balance.Server)           {}
-func (d *decider) Slow(*balance.Server, int64)                    {}
-func (d *decider) Probed(*balance.Server, balance.Outcome, int64) {}
+func (d *decider) LoadMeasured(*balance.Flow, float64)               {}
+func (d *decider) LoadReported(*balance.Server, float64, bool)       {}
+func (d *decider) PlacementReported(*balance.Group, *balance.Server) {}
+func (d *decider) DelayMeasured(*balance.Server, int64)              {}
+func (d *decider) Probed(*balance.Server, balance.Outcome, int64)    {}
--- a/rehearsal/fleet/bad_clients.go
+++ b/rehearsal/fleet/bad_clients.go
@@ -23,7 +23,7 @@
 
 // scheduleBadClients opens connections of bad clients at random intervals, at the rate of the script.
 func (w *World) scheduleBadClients(group scenario.BadClients) {
-	until := group.At.Us() + group.For.Us()
+	until := group.At.Microseconds() + group.For.Microseconds()
 	if group.For == 0 {
 		until = w.run.Length
 	}
@@ -37,8 +37,8 @@
 			zone = w.zoneIndex(group.Zone)
 		}
 		if n := w.pickNode(zone, w.badClientRand); n != nil {
-			w.run.Bad = append(w.run.Bad, record.BadClient{Kind: group.Kind, Node: n.index, At: w.now, Within: badClientAnswerTime})
-			w.openToNode(&badClient{w, group.Kind, len(w.run.Bad) - 1}, n.index, clientAddress(firstBadClient+uint64(len(w.run.Bad))))
+			w.run.BadClients = append(w.run.BadClients, record.BadClient{Kind: group.Kind, Node: n.index, At: w.now, AnswerWithin: badClientAnswerTime})
+			w.openToNode(&badClient{w, group.Kind, len(w.run.BadClients) - 1}, n.index, clientAddress(firstBadClient+uint64(len(w.run.BadClients))))
 		}
 		w.after(int64(w.badClientRand.ExpFloat64()/group.Rate*1e6), next)
 	}
@@ -69,7 +69,7 @@
 
 // receiveLine implements peer.
 func (b *badClient) receiveLine(c *Conn, line []byte) {
-	result := &b.world.run.Bad[b.index]
+	result := &b.world.run.BadClients[b.index]
 	if strings.HasPrefix(string(line), "UP ") {
 		result.Served = true
 	}
@@ -84,7 +84,7 @@
 
 // recordOutcome records the first answer or the close. It is excused if the node does not run.
 func (b *badClient) recordOutcome() {
-	if result := &b.world.run.Bad[b.index]; result.AnsweredAt == 0 {
+	if result := &b.world.run.BadClients[b.index]; result.AnsweredAt == 0 {
 		result.AnsweredAt = b.world.now
 		n := b.world.nodes[result.Node]
 		result.Excused = !n.running
--- a/rehearsal/fleet/best.go
+++ b/rehearsal/fleet/best.go
@@ -6,11 +6,11 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// Best returns an upper bound of the benefit per second that the hosts of a script can serve when wanted[t] flows of each
+// MaxBenefitRate returns an upper bound of the benefit per second that the hosts of a script can serve when wanted[t] flows of each
 // service type t want a connection. It assumes that all hosts are warm and healthy and that flows are placed with complete
 // knowledge; a flow has the load of its type, is not divided and never ends. It ignores set-ups, probes and the shared work
 // of groups, so no run reaches it.
-func Best(s *scenario.Script, wanted []float64) float64 {
+func MaxBenefitRate(s *scenario.Script, wanted []float64) float64 {
 	type loadedHost struct {
 		rate, cores float64 // work per second of a core; number of cores
 		load        float64
@@ -23,7 +23,7 @@
 		}
 	}
 	// Work per second of a flow of load 1, and work of one of its messages.
-	unitRate := coreWorkPerSecond / s.Fleet.PerCore
+	unitRate := coreWorkPerSecond / s.Fleet.FlowsPerCore
 	messageWork := unitRate * float64(s.Clients.LineInterval) / 1e6 / messagesPerLine
 	// benefitRate returns the benefit per second of a host with one flow of type added, or as it is if added is -1.
 	benefitRate := func(h *loadedHost, added int) (total float64) {
@@ -37,7 +37,7 @@
 			}
 			if held > 0 {
 				free := 1 - min(load/(h.rate*h.cores), maxMessageLoad)
-				total += held * serviceType.Benefit * (1 - math.Exp(-float64(serviceType.MessageTarget.Us())/1e6*free*h.rate/messageWork))
+				total += held * serviceType.Benefit * (1 - math.Exp(-float64(serviceType.MessageTarget.Microseconds())/1e6*free*h.rate/messageWork))
 			}
 		}
 		return total
--- a/rehearsal/fleet/client.go
+++ b/rehearsal/fleet/client.go
@@ -87,8 +87,8 @@
 	if !cl.looping {
 		w.demandByType[cl.serviceType]++
 	}
-	w.run.Counts.Wishes++
-	w.At(cl.endsAt, cl.finish)
+	w.run.Counts.Clients++
+	w.Schedule(cl.endsAt, cl.finish)
 	if cl.bulkWindow == 0 && !cl.looping && !cl.fromCapture {
 		cl.varyLoad()
 	}
@@ -106,7 +106,7 @@
 	if at >= cl.endsAt {
 		return
 	}
-	cl.world.At(at, func() {
+	cl.world.Schedule(at, func() {
 		if cl.state != clientDone {
 			cl.setLoad(load)
 			cl.varyLoad()
@@ -141,7 +141,7 @@
 	cl.generation++
 	if cl.conn != nil {
 		if cl.flow != nil {
-			cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Left, Host: -1})
+			cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.ClientLeft, Host: -1})
 		}
 		cl.world.closePeerSide(cl.conn, false)
 	}
@@ -174,7 +174,7 @@
 // ago.
 func (cl *client) closeRecord() {
 	if cl.state == clientEstablished && cl.hostEndAt > 0 && cl.world.now-cl.hostEndAt > maxHoldTime {
-		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Unended, Host: -1, Value: cl.world.now - cl.hostEndAt})
+		cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.CloseDelayed, Host: -1, Value: cl.world.now - cl.hostEndAt})
 	}
 }
 
@@ -190,13 +190,13 @@
 		return
 	}
 	w.flowCount++
-	flow := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, Type: cl.serviceType, Group: cl.group, Node: node.index,
-		Zone: cl.zone, Timeout: w.run.Types[cl.serviceType].Timeout, Again: cl.returning, Host: -1, Load: cl.load, LifeLeft: cl.endsAt - w.now}
+	flow := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, ServiceType: cl.serviceType, Group: cl.group, Node: node.index,
+		Zone: cl.zone, Timeout: w.run.Types[cl.serviceType].ConnectTimeout, Returning: cl.returning, Host: -1, Load: cl.load, RemainingLife: cl.endsAt - w.now}
 	w.run.Flows = append(w.run.Flows, flow)
-	w.run.Counts.Tries++
+	w.run.Counts.Flows++
 	w.flowByID[flow.ID], w.clientByFlowID[flow.ID] = flow, cl
 	if cl.initialHost != nil {
-		flow.Timeout, flow.Stood = standingConnectTimeout, true
+		flow.Timeout, flow.Standing = standingConnectTimeout, true
 	}
 	cl.flow, cl.state, cl.node, cl.hostEndAt, cl.silenceRecorded = flow, clientAsking, node, 0, false
 	cl.pendingToHost, cl.pendingToClient, cl.upSent = pendingBytes{}, pendingBytes{}, false
@@ -206,7 +206,7 @@
 	cl.generation++
 	generation := cl.generation
 	w.after(flow.Timeout, func() { // for the case that the connection is not established
-		if cl.generation == generation && cl.state == clientAsking && cl.flow.Find(record.Asked) == nil {
+		if cl.generation == generation && cl.state == clientAsking && cl.flow.FirstEvent(record.RequestSent) == nil {
 			cl.timeOut()
 		}
 	})
@@ -241,7 +241,7 @@
 		b.WriteString(",again=1")
 	}
 	b.WriteString("\r\n")
-	flow.Add(record.Event{At: w.now, Kind: record.Asked, Host: -1})
+	flow.AddEvent(record.Event{At: w.now, Kind: record.RequestSent, Host: -1})
 	w.sendToNode(c, b.String(), nil)
 	generation := cl.generation
 	w.after(flow.Timeout, func() {
@@ -276,9 +276,9 @@
 	wait := int64(0)
 	switch settings.RetryWait {
 	case "fixed":
-		wait = settings.RetryPause.Us()
+		wait = settings.RetryPause.Microseconds()
 	case "exponential":
-		wait = settings.RetryPause.Us() << min(cl.failures-1, 10)
+		wait = settings.RetryPause.Microseconds() << min(cl.failures-1, 10)
 		wait = wait/2 + cl.eventRand.Int64N(wait/2+1)
 	}
 	if retryAfter > 0 && cl.eventRand.Float64() < settings.HonourShare {
@@ -290,7 +290,7 @@
 // scheduleNextRound schedules another round of attempts for a client whose retries are used up. The wait doubles with each
 // round, up to maxRoundWait.
 func (cl *client) scheduleNextRound() {
-	wait := min(cl.world.script.Clients.ReturnAfterBreak[1].Us()<<min(cl.retryRounds, 10), maxRoundWait)
+	wait := min(cl.world.script.Clients.ReturnAfterBreak[1].Microseconds()<<min(cl.retryRounds, 10), maxRoundWait)
 	cl.retryRounds++
 	cl.failures = 0
 	cl.world.after(wait/2+cl.eventRand.Int64N(wait/2+1), cl.attempt)
@@ -319,7 +319,7 @@
 // receiveAnswer handles the final answer to an attempt.
 func (cl *client) receiveAnswer(text string) {
 	w, flow := cl.world, cl.flow
-	flow.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: text})
+	flow.AddEvent(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: text})
 	cl.initialHost = nil
 	receipt, up := strings.CutPrefix(text, "UP ")
 	if !up {
@@ -334,14 +334,14 @@
 		cl.attemptFailed(retryAfter)
 		return
 	}
-	flow.Establish = w.now - flow.Find(record.Asked).At
+	flow.SetupTime = w.now - flow.FirstEvent(record.RequestSent).At
 	name, _, _ := strings.Cut(receipt, ".")
 	cl.state, cl.failures, cl.retryRounds, cl.retrying = clientEstablished, 0, 0, false
 	for _, h := range w.hosts {
 		if h.uid == name {
 			flow.Host = h.index
-			flow.Crossed = h.zone != cl.node.zone
-			if flow.Crossed {
+			flow.CrossesZones = h.zone != cl.node.zone
+			if flow.CrossesZones {
 				w.run.Counts.Crossings++
 			}
 			if !cl.looping {
@@ -371,14 +371,14 @@
 // scheduleNextLine schedules the next line of an established client, after about the script's clients.line_every. If no
 // line has been answered for too long, that is recorded.
 func (cl *client) scheduleNextLine(generation int) {
-	interval := cl.world.script.Clients.LineInterval.Us()
+	interval := cl.world.script.Clients.LineInterval.Microseconds()
 	cl.world.after(interval*3/4+cl.eventRand.Int64N(interval/2+1), func() {
 		if cl.generation != generation || cl.state != clientEstablished {
 			return
 		}
 		if cl.unansweredSince > 0 && cl.world.now-cl.unansweredSince > maxEchoDelay+4*interval && !cl.silenceRecorded {
 			cl.silenceRecorded = true
-			cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Unended, Host: -1, Text: "silent", Value: cl.world.now - cl.unansweredSince})
+			cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.CloseDelayed, Host: -1, Text: "silent", Value: cl.world.now - cl.unansweredSince})
 		}
 		if cl.unansweredSince == 0 {
 			cl.unansweredSince = cl.world.now
@@ -429,12 +429,12 @@
 		return
 	}
 	w, flow, closingLine, state := cl.world, cl.flow, cl.closingLine, cl.state
-	kind := record.Cut
+	kind := record.Disconnected
 	if closingLine == "MOVE" {
 		kind = record.Moved
 	}
 	if closingLine != "BYE" {
-		flow.Add(record.Event{At: w.now, Kind: kind, Host: -1})
+		flow.AddEvent(record.Event{At: w.now, Kind: kind, Host: -1})
 	}
 	w.closePeerSide(c, false)
 	cl.generation++
@@ -449,16 +449,16 @@
 		cl.attemptFailed(-1)
 	case closingLine == "MOVE":
 		w.run.Counts.Moves++
-		cl.scheduleReturn([2]int64{w.script.Clients.ReturnAfterMove[0].Us(), w.script.Clients.ReturnAfterMove[1].Us()})
+		cl.scheduleReturn([2]int64{w.script.Clients.ReturnAfterMove[0].Microseconds(), w.script.Clients.ReturnAfterMove[1].Microseconds()})
 	default:
-		w.run.Counts.Breaks++
-		cl.scheduleReturn([2]int64{w.script.Clients.ReturnAfterBreak[0].Us(), w.script.Clients.ReturnAfterBreak[1].Us()})
+		w.run.Counts.Disconnects++
+		cl.scheduleReturn([2]int64{w.script.Clients.ReturnAfterBreak[0].Microseconds(), w.script.Clients.ReturnAfterBreak[1].Microseconds()})
 	}
 }
 
 // nodeKilled records that the node of the client's flow was killed.
 func (cl *client) nodeKilled() {
 	if cl.flow != nil {
-		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.NodeKilled, Host: -1})
+		cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.NodeKilled, Host: -1})
 	}
 }
--- a/rehearsal/fleet/conn.go
+++ b/rehearsal/fleet/conn.go
@@ -11,37 +11,37 @@
 // the methods of World for what a node does. Nodes and hosts are given by index.
 type NodePlayer interface {
 	// Start starts a new process of a node.
-	Start(node int, conf Conf)
+	Start(node int, conf NodeConfig)
 	// Kill ends the process of a node at once.
 	Kill(node int)
 	// Stop asks the process of a node to terminate gracefully.
 	Stop(node int)
 	// Reload lets a node read its configuration file again.
-	Reload(node int, conf Conf)
-	// Starve lets other programs use a share of the node's core.
-	Starve(node int, share float64)
-	// Arrive brings a client's connection to the node's listener. It returns false if the accept queue is full.
-	Arrive(c *Conn) bool
-	// Up reports that a connection opened by the node is established.
-	Up(c *Conn)
+	Reload(node int, conf NodeConfig)
+	// SetStarvation lets other programs use a share of the node's core.
+	SetStarvation(node int, share float64)
+	// Accept brings a client's connection to the node's listener. It returns false if the accept queue is full.
+	Accept(c *Conn) bool
+	// Connected reports that a connection opened by the node is established.
+	Connected(c *Conn)
 	// Refused reports that a connection opened by the node was refused.
 	Refused(c *Conn)
-	// Bytes brings data to the node.
-	Bytes(c *Conn, data []byte)
-	// End reports that the other side sends no more.
-	End(c *Conn)
-	// Broken reports that the connection was reset.
-	Broken(c *Conn)
-	// Datagram brings a datagram from another node.
-	Datagram(node, from int, payload []byte)
-	// Pause suspends the process of a node or lets it continue.
-	Pause(node int, on bool)
-	// Twin starts a second process under the node's name, or kills it.
-	Twin(node int, conf Conf, on bool)
-	// Clock lets the node's clock jump by some microseconds and run at a multiple of the normal rate from now on.
-	Clock(node int, jump int64, rate float64)
-	// Listening reports whether a host accepts connections.
-	Listening(host int, listening bool)
+	// Receive brings data to the node.
+	Receive(c *Conn, data []byte)
+	// PeerClosed reports that the other side sends no more.
+	PeerClosed(c *Conn)
+	// Reset reports that the connection was reset.
+	Reset(c *Conn)
+	// ReceiveDatagram brings a datagram from another node.
+	ReceiveDatagram(node, from int, payload []byte)
+	// SetPaused suspends the process of a node or lets it continue.
+	SetPaused(node int, on bool)
+	// SetDuplicate starts a second process under the node's name, or kills it.
+	SetDuplicate(node int, conf NodeConfig, on bool)
+	// AdjustClock lets the node's clock jump by some microseconds and run at a multiple of the normal rate from now on.
+	AdjustClock(node int, jump int64, rate float64)
+	// SetListening reports whether a host accepts connections.
+	SetListening(host int, listening bool)
 }
 
 // peer is the other end of a node's connection: a host, discovery, a client or a health check.
@@ -60,12 +60,12 @@
 
 // Conn is one connection between a node and a peer.
 type Conn struct {
-	Node       int            // index of the node
-	Host       int            // index of the host that it leads to; -1 for other peers
-	Addr       string         // address that the node has dialed; empty if the peer has opened the connection
-	FromClient bool           // opened by a client or by the front-end load balancer
-	From       netip.AddrPort // address of the client
-	Ref        any            // for use by the NodePlayer
+	Node          int            // index of the node
+	Host          int            // index of the host that it leads to; -1 for other peers
+	Addr          string         // address that the node has dialed; empty if the peer has opened the connection
+	FromClient    bool           // opened by a client or by the front-end load balancer
+	ClientAddress netip.AddrPort // address of the client
+	PlayerState   any            // for use by the NodePlayer
 
 	flow        *record.Flow // flow of the connect that it carries, once the node has sent the line
 	client      *client      // client of that flow
@@ -105,7 +105,7 @@
 
 // openToNode opens a connection from a peer to a node. The peer is notified through connected or closed.
 func (w *World) openToNode(p peer, node int, address netip.Addr) *Conn {
-	c := &Conn{Node: node, Host: -1, FromClient: true, peer: p, From: netip.AddrPortFrom(address, 0), path: path{node, noZone}, nodeStarts: w.nodes[node].starts}
+	c := &Conn{Node: node, Host: -1, FromClient: true, peer: p, ClientAddress: netip.AddrPortFrom(address, 0), path: path{node, noZone}, nodeStarts: w.nodes[node].starts}
 	w.requestConnection(c, p)
 	return c
 }
@@ -126,7 +126,7 @@
 			return
 		}
 		c.nodeStarts = n.starts
-		if !w.player.Arrive(c) {
+		if !w.player.Accept(c) {
 			w.after(connectRetryInterval, func() { w.requestConnection(c, p) })
 			return
 		}
@@ -147,7 +147,7 @@
 	}
 	w.transmit(c, &c.toNode, func() {
 		if w.isAlive(c) {
-			w.player.Bytes(c, []byte(text))
+			w.player.Receive(c, []byte(text))
 			if delivered != nil {
 				delivered()
 			}
@@ -167,10 +167,10 @@
 		case broken:
 			w.observeHostClose(c)
 			w.removeConn(c)
-			w.player.Broken(c)
+			w.player.Reset(c)
 		default:
 			w.observeHostClose(c)
-			w.player.End(c)
+			w.player.PeerClosed(c)
 		}
 	})
 }
@@ -204,11 +204,11 @@
 	}
 }
 
-// Dialed opens a connection from a node to an address. The player is notified when the connection is established or
+// Dial opens a connection from a node to an address. The player is notified when the connection is established or
 // refused; a silent host does not answer at all.
-func (w *World) Dialed(node int, addr string, ref any) *Conn {
+func (w *World) Dial(node int, addr string, ref any) *Conn {
 	n := w.nodes[node]
-	c := &Conn{Node: node, Host: -1, Addr: addr, Ref: ref, nodeStarts: n.starts}
+	c := &Conn{Node: node, Host: -1, Addr: addr, PlayerState: ref, nodeStarts: n.starts}
 	n.conns = append(n.conns, c)
 	h, isHost := w.hostByAddress[addr]
 	switch {
@@ -244,15 +244,15 @@
 			}
 			c.heldUntilUp = nil
 			if !c.nodeDone {
-				w.player.Up(c)
+				w.player.Connected(c)
 			}
 		})
 	})
 	return c
 }
 
-// Wrote sends data from a node. The World owns the data from then on.
-func (w *World) Wrote(c *Conn, data []byte) {
+// Write sends data from a node. The World owns the data from then on.
+func (w *World) Write(c *Conn, data []byte) {
 	if c.removed || c.nodeDone || len(data) == 0 {
 		return
 	}
@@ -300,17 +300,17 @@
 	}
 }
 
-// Shut closes the sending direction of a connection on behalf of a node, which may still read.
-func (w *World) Shut(c *Conn) { w.closeNodeSide(c, false) }
+// CloseWrite closes the sending direction of a connection on behalf of a node, which may still read.
+func (w *World) CloseWrite(c *Conn) { w.closeNodeSide(c, false) }
 
-// Closed closes a connection on behalf of a node.
-func (w *World) Closed(c *Conn) {
+// Close closes a connection on behalf of a node.
+func (w *World) Close(c *Conn) {
 	w.closeNodeSide(c, false)
 	w.removeConn(c)
 }
 
-// Broke resets a connection on behalf of a node.
-func (w *World) Broke(c *Conn) {
+// Reset resets a connection on behalf of a node.
+func (w *World) Reset(c *Conn) {
 	w.closeNodeSide(c, true)
 	w.removeConn(c)
 }
@@ -332,21 +332,21 @@
 		w.notifyClosed(c, broken)
 		w.transmit(c, &c.toNode, func() { // the peer closes its side as well
 			if w.isAlive(c) {
-				w.player.End(c)
+				w.player.PeerClosed(c)
 			}
 		})
 	})
 }
 
-// Exited reports that the process of a node has ended by itself. The reason is noted in the record unless the node was
+// NodeExited reports that the process of a node has ended by itself. The reason is noted in the record unless the node was
 // asked to stop.
-func (w *World) Exited(node int, reason string) {
+func (w *World) NodeExited(node int, reason string) {
 	n := w.nodes[node]
 	if !n.running {
 		return
 	}
 	if !n.stopping {
-		w.run.Notes = append(w.run.Notes, "node "+n.name+" ended: "+reason)
+		w.run.NodeExits = append(w.run.NodeExits, "node "+n.name+" ended: "+reason)
 	}
 	w.nodeEnded(node)
 }
--- a/rehearsal/fleet/demand.go
+++ b/rehearsal/fleet/demand.go
@@ -13,14 +13,14 @@
 func (w *World) scheduleDemand() {
 	demand := w.script.Demand
 	if demand.Flows != "" {
-		for _, recorded := range w.script.Recorded {
-			w.At(recorded.At.Us(), func() { w.startRecordedClient(recorded) })
+		for _, recorded := range w.script.RecordedClients {
+			w.Schedule(recorded.At.Microseconds(), func() { w.startRecordedClient(recorded) })
 		}
 	} else if demand.Rate > 0 {
-		w.At(w.nextArrivalTime(0), w.handleArrival)
+		w.Schedule(w.nextArrivalTime(0), w.handleArrival)
 	}
 	if demand.Standing > 0 {
-		w.At(-standingLeadTime, w.createStandingFlows)
+		w.Schedule(-standingLeadTime, w.createStandingFlows)
 	}
 	for i, loop := range demand.Loops {
 		address := netip.Addr{}
@@ -28,16 +28,16 @@
 			address = clientAddress(lastClientNumber - uint64(i))
 		}
 		for range loop.Count {
-			w.scheduleSpecialClient(loop.At.Us(), loop.For.Us(), loop.Type, loop.Zone, true, 0, address)
+			w.scheduleSpecialClient(loop.At.Microseconds(), loop.For.Microseconds(), loop.Type, loop.Zone, true, 0, address)
 		}
 	}
 	for _, group := range demand.Bulk {
 		for range group.Count {
-			w.scheduleSpecialClient(group.At.Us(), group.For.Us(), group.Type, group.Zone, false, group.Window, netip.Addr{})
+			w.scheduleSpecialClient(group.At.Microseconds(), group.For.Microseconds(), group.Type, group.Zone, false, group.Window, netip.Addr{})
 		}
 	}
 	for _, group := range demand.BadClients {
-		w.At(group.At.Us(), func() { w.scheduleBadClients(group) })
+		w.Schedule(group.At.Microseconds(), func() { w.scheduleBadClients(group) })
 	}
 }
 
@@ -87,12 +87,12 @@
 		return 1
 	}
 	before := waves[0]
-	if at <= before.At.Us() {
+	if at <= before.At.Microseconds() {
 		return before.RateMultiplier
 	}
 	for _, wave := range waves[1:] {
-		if at < wave.At.Us() {
-			fraction := float64(at-before.At.Us()) / float64(wave.At-before.At)
+		if at < wave.At.Microseconds() {
+			fraction := float64(at-before.At.Microseconds()) / float64(wave.At-before.At)
 			return before.RateMultiplier + fraction*(wave.RateMultiplier-before.RateMultiplier)
 		}
 		before = wave
@@ -129,7 +129,7 @@
 	}
 	w.startDrawnClient()
 	if next := w.nextArrivalTime(w.now); next != never {
-		w.At(next, w.handleArrival)
+		w.Schedule(next, w.handleArrival)
 	}
 }
 
@@ -177,15 +177,15 @@
 }
 
 // startRecordedClient starts a client of a capture, whose load changes as recorded.
-func (w *World) startRecordedClient(recorded scenario.Recorded) {
+func (w *World) startRecordedClient(recorded scenario.RecordedClient) {
 	cl := w.newClient(recorded.Type, recorded.Zone)
-	cl.group, cl.baseLoad, cl.endsAt, cl.fromCapture = recorded.Group, recorded.Loads[0].Load, w.now+recorded.Life.Us(), true
+	cl.group, cl.baseLoad, cl.endsAt, cl.fromCapture = recorded.Group, recorded.Loads[0].Load, w.now+recorded.Life.Microseconds(), true
 	if recorded.Key != "" {
 		cl.key = recorded.Key
 	}
 	cl.start()
 	for _, step := range recorded.Loads[1:] {
-		w.after(step.After.Us(), func() { cl.setLoad(step.Load) })
+		w.after(step.After.Microseconds(), func() { cl.setLoad(step.Load) })
 	}
 }
 
@@ -224,12 +224,12 @@
 // scheduleSpecialClient schedules a client that loops or sends in bulk. A duration of 0 means until the end of the run; an
 // invalid address means one of its own.
 func (w *World) scheduleSpecialClient(at, duration int64, serviceType, zone string, loops bool, bulkWindow int, address netip.Addr) {
-	w.At(at, func() {
+	w.Schedule(at, func() {
 		zoneIndex := w.nodes[0].zone
 		if zone != "" {
 			zoneIndex = w.zoneIndex(zone)
 		}
-		cl := w.newClient(max(w.script.TypeNo(serviceType), 0), zoneIndex)
+		cl := w.newClient(max(w.script.TypeIndex(serviceType), 0), zoneIndex)
 		cl.baseLoad, cl.endsAt, cl.looping, cl.bulkWindow = specialClientLoad, w.now+duration, loops, bulkWindow
 		if address.IsValid() {
 			cl.address = address
--- a/rehearsal/fleet/discovery.go
+++ b/rehearsal/fleet/discovery.go
@@ -260,6 +260,6 @@
 	old := n.hostView[e.host]
 	n.hostView[e.host] = e
 	if up := e.state == "ready"; restart || up != (old.state == "ready") {
-		w.run.Told = append(w.run.Told, record.Told{Node: n.index, Host: e.host, At: w.now, Up: up, Restart: restart})
+		w.run.Notices = append(w.run.Notices, record.HostNotice{Node: n.index, Host: e.host, At: w.now, Up: up, InitialList: restart})
 	}
 }
--- a/rehearsal/fleet/events.go
+++ b/rehearsal/fleet/events.go
@@ -58,17 +58,17 @@
 	return top
 }
 
-// At schedules action for the time at, in microseconds from the start of the run; a time in the past counts as now.
-func (w *World) At(at int64, action func()) { w.queue.push(max(at, w.now), action) }
+// Schedule schedules action for the time at, in microseconds from the start of the run; a time in the past counts as now.
+func (w *World) Schedule(at int64, action func()) { w.queue.push(max(at, w.now), action) }
 
 // after schedules action to run once wait microseconds have passed.
-func (w *World) after(wait int64, action func()) { w.At(w.now+wait, action) }
+func (w *World) after(wait int64, action func()) { w.Schedule(w.now+wait, action) }
 
 // Now returns the current time, in microseconds from the start of the run.
 func (w *World) Now() int64 { return w.now }
 
-// Next returns the time of the next event; ok is false if none is scheduled.
-func (w *World) Next() (at int64, ok bool) {
+// NextEventAt returns the time of the next event; ok is false if none is scheduled.
+func (w *World) NextEventAt() (at int64, ok bool) {
 	if len(w.queue.heap) == 0 {
 		return 0, false
 	}
--- a/rehearsal/fleet/false_report.go
+++ b/rehearsal/fleet/false_report.go
@@ -9,8 +9,8 @@
 // falseReport returns a datagram with the same sender and a false load report: the largest figures, and saturation, for
 // every host that it names. Datagrams that cannot be read are returned unchanged.
 func (w *World) falseReport(datagram []byte) []byte {
-	header, payload, fault := frame.Read(datagram)
-	if fault != frame.None || len(payload) < 5 {
+	header, payload, fault := frame.Decode(datagram)
+	if fault != frame.NoFault || len(payload) < 5 {
 		return datagram
 	}
 	forged := append([]byte(nil), payload...)
@@ -21,5 +21,5 @@
 		forged[offset+8] = 1
 		changed++
 	}
-	return frame.Write(header, forged)
+	return frame.Encode(header, forged)
 }
--- a/rehearsal/fleet/faults.go
+++ b/rehearsal/fleet/faults.go
@@ -14,7 +14,7 @@
 func (w *World) injectFault(fault *scenario.Fault) {
 	index := uint64(slices.IndexFunc(w.script.Faults, func(o scenario.Fault) bool { return o.At == fault.At && o.Kind == fault.Kind }))
 	pick := func(names []string, total int) []int { return w.pickMembers(fault, randFaults+index<<8, names, total) }
-	duration := fault.For.Us()
+	duration := fault.For.Microseconds()
 	switch fault.Kind {
 	case "cut", "delay", "breaks":
 		w.injectZoneFault(fault, w.zoneIndex(fault.Zone))
@@ -42,11 +42,11 @@
 		w.injectLinkFault(fault, nodes, to)
 	case "node_kill", "node_stop", "node_reload", "node_starve", "node_pause", "node_twin", "node_clock", "node_rate":
 		for i, n := range pick(fault.Nodes, len(w.nodes)) {
-			w.after(int64(i)*fault.Step.Us(), func() { w.injectNodeFault(fault, n) })
+			w.after(int64(i)*fault.Step.Microseconds(), func() { w.injectNodeFault(fault, n) })
 		}
 	default:
 		for i, h := range pick(fault.Hosts, len(w.hosts)) {
-			w.after(int64(i)*fault.Step.Us(), func() { w.injectHostFault(fault, w.hosts[h]) })
+			w.after(int64(i)*fault.Step.Microseconds(), func() { w.injectHostFault(fault, w.hosts[h]) })
 		}
 	}
 }
@@ -71,7 +71,7 @@
 
 // injectHostFault starts a fault of one host.
 func (w *World) injectHostFault(fault *scenario.Fault, h *host) {
-	duration := fault.For.Us()
+	duration := fault.For.Microseconds()
 	applyTemporarily := func(begin, end func()) {
 		h.advance()
 		begin()
@@ -104,7 +104,7 @@
 	case "join":
 		w.startAbsentHost(h)
 	case "relist":
-		w.republish(h, fault.Interval.Us(), w.now+duration)
+		w.republish(h, fault.Interval.Microseconds(), w.now+duration)
 	}
 }
 
@@ -126,11 +126,11 @@
 	h.advance()
 	h.neighbourShare = fault.Size
 	h.scheduleCompletion()
-	interval := fault.Interval.Us()
+	interval := fault.Interval.Microseconds()
 	if interval == 0 {
 		interval = until - w.now
 	}
-	w.At(min(w.now+interval, until), func() {
+	w.Schedule(min(w.now+interval, until), func() {
 		h.advance()
 		h.neighbourShare = 0
 		h.scheduleCompletion()
@@ -194,9 +194,9 @@
 func (w *World) injectNodeFault(fault *scenario.Fault, index int) {
 	switch fault.Kind {
 	case "node_kill":
-		w.killNode(index, fault.For.Us())
+		w.killNode(index, fault.For.Microseconds())
 	case "node_stop":
-		w.stopNode(index, fault.For.Us())
+		w.stopNode(index, fault.For.Microseconds())
 	case "node_reload":
 		n := w.nodes[index]
 		n.reloads++
@@ -204,23 +204,23 @@
 			w.player.Reload(index, w.nodeConfig(n))
 		}
 	case "node_pause":
-		w.pauseNode(index, fault.For.Us())
+		w.pauseNode(index, fault.For.Microseconds())
 	case "node_twin":
-		w.player.Twin(index, w.nodeConfig(w.nodes[index]), true)
-		w.after(fault.For.Us(), func() { w.player.Twin(index, Conf{}, false) })
+		w.player.SetDuplicate(index, w.nodeConfig(w.nodes[index]), true)
+		w.after(fault.For.Microseconds(), func() { w.player.SetDuplicate(index, NodeConfig{}, false) })
 	case "node_clock":
-		w.player.Clock(index, int64(fault.Size*1e6), 1)
+		w.player.AdjustClock(index, int64(fault.Size*1e6), 1)
 	case "node_rate":
-		w.player.Clock(index, 0, fault.Size)
-		w.after(fault.For.Us(), func() { w.player.Clock(index, 0, 1) })
+		w.player.AdjustClock(index, 0, fault.Size)
+		w.after(fault.For.Microseconds(), func() { w.player.AdjustClock(index, 0, 1) })
 	case "node_starve":
 		n := w.nodes[index]
 		n.starvedShares = append(n.starvedShares, fault.Size)
-		w.player.Starve(index, n.starvedShare())
-		w.after(fault.For.Us(), func() {
+		w.player.SetStarvation(index, n.starvedShare())
+		w.after(fault.For.Microseconds(), func() {
 			i := slices.Index(n.starvedShares, fault.Size)
 			n.starvedShares = slices.Delete(n.starvedShares, i, i+1)
-			w.player.Starve(index, n.starvedShare())
+			w.player.SetStarvation(index, n.starvedShare())
 		})
 	}
 }
@@ -229,17 +229,17 @@
 func (w *World) pauseNode(index int, duration int64) {
 	n := w.nodes[index]
 	if n.pauses++; n.pauses == 1 {
-		w.run.Stills = append(w.run.Stills, record.Still{Node: index, From: w.now})
+		w.run.Pauses = append(w.run.Pauses, record.NodePause{Node: index, From: w.now})
 	}
-	w.player.Pause(index, true)
+	w.player.SetPaused(index, true)
 	w.after(duration, func() {
 		if n.pauses--; n.pauses == 0 {
-			for i := range w.run.Stills {
-				if pause := &w.run.Stills[i]; pause.Node == index && pause.To == 0 {
+			for i := range w.run.Pauses {
+				if pause := &w.run.Pauses[i]; pause.Node == index && pause.To == 0 {
 					pause.To = w.now
 				}
 			}
-			w.player.Pause(index, false)
+			w.player.SetPaused(index, false)
 		}
 	})
 }
@@ -259,13 +259,13 @@
 	switch fault.Kind {
 	case "cut":
 		link.cuts++
-		w.after(fault.For.Us(), func() {
+		w.after(fault.For.Microseconds(), func() {
 			link.cuts--
 			w.resumeAfterCut()
 		})
 	case "delay":
-		link.addedDelay += fault.Delay.Us()
-		w.after(fault.For.Us(), func() { link.addedDelay -= fault.Delay.Us() })
+		link.addedDelay += fault.Delay.Microseconds()
+		w.after(fault.For.Microseconds(), func() { link.addedDelay -= fault.Delay.Microseconds() })
 	case "breaks":
 		random := w.newRand(randFaults + 1<<30)
 		for _, n := range w.nodes {
@@ -285,7 +285,7 @@
 		if w.isAlive(c) && !c.nodeDone {
 			w.observeHostClose(c)
 			w.removeConn(c)
-			w.player.Broken(c)
+			w.player.Reset(c)
 		}
 	})
 }
@@ -297,13 +297,13 @@
 		if cl.state != clientEstablished || cl.looping || random.Float64() >= fault.Size {
 			continue
 		}
-		cl.flow.Add(record.Event{At: w.now, Kind: record.Left, Host: -1})
+		cl.flow.AddEvent(record.Event{At: w.now, Kind: record.ClientLeft, Host: -1})
 		if fault.Kind == "reconnect" {
 			w.closePeerSide(cl.conn, true)
 		}
 		cl.generation++
 		cl.clearConnection()
-		w.run.Counts.Breaks++
+		w.run.Counts.Disconnects++
 		cl.returning, cl.retrying, cl.failures = true, false, 0
 		w.after(int64(random.Float64()*float64(fault.For)), cl.attempt)
 	}
