--- a/rehearsal/fleet/fleet_test.go
+++ b/rehearsal/fleet/fleet_test.go
@@ -10,22 +10,22 @@
 // idlePlayer is a NodePlayer whose nodes do nothing. It notes what the nodes receive.
 type idlePlayer struct{ received []string }
 
-func (n *idlePlayer) Start(int, Conf)           {}
-func (n *idlePlayer) Kill(int)                  {}
-func (n *idlePlayer) Stop(int)                  {}
-func (n *idlePlayer) Reload(int, Conf)          {}
-func (n *idlePlayer) Starve(int, float64)       {}
-func (n *idlePlayer) Arrive(*Conn) bool         { return true }
-func (n *idlePlayer) Up(*Conn)                  {}
-func (n *idlePlayer) Refused(*Conn)             {}
-func (n *idlePlayer) Bytes(_ *Conn, b []byte)   { n.received = append(n.received, string(b)) }
-func (n *idlePlayer) End(*Conn)                 {}
-func (n *idlePlayer) Broken(*Conn)              { n.received = append(n.received, "broken") }
-func (n *idlePlayer) Listening(int, bool)       {}
-func (n *idlePlayer) Datagram(int, int, []byte) {}
-func (n *idlePlayer) Pause(int, bool)           {}
-func (n *idlePlayer) Twin(int, Conf, bool)      {}
-func (n *idlePlayer) Clock(int, int64, float64) {}
+func (n *idlePlayer) Start(int, NodeConfig)              {}
+func (n *idlePlayer) Kill(int)                           {}
+func (n *idlePlayer) Stop(int)                           {}
+func (n *idlePlayer) Reload(int, NodeConfig)             {}
+func (n *idlePlayer) SetStarvation(int, float64)         {}
+func (n *idlePlayer) Accept(*Conn) bool                  { return true }
+func (n *idlePlayer) Connected(*Conn)                    {}
+func (n *idlePlayer) Refused(*Conn)                      {}
+func (n *idlePlayer) Receive(_ *Conn, b []byte)          { n.received = append(n.received, string(b)) }
+func (n *idlePlayer) PeerClosed(*Conn)                   {}
+func (n *idlePlayer) Reset(*Conn)                        { n.received = append(n.received, "broken") }
+func (n *idlePlayer) SetListening(int, bool)             {}
+func (n *idlePlayer) ReceiveDatagram(int, int, []byte)   {}
+func (n *idlePlayer) SetPaused(int, bool)                {}
+func (n *idlePlayer) SetDuplicate(int, NodeConfig, bool) {}
+func (n *idlePlayer) AdjustClock(int, int64, float64)    {}
 
 const plainScript = `name = "plain"
 zones = ["a", "b"]
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	player := &idlePlayer{}
-	w := New(s, 1, player, Places{Discovery: func(int, int) string { return "discovery" }})
+	w := New(s, 1, player, Environment{Discovery: func(int, int) string { return "discovery" }})
 	w.nodes[0].running, w.nodes[0].starts = true, 1
 	w.hosts[0].speed = 1
 	return w, w.hosts[0], player
@@ -77,7 +77,7 @@
 // nothing happens any more.
 func advanceUntilLeft(w *World, h *host, left int) int64 {
 	for len(h.activeSetups) > left {
-		next, ok := w.Next()
+		next, ok := w.NextEventAt()
 		if !ok {
 			return -1
 		}
@@ -164,7 +164,7 @@
 		if h.fellOver != c.falls {
 			t.Errorf("%.1f times what it can handle: fell over %t, highest ratio %.2f", c.times, h.fellOver, h.peakColdRatio)
 		}
-		if w.Advance(20_000_000); c.falls && (h.state != hostDead || w.run.Hosts[0].FellAt == 0) {
+		if w.Advance(20_000_000); c.falls && (h.state != hostDead || w.run.Hosts[0].CollapsedAt == 0) {
 			t.Error("the host fell over and is not down")
 		}
 		if w.startHost(h); c.falls && h.state != hostDead {
@@ -217,10 +217,10 @@
 	w, _, _ := newWorld(t, "")
 	var got []int
 	for i := range 20 {
-		w.At(500, func() {
+		w.Schedule(500, func() {
 			got = append(got, i)
 			if i == 3 {
-				w.At(500, func() { got = append(got, 100) })
+				w.Schedule(500, func() { got = append(got, 100) })
 			}
 		})
 	}
--- a/rehearsal/fleet/frontend.go
+++ b/rehearsal/fleet/frontend.go
@@ -4,8 +4,8 @@
 	"math/rand/v2"
 )
 
-// AllReady reports whether the front-end load balancer has every node in rotation.
-func (w *World) AllReady() bool {
+// AllInRotation reports whether the front-end load balancer has every node in rotation.
+func (w *World) AllInRotation() bool {
 	for _, n := range w.nodes {
 		if !n.inRotation {
 			return false
--- a/rehearsal/fleet/host.go
+++ b/rehearsal/fleet/host.go
@@ -70,7 +70,7 @@
 	h.advance()
 	h.state = to
 	if to != hostSilent {
-		h.world.player.Listening(h.index, false)
+		h.world.player.SetListening(h.index, false)
 	}
 	conns := slices.Clone(h.conns)
 	for _, hc := range conns {
@@ -99,7 +99,7 @@
 		h.world.closePeerSide(c, true)
 	}
 	h.silentConns = nil
-	h.world.player.Listening(h.index, true)
+	h.world.player.SetListening(h.index, true)
 }
 
 // tick does the periodic work: it bounds the backlog, shedding a flow if it is too large, and continues a drain.
--- a/rehearsal/fleet/host_conn.go
+++ b/rehearsal/fleet/host_conn.go
@@ -117,14 +117,14 @@
 // receiveOpen handles the line of a connect: the host queues a set-up or refuses it.
 func (h *host) receiveOpen(hc *hostConn, line []byte) {
 	open, err := lines.ParseOpen(line)
-	if err != nil || open.ID != hc.flow.ID || h.world.script.TypeNo(open.Class) != hc.flow.Type || open.Key != hc.flow.Key {
+	if err != nil || open.ID != hc.flow.ID || h.world.script.TypeIndex(open.ServiceType) != hc.flow.ServiceType || open.Key != hc.flow.Key {
 		h.rejectLine(hc, fmt.Sprint("changed on its way: ", string(line)))
 		return
 	}
-	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Came, Host: h.index, Try: hc.attempt})
-	if open.At != "" {
+	hc.flow.AddEvent(record.Event{At: h.world.now, Kind: record.ConnectReceived, Host: h.index, Connect: hc.attempt})
+	if open.CurrentHost != "" {
 		if hc.client.initialHost != h {
-			h.rejectLine(hc, "it never stood here: "+open.At)
+			h.rejectLine(hc, "it never stood here: "+open.CurrentHost)
 			return
 		}
 		h.completeSetup(&setupJob{conn: hc})
@@ -144,14 +144,14 @@
 		return
 	}
 	work := float64(fleet.SetupWork) * (0.7 + 0.6*hc.client.eventRand.Float64())
-	hc.job = &setupJob{conn: hc, receivedAt: h.world.now, work: work, timeout: open.Wait}
+	hc.job = &setupJob{conn: hc, receivedAt: h.world.now, work: work, timeout: open.ConnectTimeout}
 	h.queuedSetups = append(h.queuedSetups, hc.job)
 	h.startQueued()
 }
 
 // refuse answers a connect with BUSY or ERR and closes its connection.
 func (h *host) refuse(hc *hostConn, answer string) {
-	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Said, Host: h.index, Try: hc.attempt, Text: answer})
+	hc.flow.AddEvent(record.Event{At: h.world.now, Kind: record.HostAnswered, Host: h.index, Connect: hc.attempt, Text: answer})
 	h.world.sendToNode(hc.Conn, answer+"\r\n", nil)
 	h.world.closePeerSide(hc.Conn, false)
 	h.removeConn(hc)
@@ -163,10 +163,10 @@
 	if h.state != hostRunning || hc.flow == nil {
 		return
 	}
-	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Ran, Host: h.index, Try: hc.attempt})
+	hc.flow.AddEvent(record.Event{At: h.world.now, Kind: record.SetupDone, Host: h.index, Connect: hc.attempt})
 	if job.abandoned {
-		h.world.run.Counts.Wasted++
-		h.world.run.Counts.WorkWasted += job.work
+		h.world.run.Counts.WastedSetups++
+		h.world.run.Counts.WastedWork += job.work
 		return
 	}
 	if errorRate := h.world.script.Fleet.ErrorRate + h.extraErrorRate; errorRate > 0 && hc.client.eventRand.Float64() < errorRate {
@@ -176,7 +176,7 @@
 	h.receipts++
 	receipt := fmt.Sprintf("%s.%d.%d", h.uid, h.bootedAt, h.receipts)
 	hc.flow.Receipts = append(hc.flow.Receipts, receipt)
-	hc.flow.Add(record.Event{At: h.world.now, Kind: record.Said, Host: h.index, Try: hc.attempt, Text: "UP"})
+	hc.flow.AddEvent(record.Event{At: h.world.now, Kind: record.HostAnswered, Host: h.index, Connect: hc.attempt, Text: "UP"})
 	hc.hosted = &hostedFlow{conn: hc, index: len(h.flows)}
 	h.flows = append(h.flows, hc.hosted)
 	h.setFlowLoad(hc.hosted, hc.client.load*h.world.unitLoadRate())
@@ -187,7 +187,7 @@
 	h.world.sendToNode(hc.Conn, "UP "+receipt+"\r\n", nil)
 	h.reportLoad(hc)
 	if hc.client.endedByHost {
-		h.world.At(hc.client.endsAt, func() {
+		h.world.Schedule(hc.client.endsAt, func() {
 			if hc.hosted != nil {
 				h.sendAway(hc, "BYE")
 			}
--- a/rehearsal/fleet/host_work.go
+++ b/rehearsal/fleet/host_work.go
@@ -20,10 +20,10 @@
 // cold_time after its start.
 func (h *host) warmShare(at int64) float64 {
 	fleet := h.world.script.Fleet
-	if h.bootedAt == 0 || at >= h.bootedAt+fleet.ColdTime.Us() {
+	if h.bootedAt == 0 || at >= h.bootedAt+fleet.ColdTime.Microseconds() {
 		return 1
 	}
-	return 1 - (1-fleet.ColdFrom)*float64(h.bootedAt+fleet.ColdTime.Us()-at)/float64(fleet.ColdTime.Us())
+	return 1 - (1-fleet.ColdFrom)*float64(h.bootedAt+fleet.ColdTime.Microseconds()-at)/float64(fleet.ColdTime.Microseconds())
 }
 
 // coreRate returns the work per second that one core does now.
@@ -39,10 +39,10 @@
 }
 
 // capacity returns the number of flows of load 1 that saturate the host when it is warm and nothing else uses it.
-func (h *host) capacity() float64 { return h.cores * h.speed * h.world.script.Fleet.PerCore }
+func (h *host) capacity() float64 { return h.cores * h.speed * h.world.script.Fleet.FlowsPerCore }
 
 // unitLoadRate returns the work per second of a flow of load 1.
-func (w *World) unitLoadRate() float64 { return coreWorkPerSecond / w.script.Fleet.PerCore }
+func (w *World) unitLoadRate() float64 { return coreWorkPerSecond / w.script.Fleet.FlowsPerCore }
 
 // workRates returns the work per second that each active set-up and that all messages together receive now. If set-ups
 // and messages demand more cores than there are, they share them evenly.
@@ -176,8 +176,8 @@
 	if h.bootedAt == 0 || fleet.ColdTime == 0 {
 		return 0
 	}
-	elapsed := min(max(float64(h.world.now-h.bootedAt)/float64(fleet.ColdTime.Us()), 0), 1)
-	mean := (h.warmShare(h.bootedAt) + h.warmShare(h.bootedAt+int64(elapsed*float64(fleet.ColdTime.Us()-1)))) / 2
+	elapsed := min(max(float64(h.world.now-h.bootedAt)/float64(fleet.ColdTime.Microseconds()), 0), 1)
+	mean := (h.warmShare(h.bootedAt) + h.warmShare(h.bootedAt+int64(elapsed*float64(fleet.ColdTime.Microseconds()-1)))) / 2
 	return fleet.FallMultiple * h.capacity() / h.world.meanLoad * mean * elapsed
 }
 
@@ -187,23 +187,23 @@
 // fall_roots times the square root of the limit, which are attributed to chance.
 func (h *host) countColdConnect() {
 	fleet := h.world.script.Fleet
-	if h.bootedAt == 0 || h.world.now >= h.bootedAt+fleet.ColdTime.Us() {
+	if h.bootedAt == 0 || h.world.now >= h.bootedAt+fleet.ColdTime.Microseconds() {
 		h.coldConnects = nil
 		return
 	}
-	h.world.run.Hosts[h.index].ColdSent++
+	h.world.run.Hosts[h.index].ColdConnects++
 	h.coldConnects = append(h.coldConnects, h.world.now)
-	for len(h.coldConnects) > 0 && h.coldConnects[0] <= h.world.now-fleet.FallAfter.Us() {
+	for len(h.coldConnects) > 0 && h.coldConnects[0] <= h.world.now-fleet.FallAfter.Microseconds() {
 		h.coldConnects = h.coldConnects[1:]
 	}
-	middle := max(h.bootedAt, h.world.now-fleet.FallAfter.Us()/2)
+	middle := max(h.bootedAt, h.world.now-fleet.FallAfter.Microseconds()/2)
 	expected := h.capacity() / h.world.meanLoad / fleet.ColdTime.Seconds() * h.warmShare(middle) * fleet.FallAfter.Seconds()
 	ratio := (float64(len(h.coldConnects)) - 2) / expected
 	h.peakColdRatio = max(h.peakColdRatio, ratio)
 	if allowed := fleet.FallMultiple * expected; float64(len(h.coldConnects)) > allowed+fleet.FallRoots*math.Sqrt(allowed)+2 {
 		h.fellOver = true
-		h.world.run.Hosts[h.index].FellAt = h.world.now
-		h.world.run.Counts.Falls++
+		h.world.run.Hosts[h.index].CollapsedAt = h.world.now
+		h.world.run.Counts.Collapses++
 		h.world.after(0, func() { h.world.crashHost(h, 0) })
 	}
 }
--- a/rehearsal/fleet/links.go
+++ b/rehearsal/fleet/links.go
@@ -62,13 +62,13 @@
 		}
 	}
 	w.linkFaults = append(w.linkFaults, active)
-	w.after(fault.For.Us(), func() {
+	w.after(fault.For.Microseconds(), func() {
 		w.linkFaults = slices.DeleteFunc(w.linkFaults, func(o *linkFault) bool { return o == active })
 	})
 }
 
-// Told sends a datagram from a node to another. Faults may lose, delay, duplicate or change it.
-func (w *World) Told(from, to int, payload []byte) {
+// SendDatagram sends a datagram from a node to another. Faults may lose, delay, duplicate or change it.
+func (w *World) SendDatagram(from, to int, payload []byte) {
 	w.run.Counts.Datagrams++
 	w.run.Counts.DatagramBytes += len(payload)
 	random := w.linkRand
@@ -76,9 +76,9 @@
 	if fromZone != toZone && (w.zoneLinks[fromZone].cuts > 0 || w.zoneLinks[toZone].cuts > 0) {
 		return
 	}
-	base := w.script.Network.SameZone.Us()
+	base := w.script.Network.SameZone.Microseconds()
 	if fromZone != toZone {
-		base = w.script.Network.CrossZone.Us() + w.zoneLinks[fromZone].addedDelay + w.zoneLinks[toZone].addedDelay
+		base = w.script.Network.CrossZone.Microseconds() + w.zoneLinks[fromZone].addedDelay + w.zoneLinks[toZone].addedDelay
 	}
 	jitter := w.script.Network.Jitter
 	copies, delay := 1, int64(float64(base)*(1-jitter+2*jitter*random.Float64()))
@@ -94,7 +94,7 @@
 				return
 			}
 		case "link_delay":
-			delay += int64(float64(fault.Delay.Us()) * (1 - fault.Size + 2*fault.Size*random.Float64()))
+			delay += int64(float64(fault.Delay.Microseconds()) * (1 - fault.Size + 2*fault.Size*random.Float64()))
 		case "link_twice":
 			if random.Float64() < fault.Size {
 				copies++
@@ -128,7 +128,7 @@
 func (w *World) deliverDatagram(from, to int, payload []byte, delay int64) {
 	w.after(max(delay, 1), func() {
 		if w.nodes[to].running {
-			w.player.Datagram(to, from, payload)
+			w.player.ReceiveDatagram(to, from, payload)
 		}
 	})
 }
--- a/rehearsal/fleet/net.go
+++ b/rehearsal/fleet/net.go
@@ -26,12 +26,12 @@
 
 // drawLatency draws the one-way delay of one message on a path, in microseconds.
 func (w *World) drawLatency(p path) int64 {
-	base := w.script.Network.SameZone.Us()
+	base := w.script.Network.SameZone.Microseconds()
 	switch {
 	case p.zone == noZone:
-		base = w.script.Network.Client.Us()
+		base = w.script.Network.Client.Microseconds()
 	case w.crossesZones(p):
-		base = w.script.Network.CrossZone.Us() + w.zoneLinks[p.zone].addedDelay + w.zoneLinks[w.nodes[p.node].zone].addedDelay
+		base = w.script.Network.CrossZone.Microseconds() + w.zoneLinks[p.zone].addedDelay + w.zoneLinks[w.nodes[p.node].zone].addedDelay
 	}
 	jitter := w.script.Network.Jitter
 	return max(int64(float64(base)*(1-jitter+2*jitter*w.networkRand.Float64())), 1)
@@ -54,7 +54,7 @@
 		at = max(at, d.lastArrival)
 	}
 	d.lastArrival, d.used = at, true
-	w.At(at, action)
+	w.Schedule(at, action)
 }
 
 // resumeAfterCut transmits what has waited for the end of a cut.
--- a/rehearsal/fleet/node_config.go
+++ b/rehearsal/fleet/node_config.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Conf is the configuration of a node's process. JSON is the text of its configuration file, which contains the others.
-type Conf struct {
-	Name      string
-	Listen    string // address for clients
-	Discovery string // address of discovery
-	Known     string // last list of hosts, in the format of discovery
-	Seed      uint64
-	Settings  string // JSON text
-	JSON      string
+// NodeConfig is the configuration of a node's process. JSON is the text of its configuration file, which contains the others.
+type NodeConfig struct {
+	Name       string
+	Listen     string // address for clients
+	Discovery  string // address of discovery
+	KnownHosts string // last list of hosts, in the format of discovery
+	Seed       uint64
+	Settings   string // JSON text
+	JSON       string
 }
 
 // nodeConfig returns the configuration for a new process of a node.
-func (w *World) nodeConfig(n *nodeState) Conf {
-	c := Conf{Name: n.name, Listen: n.name, Discovery: w.environment.Discovery(n.index, n.reloads%2),
+func (w *World) nodeConfig(n *nodeState) NodeConfig {
+	c := NodeConfig{Name: n.name, Listen: n.name, Discovery: w.environment.Discovery(n.index, n.reloads%2),
 		Seed: w.seed*0x9e3779b97f4a7c15 + uint64(n.index)*1000003 + uint64(n.starts)}
 	if w.environment.Listen != nil {
 		c.Listen = w.environment.Listen(n.index)
@@ -30,7 +30,7 @@
 			known = append(known, e)
 		}
 	}
-	c.Known = w.listJSON(n.index, n.revision, known, true)
+	c.KnownHosts = w.listJSON(n.index, n.revision, known, true)
 	c.Settings = w.settingsJSON(n)
 	admission := w.script.Node.Admission
 	if w.limitsJSON() != "" {
@@ -39,7 +39,7 @@
 	c.JSON = fmt.Sprintf(`{"name":%q,%s"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"admission":{"per_address":%d,"rate":%g,"burst":%g,"reserve":%d},"holding":{"buffers":%d,"idle_ms":%d,"stalled_ms":%d},"known":%s,"settings":%s}`,
 		c.Name, w.adminJSON(n.index)+w.clusterJSON(n.index), c.Listen, c.Discovery, c.Seed>>1, w.script.Node.MemoryMB, w.script.Node.Sockets, admission.PerAddress, admission.Rate, admission.Burst, admission.Reserve,
 		w.script.Node.Holding.Buffers, w.script.Node.Holding.Idle/1000, w.script.Node.Holding.Stalled/1000,
-		c.Known, c.Settings)
+		c.KnownHosts, c.Settings)
 	return c
 }
 
@@ -53,13 +53,13 @@
 
 // clusterJSON returns the member for the cluster of nodes with a comma after it, or nothing if it is off.
 func (w *World) clusterJSON(index int) string {
-	if !w.script.Cluster.On {
+	if !w.script.Cluster.Enabled {
 		return ""
 	}
-	if w.script.Cluster.Alone || w.environment.Links == nil || len(w.nodes) < 2 {
+	if w.script.Cluster.Isolated || w.environment.ClusterLinks == nil || len(w.nodes) < 2 {
 		return fmt.Sprintf(`"cluster":{"on":true%s},`, w.limitsJSON())
 	}
-	listen, others := w.environment.Links(index)
+	listen, others := w.environment.ClusterLinks(index)
 	text, _ := json.Marshal(others)
 	return fmt.Sprintf(`"cluster":{"on":true,"listen":%q,"nodes":%s%s},`, listen, text, w.limitsJSON())
 }
--- a/rehearsal/fleet/nodes.go
+++ b/rehearsal/fleet/nodes.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Ready reports that a node accepts connections. Health checks start.
-func (w *World) Ready(node int) {
+// NodeReady reports that a node accepts connections. Health checks start.
+func (w *World) NodeReady(node int) {
 	n := w.nodes[node]
 	if !n.running || n.listening {
 		return
@@ -75,7 +75,7 @@
 		w.closeNodeSide(c, true)
 		c.removed = true
 	}
-	w.after(w.script.FrontEnd.NoticeDelay.Us(), func() {
+	w.after(w.script.FrontEnd.NoticeDelay.Microseconds(), func() {
 		if !n.running {
 			n.inRotation = false
 		}
@@ -115,7 +115,7 @@
 	w.after(rotationDelay, func() { n.inRotation = n.inRotation && (n.starts != starts) })
 	longest := int64(0)
 	for _, t := range w.run.Types {
-		longest = max(longest, t.Timeout)
+		longest = max(longest, t.ConnectTimeout)
 	}
 	w.after(min(longest, maxDrainWait)+stopMargin, func() {
 		if n.starts == starts {
--- a/rehearsal/fleet/observe.go
+++ b/rehearsal/fleet/observe.go
@@ -48,7 +48,7 @@
 		w.observeConnect(c, data)
 	case c.Host >= 0 && c.client != nil && c.client.flow == c.flow:
 		if held := c.client.pendingToHost.forward(len(data), w.now); held > maxHoldTime {
-			c.flow.Add(record.Event{At: w.now, Kind: record.Held, Host: c.Host, Try: c.attempt, Text: "to the host", Value: held})
+			c.flow.AddEvent(record.Event{At: w.now, Kind: record.LineDelayed, Host: c.Host, Connect: c.attempt, Text: "to the host", Value: held})
 		}
 	case c.Host < 0:
 		w.observeAnswer(c, data)
@@ -66,7 +66,7 @@
 	}
 	for _, line := range bytes.Split(bytes.TrimSuffix(data, []byte("\n")), []byte("\n")) {
 		if c.finalSent {
-			c.clientFlow.Add(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: string(line)})
+			c.clientFlow.AddEvent(record.Event{At: w.now, Kind: record.Answered, Host: -1, Text: string(line)})
 		}
 		c.finalSent = true
 	}
@@ -83,7 +83,7 @@
 	c.flow, c.client, c.attempt = flow, w.clientByFlowID[id], flow.Connects
 	flow.Connects++
 	w.run.Counts.Connects++
-	flow.Add(record.Event{At: w.now, Kind: record.Sent, Host: c.Host, Try: c.attempt})
+	flow.AddEvent(record.Event{At: w.now, Kind: record.ConnectSent, Host: c.Host, Connect: c.attempt})
 }
 
 // observeForwarded examines data that a node sends a client, and records if it has been held too long.
@@ -97,7 +97,7 @@
 		n -= strings.IndexByte(string(data), '\n') + 1
 	}
 	if held := cl.pendingToClient.forward(n, cl.world.now); held > maxHoldTime {
-		cl.flow.Add(record.Event{At: cl.world.now, Kind: record.Held, Host: -1, Text: "to the client", Value: held})
+		cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.LineDelayed, Host: -1, Text: "to the client", Value: held})
 	}
 }
 
@@ -105,11 +105,11 @@
 // client of the end of its flow too late.
 func (w *World) observeNodeClose(c *Conn) {
 	if c.flow != nil {
-		c.flow.Add(record.Event{At: w.now, Kind: record.Stopped, Host: c.Host, Try: c.attempt})
+		c.flow.AddEvent(record.Event{At: w.now, Kind: record.NodeClosed, Host: c.Host, Connect: c.attempt})
 		return
 	}
 	if cl, ok := c.peer.(*client); ok && cl.conn == c && cl.hostEndAt > 0 && w.now-cl.hostEndAt > maxHoldTime {
-		cl.flow.Add(record.Event{At: w.now, Kind: record.Unended, Host: -1, Value: w.now - cl.hostEndAt})
+		cl.flow.AddEvent(record.Event{At: w.now, Kind: record.CloseDelayed, Host: -1, Value: w.now - cl.hostEndAt})
 		cl.hostEndAt = 0
 	}
 }
@@ -119,7 +119,7 @@
 	if c.flow == nil {
 		return
 	}
-	c.flow.Add(record.Event{At: w.now, Kind: record.Lost, Host: c.Host, Try: c.attempt})
+	c.flow.AddEvent(record.Event{At: w.now, Kind: record.HostClosed, Host: c.Host, Connect: c.attempt})
 	if cl := c.client; cl.flow == c.flow && cl.upSent && cl.hostEndAt == 0 {
 		cl.hostEndAt = w.now
 	}
@@ -128,9 +128,9 @@
 // recordInvalidLine records a line that a host cannot use.
 func (w *World) recordInvalidLine(hc *hostConn, reason string) {
 	if hc.flow != nil {
-		hc.flow.Add(record.Event{At: w.now, Kind: record.Nonsense, Host: hc.Host, Try: hc.attempt, Text: reason})
+		hc.flow.AddEvent(record.Event{At: w.now, Kind: record.InvalidLine, Host: hc.Host, Connect: hc.attempt, Text: reason})
 		return
 	}
-	w.run.Strange = append(w.run.Strange, fmt.Sprintf("%.6f s: n-%d sent h-%d what no client sent: %.80s",
+	w.run.UnknownLines = append(w.run.UnknownLines, fmt.Sprintf("%.6f s: n-%d sent h-%d what no client sent: %.80s",
 		float64(w.now)/1e6, hc.Node, hc.Host, reason))
 }
--- a/rehearsal/fleet/world.go
+++ b/rehearsal/fleet/world.go
@@ -13,23 +13,23 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// Places holds the addresses of a run and the time of its start. In virtual time addresses are names, on sockets they
+// Environment holds the addresses of a run and the time of its start. In virtual time addresses are names, on sockets they
 // are addresses in 127.0.0.0/8.
-type Places struct {
-	Listen    func(node int) string                           // address at which clients reach a node; nil: the node's name
-	Host      func(node, host int) string                     // address at which a node reaches a host; nil: the same for all nodes
-	Admin     func(node int) string                           // address at which operators reach a node; nil: none
-	Links     func(node int) (listen string, others []string) // addresses of a node's links with the other nodes; nil if they have none
-	Discovery func(node, which int) string                    // the two addresses of discovery; a reload switches between them
-	Epoch     int64                                           // time of day at the start, in microseconds since 1970
-	Lead      int64                                           // time for the nodes to start before the run, in microseconds; a multiple of 100 ms
+type Environment struct {
+	Listen       func(node int) string                           // address at which clients reach a node; nil: the node's name
+	Host         func(node, host int) string                     // address at which a node reaches a host; nil: the same for all nodes
+	Admin        func(node int) string                           // address at which operators reach a node; nil: none
+	ClusterLinks func(node int) (listen string, others []string) // addresses of a node's links with the other nodes; nil if they have none
+	Discovery    func(node, which int) string                    // the two addresses of discovery; a reload switches between them
+	Epoch        int64                                           // time of day at the start, in microseconds since 1970
+	LeadTime     int64                                           // time for the nodes to start before the run, in microseconds; a multiple of 100 ms
 }
 
 // World is one rehearsal with everything around its nodes.
 type World struct {
 	script      *scenario.Script
 	player      NodePlayer
-	environment Places
+	environment Environment
 	seed        uint64
 	epoch       int64
 	now         int64
@@ -65,16 +65,16 @@
 }
 
 // New sets up a rehearsal of a script. Begin starts it.
-func New(s *scenario.Script, seed uint64, player NodePlayer, environment Places) *World {
+func New(s *scenario.Script, seed uint64, player NodePlayer, environment Environment) *World {
 	w := &World{script: s, player: player, environment: environment, seed: seed, epoch: environment.Epoch, hostByAddress: map[string]*host{},
 		flowByID: map[string]*record.Flow{}, clientByFlowID: map[string]*client{}, zoneLinks: make([]zoneLink, len(s.Zones)),
-		now: -environment.Lead, nodesByZone: make([][]*nodeState, len(s.Zones)), demandByType: make([]float64, len(s.Types)), storeSlowdown: 1}
+		now: -environment.LeadTime, nodesByZone: make([][]*nodeState, len(s.Zones)), demandByType: make([]float64, len(s.Types)), storeSlowdown: 1}
 	w.networkRand, w.badClientRand, w.demandRand = w.newRand(randNetwork), w.newRand(randBadClients), w.newRand(randDemand)
 	w.linkRand = w.newRand(randLinks)
-	w.run = &record.Run{Script: s.Name, Seed: seed, Length: s.Length.Us(), Grace: s.Node.DrainGrace.Us(), Multiple: s.Fleet.FallMultiple}
+	w.run = &record.Run{Script: s.Name, Seed: seed, Length: s.Length.Microseconds(), DrainGrace: s.Node.DrainGrace.Microseconds(), CollapseMultiple: s.Fleet.FallMultiple}
 	for _, t := range s.Types {
-		w.run.Types = append(w.run.Types, record.Type{Name: t.Name, Target: t.SetupTarget.Us(), Timeout: t.ConnectTimeout.Us(),
-			Message: t.MessageTarget.Us(), Benefit: t.Benefit, Effect: t.Effect, Scope: t.Scope, Window: t.Window.Us()})
+		w.run.Types = append(w.run.Types, record.ServiceType{Name: t.Name, SetupTarget: t.SetupTarget.Microseconds(), ConnectTimeout: t.ConnectTimeout.Microseconds(),
+			MessageTarget: t.MessageTarget.Microseconds(), Benefit: t.Benefit, Effect: t.Effect, Scope: t.Scope, Window: t.Window.Microseconds()})
 	}
 	shares := 0.0
 	for _, t := range s.Types {
@@ -110,7 +110,7 @@
 			}
 			if g.BootAt > 0 {
 				h.state, h.listed = hostAbsent, ""
-				w.At(g.BootAt.Us(), func() { w.startAbsentHost(h) })
+				w.Schedule(g.BootAt.Microseconds(), func() { w.startAbsentHost(h) })
 			}
 			w.hosts = append(w.hosts, h)
 			w.hostByAddress[h.address] = h
@@ -159,10 +159,10 @@
 	}
 	for i := range w.script.Faults {
 		fault := &w.script.Faults[i]
-		w.At(fault.At.Us(), func() { w.injectFault(fault) })
+		w.Schedule(fault.At.Microseconds(), func() { w.injectFault(fault) })
 	}
 	w.scheduleDemand()
-	w.after(w.script.Discovery.UpdatePeriod.Us(), w.discoveryTick)
+	w.after(w.script.Discovery.UpdatePeriod.Microseconds(), w.discoveryTick)
 	w.after(tickInterval, w.tick)
 }
 
@@ -170,7 +170,7 @@
 func (w *World) discoveryTick() {
 	w.discovery.sendUpdates()
 	w.applyMissedUpdates()
-	w.after(w.script.Discovery.UpdatePeriod.Us(), w.discoveryTick)
+	w.after(w.script.Discovery.UpdatePeriod.Microseconds(), w.discoveryTick)
 }
 
 // tick updates all hosts, accounts for the service of the last interval and schedules itself again.
@@ -190,14 +190,14 @@
 
 // addService adds the benefit wanted and served during a tick to the current second.
 func (w *World) addService(tickSeconds float64) {
-	if w.currentSecond.Wanted == nil {
-		w.currentSecond = record.Second{Wanted: make([]float64, len(w.script.Types)), Served: make([]float64, len(w.script.Types))}
+	if w.currentSecond.Requested == nil {
+		w.currentSecond = record.Second{Requested: make([]float64, len(w.script.Types)), Served: make([]float64, len(w.script.Types))}
 	}
 	for t, serviceType := range w.script.Types {
-		w.currentSecond.Wanted[t] += w.demandByType[t] * serviceType.Benefit * tickSeconds
+		w.currentSecond.Requested[t] += w.demandByType[t] * serviceType.Benefit * tickSeconds
 		for _, h := range w.hosts {
 			if h.clientsByType[t] > 0 {
-				w.currentSecond.Served[t] += h.clientsByType[t] * serviceType.Benefit * tickSeconds * h.messageQuality(serviceType.MessageTarget.Us())
+				w.currentSecond.Served[t] += h.clientsByType[t] * serviceType.Benefit * tickSeconds * h.messageQuality(serviceType.MessageTarget.Microseconds())
 			}
 		}
 	}
@@ -209,22 +209,22 @@
 	w.currentSecond = record.Second{}
 	for _, h := range w.hosts {
 		result := &w.run.Hosts[h.index]
-		result.Most, result.ColdMay = h.peakColdRatio, h.coldAllowance()
+		result.PeakColdLoad, result.ColdAllowed = h.peakColdRatio, h.coldAllowance()
 		result.Load = append(result.Load, h.load/max(h.coreRate()*h.cores, 1))
 	}
 }
 
-// End returns the time by which the last answer must have arrived, in microseconds from the start of the run.
-func (w *World) End() int64 {
-	longest := scenario.Span(0)
+// AnswerDeadline returns the time by which the last answer must have arrived, in microseconds from the start of the run.
+func (w *World) AnswerDeadline() int64 {
+	longest := scenario.Duration(0)
 	for _, t := range w.script.Types {
 		longest = max(longest, t.ConnectTimeout)
 	}
-	return w.run.Length + longest.Us() + second
+	return w.run.Length + longest.Microseconds() + second
 }
 
-// Run closes the record of the run and returns it.
-func (w *World) Run() *record.Run {
+// Record closes the record of the run and returns it.
+func (w *World) Record() *record.Run {
 	if !w.recordClosed {
 		w.recordClosed = true
 		for _, cl := range w.clients {
@@ -237,7 +237,7 @@
 // callStore calls the store, a service that each set-up needs, and runs done after the call. The store serves one call
 // after another.
 func (w *World) callStore(done func()) {
-	wait := w.script.Store.CallTime.Us()
+	wait := w.script.Store.CallTime.Microseconds()
 	w.storeBusyUntil = max(w.storeBusyUntil, w.now) + int64(1e6/w.script.Store.CallRate*w.storeSlowdown)
-	w.At(w.storeBusyUntil+int64(float64(wait)*w.storeSlowdown), done)
+	w.Schedule(w.storeBusyUntil+int64(float64(wait)*w.storeSlowdown), done)
 }
--- a/rehearsal/live/cluster_test.go
+++ b/rehearsal/live/cluster_test.go
@@ -35,7 +35,7 @@
 			t.Logf("%s: %.2f of the best from second %d to %d", where, got, l.from, l.to)
 		}
 	}
-	if sent, allowed, worst := r.Cold(); worst > 1 || float64(sent) < 0.25*allowed {
+	if sent, allowed, worst := r.ColdTotals(); worst > 1 || float64(sent) < 0.25*allowed {
 		t.Errorf("%s: cold hosts got %d connects of %.0f allowed, the worst interval had %.2f of what overloads one", where, sent,
 			allowed, worst)
 	} else if allowed > 0 {
@@ -52,7 +52,7 @@
 // late themselves, or if nodes have no core for a tenth of their time.
 func playOverload(t *testing.T, nodes int, want []minServed, changes ...string) (*record.Run, *nodeMetrics) {
 	t.Helper()
-	s, err := scenario.LoadWith("fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\"",
+	s, err := scenario.LoadWithOverrides("fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\"",
 		"length=\"24s\""}, changes...))
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 		seen.bySecond[at/1_000_000] = all
 	}
 	r := playLive(t, s, Options{Program: program, MaxDelayP99: 1000, MaxCPUWaitShare: 0.1, OnSecond: onSecond})
-	checkServed(t, "live, "+r.Late, s, r, want)
+	checkServed(t, "live, "+r.LatenessText, s, r, want)
 	return r, seen
 }
 
@@ -88,10 +88,10 @@
 	for _, sec := range r.Seconds[from:to] {
 		wanted := make([]float64, len(s.Types))
 		for t, k := range s.Types {
-			wanted[t] = sec.Wanted[t] / k.Benefit
+			wanted[t] = sec.Requested[t] / k.Benefit
 			served += sec.Served[t]
 		}
-		best += fleet.Best(s, wanted)
+		best += fleet.MaxBenefitRate(s, wanted)
 	}
 	return served / best
 }
@@ -139,7 +139,7 @@
 			}
 		}
 	})
-	if per := r.Sum().PerFlow; per > 1.1 {
+	if per := r.Summarize().ConnectsPerFlow; per > 1.1 {
 		t.Errorf("%.2f connects a flow", per)
 	}
 }
--- a/rehearsal/live/limits_test.go
+++ b/rehearsal/live/limits_test.go
@@ -23,7 +23,7 @@
 // under the name of one. The same is played in virtual time, where no machine lacks cores. Available limits are tested there
 // only, in package virtual.
 func TestFleetLimitsOfProcesses(t *testing.T) {
-	s, err := scenario.LoadWith("one-address", []string{"length=\"22s\"", "nodes=[{count=8}]", "node.sockets=1024", "cluster.on=true",
+	s, err := scenario.LoadWithOverrides("one-address", []string{"length=\"22s\"", "nodes=[{count=8}]", "node.sockets=1024", "cluster.on=true",
 		fmt.Sprintf("node.admission={rate=%d.0,burst=%d.0}", addressRate, addressBurst),
 		`demand.loops=[{at="2s",for="20s",count=16,one_address=true,type="loop"}]`, "cluster.strict=true",
 		fmt.Sprintf(`cluster.limits=[{over="type",of="view",at_once=%d,promise="strict"}]`, viewLimit),
@@ -43,7 +43,7 @@
 		checkLimits(t, fmt.Sprintf("in virtual time, seed %d", seed+1), r, true)
 	}
 	r := playLive(t, s, Options{Program: program})
-	checkLimits(t, "live, "+r.Late, r, r.Waited <= maxWaitForUse)
+	checkLimits(t, "live, "+r.LatenessText, r, r.CPUWaitShare <= maxWaitForUse)
 }
 
 // checkLimits checks that neither limit is exceeded, whatever fails. If the machine let the nodes run, both must be used.
@@ -51,18 +51,18 @@
 	t.Helper()
 	var all []int64
 	for _, f := range r.Flows {
-		if outcome, at := f.Answer(); f.Load == 0.01 && outcome == "established" {
+		if outcome, at := f.Outcome(); f.Load == 0.01 && outcome == "established" {
 			all = append(all, at)
 		}
 	}
-	views := r.AtOnce(maxAnswerDelay, func(f *record.Flow) string { return r.Types[f.Type].Name })["view"]
+	views := r.PeakConcurrent(maxAnswerDelay, func(f *record.Flow) string { return r.Types[f.ServiceType].Name })["view"]
 	if views > viewLimit || used && views < viewLimit/2 { // 16 are reached with all these faults
 		t.Errorf("%s: %d concurrent flows of a type, %d allowed", where, views, viewLimit)
 	}
 	l, most := limits.Limit{Rate: addressRate, Burst: addressBurst, Strict: true}, -1e9
 	for i := range all {
 		for j := i; j < len(all); j++ {
-			most = max(most, float64(j-i+1)-l.Most(8, all[j]-all[i]+maxAnswerDelay))
+			most = max(most, float64(j-i+1)-l.MaxAdmitted(8, all[j]-all[i]+maxAnswerDelay))
 		}
 	}
 	if most > 0 || used && len(all) < 150 {
--- a/rehearsal/live/links.go
+++ b/rehearsal/live/links.go
@@ -87,7 +87,7 @@
 			continue // the receiver does not listen
 		}
 		d := append([]byte(nil), b[:n]...)
-		r.player.post(func() { r.player.world.Told(r.from, r.to, d) })
+		r.player.post(func() { r.player.world.SendDatagram(r.from, r.to, d) })
 	}
 }
 
@@ -101,16 +101,16 @@
 	}
 }
 
-// Datagram delivers a datagram of another node.
-func (p *player) Datagram(no, from int, d []byte) {
+// ReceiveDatagram delivers a datagram of another node.
+func (p *player) ReceiveDatagram(no, from int, d []byte) {
 	receiver, err := net.ResolveUDPAddr("udp4", p.nodes[no].linkAddr)
 	if err == nil {
 		p.relays[no][from].udp.WriteToUDP(d, receiver)
 	}
 }
 
-// Pause stops a node's process or lets it go on.
-func (p *player) Pause(no int, on bool) {
+// SetPaused stops a node's process or lets it go on.
+func (p *player) SetPaused(no int, on bool) {
 	if on {
 		p.nodes[no].signal(syscall.SIGSTOP)
 	} else {
@@ -118,20 +118,20 @@
 	}
 }
 
-// Clock fails: a process's own clock cannot be changed from outside.
-func (p *player) Clock(int, int64, float64) {
+// AdjustClock fails: a process's own clock cannot be changed from outside.
+func (p *player) AdjustClock(int, int64, float64) {
 	p.fail(fmt.Errorf("clocks can be changed in virtual time only"))
 }
 
 // duplicateConfig returns the configuration file of a second process. It listens on another address and has none for
 // operators.
-func (n *process) duplicateConfig(conf fleet.Conf, listen string) string {
+func (n *process) duplicateConfig(conf fleet.NodeConfig, listen string) string {
 	text := strings.Replace(conf.JSON, strconv.Quote(conf.Listen), strconv.Quote(listen), 1)
 	return strings.Replace(text, `"admin":`+strconv.Quote(n.adminAddr)+",", "", 1)
 }
 
-// Twin starts or ends a second process under a node's name and with its address for links. It has no clients.
-func (p *player) Twin(no int, conf fleet.Conf, on bool) {
+// SetDuplicate starts or ends a second process under a node's name and with its address for links. It has no clients.
+func (p *player) SetDuplicate(no int, conf fleet.NodeConfig, on bool) {
 	n := p.nodes[no]
 	if t := n.duplicate; t != nil {
 		t.Process.Kill()
--- a/rehearsal/live/live.go
+++ b/rehearsal/live/live.go
@@ -108,25 +108,25 @@
 	}
 	defer p.cleanUp()
 	p.startTime = time.Now().Add(time.Duration(leadTime) * time.Microsecond)
-	p.world = fleet.New(s, seed, p, fleet.Places{
+	p.world = fleet.New(s, seed, p, fleet.Environment{
 		Listen:    func(n int) string { return p.nodes[n].addr },
 		Host:      func(n, h int) string { return p.hostListeners[n][h].addr },
 		Discovery: func(n, which int) string { return p.discoveryListeners[n][which].addr },
-		Admin:     p.adminFunc(), Links: p.linksFunc(), Epoch: p.startTime.UnixMicro(), Lead: leadTime})
+		Admin:     p.adminFunc(), ClusterLinks: p.linksFunc(), Epoch: p.startTime.UnixMicro(), LeadTime: leadTime})
 	p.serveAll()
 	p.world.Begin()
 	if opt.testHook != nil {
 		opt.testHook(p)
 	}
 	p.startWatching()
-	ready := p.playUntil(-100_000) && p.world.AllReady()
+	ready := p.playUntil(-100_000) && p.world.AllInRotation()
 	if p.err == nil && !ready {
 		p.err = errors.New("not every node answered PING in time: " + p.logTail())
 	}
 	if p.err == nil {
-		p.playUntil(p.world.End())
+		p.playUntil(p.world.AnswerDeadline())
 	}
-	run := p.world.Run()
+	run := p.world.Record()
 	for _, n := range p.nodes {
 		run.NodeCPU = append(run.NodeCPU, n.cpuSeconds())
 	}
@@ -176,7 +176,7 @@
 		}
 		p.discoveryListeners = append(p.discoveryListeners, discovery)
 	}
-	if s.Cluster.On && !s.Cluster.Alone && s.NodeCount() > 1 {
+	if s.Cluster.Enabled && !s.Cluster.Isolated && s.NodeCount() > 1 {
 		return p.openRelays()
 	}
 	return nil
@@ -239,7 +239,7 @@
 			return true
 		}
 		wait := until - now
-		if next, ok := p.world.Next(); ok {
+		if next, ok := p.world.NextEventAt(); ok {
 			wait = min(wait, max(next-p.now(), 0))
 		}
 		if task := p.nextTask(now + wait); task != nil {
@@ -279,7 +279,7 @@
 
 // advance plays the events that are due and records how late they are.
 func (p *player) advance(now int64) {
-	if next, ok := p.world.Next(); ok && next <= now && now > 0 {
+	if next, ok := p.world.NextEventAt(); ok && next <= now && now > 0 {
 		p.delays.RecordValue(max(now-next, 1))
 	}
 	p.world.Advance(now)
@@ -288,19 +288,19 @@
 // checkMachine marks the run as void if the machine, and not the nodes, was late.
 func (p *player) checkMachine(r *record.Run) {
 	p99, highest, limit := p.delays.ValueAtQuantile(99), p.delays.Max(), cmp.Or(p.options.MaxDelayP99, maxDelayP99)
-	r.Waited = p.cpuWaitShare()
-	r.Late = fmt.Sprintf("the fleet's events ran late by %.2f ms at the median, %.2f at 99 %%, %.1f at worst; "+
+	r.CPUWaitShare = p.cpuWaitShare()
+	r.LatenessText = fmt.Sprintf("the fleet's events ran late by %.2f ms at the median, %.2f at 99 %%, %.1f at worst; "+
 		"nodes waited for a core for %.3f of their time",
-		float64(p.delays.ValueAtQuantile(50))/1000, float64(p99)/1000, float64(highest)/1000, r.Waited)
+		float64(p.delays.ValueAtQuantile(50))/1000, float64(p99)/1000, float64(highest)/1000, r.CPUWaitShare)
 	if p99 > limit || highest > maxDelay {
-		r.Void = fmt.Sprintf("the machine ran late: 99%% of the fleet's events within %.1f ms, worst %d ms (%.1f and %d allowed)",
+		r.VoidReason = fmt.Sprintf("the machine ran late: 99%% of the fleet's events within %.1f ms, worst %d ms (%.1f and %d allowed)",
 			float64(p99)/1000, highest/1000, float64(limit)/1000, maxDelay/1000)
 	} else if share := p.lateReports.share(); share > maxLateShare && !p.scriptStarves {
-		r.Void = fmt.Sprintf("the machine starved the nodes: late by their own word in %.2f of their seconds (%.2f allowed)",
+		r.VoidReason = fmt.Sprintf("the machine starved the nodes: late by their own word in %.2f of their seconds (%.2f allowed)",
 			share, maxLateShare)
-	} else if limit := cmp.Or(p.options.MaxCPUWaitShare, maxCPUWaitShare); r.Waited > limit {
-		r.Void = fmt.Sprintf("the machine starved the nodes: they waited for a core for %.2f of their time (%.2f allowed)",
-			r.Waited, limit)
+	} else if limit := cmp.Or(p.options.MaxCPUWaitShare, maxCPUWaitShare); r.CPUWaitShare > limit {
+		r.VoidReason = fmt.Sprintf("the machine starved the nodes: they waited for a core for %.2f of their time (%.2f allowed)",
+			r.CPUWaitShare, limit)
 	}
 }
 
--- a/rehearsal/live/live_test.go
+++ b/rehearsal/live/live_test.go
@@ -104,15 +104,15 @@
 func playLive(t *testing.T, s *scenario.Script, opt Options) *record.Run {
 	t.Helper()
 	r, err := Play(s, opt)
-	if err == nil && r.Void != "" {
-		t.Log(r.Void)
+	if err == nil && r.VoidReason != "" {
+		t.Log(r.VoidReason)
 		r, err = Play(s, opt)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Void != "" {
-		t.Skip(r.Void)
+	if r.VoidReason != "" {
+		t.Skip(r.VoidReason)
 	}
 	for _, b := range rules.Check(r) {
 		t.Error(b.Report(r))
@@ -127,7 +127,7 @@
 	r := playLive(t, load(t, script), Options{Program: program, Capture: dir, Logs: filepath.Join(dir, "logs")})
 	atEnd := map[int]int{}
 	for _, f := range r.Flows {
-		if outcome, at := f.Answer(); outcome == "established" && at > 4_800_000 {
+		if outcome, at := f.Outcome(); outcome == "established" && at > 4_800_000 {
 			atEnd[f.Node]++
 		}
 	}
@@ -166,13 +166,13 @@
 func TestLateMachineVoidsRun(t *testing.T) {
 	s := load(t, strings.Replace(script[:strings.Index(script, "[[faults]]")], "6s", "2s", 1))
 	r, err := Play(s, Options{Program: program, testHook: func(p *player) {
-		p.world.At(1_000_000, func() { time.Sleep(2 * maxDelay * time.Microsecond) })
+		p.world.Schedule(1_000_000, func() { time.Sleep(2 * maxDelay * time.Microsecond) })
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(r.Void, "the machine ran late") {
-		t.Errorf("void: %q, late: %s", r.Void, r.Late)
+	if !strings.Contains(r.VoidReason, "the machine ran late") {
+		t.Errorf("void: %q, late: %s", r.VoidReason, r.LatenessText)
 	}
 }
 
@@ -192,17 +192,17 @@
 			metrics(1)
 		}, testHook: func(p *player) {
 			if late = &p.lateReports; !byScript {
-				p.world.At(500_000, func() { p.Starve(0, 0.6); p.Starve(1, 0.6) })
+				p.world.Schedule(500_000, func() { p.SetStarvation(0, 0.6); p.SetStarvation(1, 0.6) })
 			}
 		}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Contains(r.Void, "ran late") {
-			t.Skip(r.Void) // the machine was late besides, which hides the cause under test
+		if strings.Contains(r.VoidReason, "ran late") {
+			t.Skip(r.VoidReason) // the machine was late besides, which hides the cause under test
 		}
-		if void := strings.Contains(r.Void, "starved the nodes"); void == byScript || late.share() <= maxLateShare {
-			t.Errorf("starved by the script %t: void %q, nodes late in %.2f of their seconds", byScript, r.Void, late.share())
+		if void := strings.Contains(r.VoidReason, "starved the nodes"); void == byScript || late.share() <= maxLateShare {
+			t.Errorf("starved by the script %t: void %q, nodes late in %.2f of their seconds", byScript, r.VoidReason, late.share())
 		}
 	}
 }
@@ -220,11 +220,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if strings.Contains(r.Void, "ran late") {
-			t.Skip(r.Void) // the machine was late besides, which hides the cause under test
+		if strings.Contains(r.VoidReason, "ran late") {
+			t.Skip(r.VoidReason) // the machine was late besides, which hides the cause under test
 		}
-		if void := strings.Contains(r.Void, "waited for a core"); void != busy {
-			t.Errorf("busy %t: void %q, %s", busy, r.Void, r.Late)
+		if void := strings.Contains(r.VoidReason, "waited for a core"); void != busy {
+			t.Errorf("busy %t: void %q, %s", busy, r.VoidReason, r.LatenessText)
 		}
 	}
 }
@@ -293,7 +293,7 @@
 	if n := strings.Count(string(log), "skipped"); n > 0 {
 		t.Errorf("%d hosts skipped:\n%s", n, log)
 	}
-	if a := r.Sum().Answers; a["established"] < len(r.Flows)-1 {
+	if a := r.Summarize().Answers; a["established"] < len(r.Flows)-1 {
 		t.Errorf("answers %v", a)
 	}
 }
--- a/rehearsal/live/process.go
+++ b/rehearsal/live/process.go
@@ -53,7 +53,7 @@
 }
 
 // Start writes a node's configuration file and starts its process.
-func (p *player) Start(no int, conf fleet.Conf) {
+func (p *player) Start(no int, conf fleet.NodeConfig) {
 	n := p.nodes[no]
 	if err := os.WriteFile(n.configFile, n.configText(conf), 0o600); err != nil {
 		p.fail(err)
@@ -82,14 +82,14 @@
 		p.post(func() {
 			if n.generation == generation && n.cmd == cmd {
 				n.cmd = nil
-				p.world.Exited(no, fmt.Sprint(err))
+				p.world.NodeExited(no, fmt.Sprint(err))
 			}
 		})
 	}()
 	go n.awaitListening(exited, func() {
 		p.post(func() {
 			if n.generation == generation {
-				p.world.Ready(no)
+				p.world.NodeReady(no)
 			}
 		})
 	})
@@ -97,7 +97,7 @@
 }
 
 // configText returns the node's configuration file. Each generation has a capture file of its own.
-func (n *process) configText(conf fleet.Conf) []byte {
+func (n *process) configText(conf fleet.NodeConfig) []byte {
 	if n.player.options.Capture == "" {
 		return []byte(conf.JSON)
 	}
@@ -152,7 +152,7 @@
 func (p *player) Stop(no int) { p.nodes[no].signal(syscall.SIGTERM) }
 
 // Reload replaces a node's configuration file and lets the node read it.
-func (p *player) Reload(no int, conf fleet.Conf) {
+func (p *player) Reload(no int, conf fleet.NodeConfig) {
 	n := p.nodes[no]
 	if err := os.WriteFile(n.configFile+".new", n.configText(conf), 0o600); err != nil {
 		p.fail(err)
@@ -168,8 +168,8 @@
 // starvePeriod is the period in which a starved process is stopped and continued once.
 const starvePeriod = 20 * time.Millisecond
 
-// Starve takes a share of a node's time, by stopping its process for that share of each period.
-func (p *player) Starve(no int, share float64) {
+// SetStarvation takes a share of a node's time, by stopping its process for that share of each period.
+func (p *player) SetStarvation(no int, share float64) {
 	p.nodes[no].starvedShare = share
 	p.nodes[no].applyStarvation()
 }
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -39,7 +39,7 @@
 			}
 			s := &socket{player: g.player, tcp: c.(*net.TCPConn), connected: true}
 			g.player.post(func() {
-				s.conn = g.player.world.Dialed(g.node, g.addr, s)
+				s.conn = g.player.world.Dial(g.node, g.addr, s)
 				s.startReading()
 			})
 		}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Listening closes the listeners of a dead host, so that connects to it are refused, and opens them again.
-func (p *player) Listening(host int, listening bool) {
+// SetListening closes the listeners of a dead host, so that connects to it are refused, and opens them again.
+func (p *player) SetListening(host int, listening bool) {
 	for n := range p.hostListeners {
 		g := p.hostListeners[n][host]
 		switch {
@@ -90,18 +90,18 @@
 	closeWhenSent bool   // close the sending side when the queue is empty
 }
 
-// Arrive opens a client's connection.
-func (p *player) Arrive(c *fleet.Conn) bool {
+// Accept opens a client's connection.
+func (p *player) Accept(c *fleet.Conn) bool {
 	s := &socket{player: p, conn: c}
-	c.Ref = s
+	c.PlayerState = s
 	addr := p.nodes[c.Node].addr
 	go func() {
-		d := net.Dialer{Timeout: 5 * time.Second, LocalAddr: &net.TCPAddr{IP: c.From.Addr().AsSlice()}}
+		d := net.Dialer{Timeout: 5 * time.Second, LocalAddr: &net.TCPAddr{IP: c.ClientAddress.Addr().AsSlice()}}
 		got, err := d.Dial("tcp", addr)
 		p.post(func() {
 			if err != nil {
 				s.closed = true
-				p.world.Broke(c)
+				p.world.Reset(c)
 				return
 			}
 			s.tcp = got.(*net.TCPConn)
@@ -127,7 +127,7 @@
 			b := make([]byte, 16<<10)
 			n, err := c.Read(b)
 			if n > 0 {
-				p.post(func() { p.world.Wrote(s.conn, b[:n]) })
+				p.post(func() { p.world.Write(s.conn, b[:n]) })
 			}
 			if err != nil {
 				p.post(func() { s.handleReadError(err) })
@@ -141,16 +141,16 @@
 func (s *socket) handleReadError(err error) {
 	s.readClosed = true
 	if !errors.Is(err, io.EOF) {
-		s.player.world.Broke(s.conn)
+		s.player.world.Reset(s.conn)
 		s.close()
 		return
 	}
 	if s.writeEnded {
-		s.player.world.Closed(s.conn)
+		s.player.world.Close(s.conn)
 		s.close()
 		return
 	}
-	s.player.world.Shut(s.conn)
+	s.player.world.CloseWrite(s.conn)
 }
 
 // close closes the connection.
@@ -164,15 +164,15 @@
 	}
 }
 
-// Up does nothing: the operating system has accepted the connection already.
-func (p *player) Up(*fleet.Conn) {}
+// Connected does nothing: the operating system has accepted the connection already.
+func (p *player) Connected(*fleet.Conn) {}
 
 // Refused resets a connection that the world refuses, since the operating system has accepted it already.
-func (p *player) Refused(c *fleet.Conn) { p.Broken(c) }
+func (p *player) Refused(c *fleet.Conn) { p.Reset(c) }
 
-// Bytes sends bytes to the node.
-func (p *player) Bytes(c *fleet.Conn, b []byte) {
-	s, ok := c.Ref.(*socket)
+// Receive sends bytes to the node.
+func (p *player) Receive(c *fleet.Conn, b []byte) {
+	s, ok := c.PlayerState.(*socket)
 	if !ok || s.closed || s.writeEnded {
 		return
 	}
@@ -237,15 +237,15 @@
 	}
 }
 
-// End closes the sending side of the world's side of a connection, and the connection if the node's side is closed too.
-func (p *player) End(c *fleet.Conn) {
-	s, ok := c.Ref.(*socket)
+// PeerClosed closes the sending side of the world's side of a connection, and the connection if the node's side is closed too.
+func (p *player) PeerClosed(c *fleet.Conn) {
+	s, ok := c.PlayerState.(*socket)
 	if !ok || s.closed || s.writeEnded {
 		return // the client left before it was connected
 	}
 	s.writeEnded = true
 	if s.readClosed {
-		s.player.world.Closed(c)
+		s.player.world.Close(c)
 		s.mu.Lock()
 		unsent := len(s.queue) > 0 || s.writing
 		s.closeWhenSent = true
@@ -261,9 +261,9 @@
 	s.flush()
 }
 
-// Broken resets a connection.
-func (p *player) Broken(c *fleet.Conn) {
-	s, ok := c.Ref.(*socket)
+// Reset resets a connection.
+func (p *player) Reset(c *fleet.Conn) {
+	s, ok := c.PlayerState.(*socket)
 	if !ok {
 		return
 	}
--- a/rehearsal/record/held.go
+++ b/rehearsal/record/held.go
@@ -13,13 +13,13 @@
 		switch e.Kind {
 		case Answered:
 			from = e.At
-		case Left, Cut, Moved, Lost, Stopped, NodeKilled:
+		case ClientLeft, Disconnected, Moved, HostClosed, NodeClosed, NodeKilled:
 			if from > 0 {
 				to = min(to, e.At-late)
 			}
 		}
 	}
-	for _, s := range r.Stills {
+	for _, s := range r.Pauses {
 		if s.Node == f.Node && s.From > from {
 			to = min(to, s.From)
 		}
@@ -27,9 +27,9 @@
 	return from, to
 }
 
-// AtOnce returns, by key, the highest number of flows that were established at the same time. A client may see the end of
+// PeakConcurrent returns, by key, the highest number of flows that were established at the same time. A client may see the end of
 // its flow up to late microseconds after its node.
-func (r *Run) AtOnce(late int64, key func(f *Flow) string) map[string]int {
+func (r *Run) PeakConcurrent(late int64, key func(f *Flow) string) map[string]int {
 	type change struct {
 		at  int64
 		by  int
@@ -37,7 +37,7 @@
 	}
 	var changes []change
 	for _, f := range r.Flows {
-		if outcome, _ := f.Answer(); outcome != "established" {
+		if outcome, _ := f.Outcome(); outcome != "established" {
 			continue
 		}
 		if from, to := r.heldInterval(f, late); to > from {
@@ -53,12 +53,12 @@
 	return highest
 }
 
-// Cold returns the connects that all hosts that came back got while they were cold, the connects that the rule would have
+// ColdTotals returns the connects that all hosts that came back got while they were cold, the connects that the rule would have
 // allowed, and the load of the worst interval as a share of what overloads a cold host.
-func (r *Run) Cold() (sent int, allowed, worst float64) {
+func (r *Run) ColdTotals() (sent int, allowed, worst float64) {
 	for _, h := range r.Hosts {
-		if h.ColdMay > 0 {
-			sent, allowed, worst = sent+h.ColdSent, allowed+h.ColdMay, max(worst, h.Most/max(r.Multiple, 1))
+		if h.ColdAllowed > 0 {
+			sent, allowed, worst = sent+h.ColdConnects, allowed+h.ColdAllowed, max(worst, h.PeakColdLoad/max(r.CollapseMultiple, 1))
 		}
 	}
 	return sent, allowed, worst
--- a/rehearsal/record/record.go
+++ b/rehearsal/record/record.go
@@ -13,71 +13,71 @@
 	"strings"
 )
 
-// Kind is the kind of an event of a flow.
-type Kind uint8
+// EventKind is the kind of an event of a flow.
+type EventKind uint8
 
 // Kinds of events.
 const (
-	Asked      Kind = iota // the client has sent the last byte of its line
-	Sent                   // the first byte of a connect has left the node
-	Came                   // the last byte of a connect has reached the host
-	Ran                    // the host has done the work of the set-up
-	Said                   // the host has answered; Text is the first word
-	Refused                // the connection to the host was never established
-	Stopped                // the node has given up the connect, or closed its connection to the host
-	Lost                   // the host has closed its connection to the node, or it broke
-	Answered               // the client has received the node's answer; Text is the line
-	Cut                    // the client's connection was closed without a MOVE
-	Moved                  // the client received a MOVE, so that it connects again
-	Left                   // the client has closed its connection
-	Held                   // the node delayed a line by Value microseconds
-	Unended                // the client saw the end of its connection Value microseconds after the host had closed it
-	Nonsense               // the host cannot parse the line; Text says why
-	NodeKilled             // the node that held the flow was killed
+	RequestSent     EventKind = iota // the client has sent the last byte of its line
+	ConnectSent                      // the first byte of a connect has left the node
+	ConnectReceived                  // the last byte of a connect has reached the host
+	SetupDone                        // the host has done the work of the set-up
+	HostAnswered                     // the host has answered; Text is the first word
+	ConnectRefused                   // the connection to the host was never established
+	NodeClosed                       // the node has given up the connect, or closed its connection to the host
+	HostClosed                       // the host has closed its connection to the node, or it broke
+	Answered                         // the client has received the node's answer; Text is the line
+	Disconnected                     // the client's connection was closed without a MOVE
+	Moved                            // the client received a MOVE, so that it connects again
+	ClientLeft                       // the client has closed its connection
+	LineDelayed                      // the node delayed a line by Value microseconds
+	CloseDelayed                     // the client saw the end of its connection Value microseconds after the host had closed it
+	InvalidLine                      // the host cannot parse the line; Text says why
+	NodeKilled                       // the node that held the flow was killed
 )
 
 var kindNames = [...]string{"asked", "sent", "came", "ran", "said", "refused", "stopped", "lost", "answered", "cut", "moved",
 	"left", "held", "unended", "nonsense", "node killed"}
 
 // String returns the name that timelines show.
-func (k Kind) String() string { return kindNames[k] }
+func (k EventKind) String() string { return kindNames[k] }
 
 // Event is one step of a flow.
 type Event struct {
-	At    int64
-	Kind  Kind
-	Host  int // index of the host if it concerns a connect, otherwise -1
-	Try   int // index of the connect within the flow
-	Text  string
-	Value int64
+	At      int64
+	Kind    EventKind
+	Host    int // index of the host if it concerns a connect, otherwise -1
+	Connect int // index of the connect within the flow
+	Text    string
+	Value   int64
 }
 
 // Flow is one request of a client for a connection.
 type Flow struct {
-	ID        string
-	Key       string
-	Type      int    // index of its service type
-	Group     string // empty without one
-	Node      int    // index
-	Zone      int    // index
-	Timeout   int64  // how long its client waits for an answer
-	Again     bool   // its client was connected before
-	Stood     bool   // it was established before the run began
-	Crossed   bool   // the host where it was established is in another zone than its node
-	Events    []Event
-	Receipts  []string // receipts that hosts gave for it
-	Connects  int
-	Host      int // index of the host where it was established, otherwise -1
-	Load      float64
-	LifeLeft  int64 // how much longer its client wanted the connection
-	Establish int64 // duration of the set-up, from the client's line to the answer; 0 until then
+	ID            string
+	Key           string
+	ServiceType   int    // index of its service type
+	Group         string // empty without one
+	Node          int    // index
+	Zone          int    // index
+	Timeout       int64  // how long its client waits for an answer
+	Returning     bool   // its client was connected before
+	Standing      bool   // it was established before the run began
+	CrossesZones  bool   // the host where it was established is in another zone than its node
+	Events        []Event
+	Receipts      []string // receipts that hosts gave for it
+	Connects      int
+	Host          int // index of the host where it was established, otherwise -1
+	Load          float64
+	RemainingLife int64 // how much longer its client wanted the connection
+	SetupTime     int64 // duration of the set-up, from the client's line to the answer; 0 until then
 }
 
-// Add adds an event to the flow's timeline.
-func (f *Flow) Add(e Event) { f.Events = append(f.Events, e) }
+// AddEvent adds an event to the flow's timeline.
+func (f *Flow) AddEvent(e Event) { f.Events = append(f.Events, e) }
 
-// Find returns the first event of a kind, or nil.
-func (f *Flow) Find(k Kind) *Event {
+// FirstEvent returns the first event of a kind, or nil.
+func (f *Flow) FirstEvent(k EventKind) *Event {
 	for i := range f.Events {
 		if f.Events[i].Kind == k {
 			return &f.Events[i]
@@ -86,13 +86,13 @@
 	return nil
 }
 
-// Answer returns the node's answer and its time: established, rejected or aborted. Without an answer it returns what
+// Outcome returns the node's answer and its time: established, rejected or aborted. Without an answer it returns what
 // happened instead: cut, left or killed, unreached if the node took no connection, or none.
-func (f *Flow) Answer() (outcome string, at int64) {
+func (f *Flow) Outcome() (outcome string, at int64) {
 	asked := false
 	for _, e := range f.Events {
 		switch e.Kind {
-		case Asked:
+		case RequestSent:
 			asked = true
 		case Answered:
 			switch {
@@ -102,12 +102,12 @@
 				return "rejected", e.At
 			}
 			return "aborted", e.At
-		case Cut:
+		case Disconnected:
 			if !asked {
 				return "unreached", e.At
 			}
 			return "cut", e.At
-		case Left:
+		case ClientLeft:
 			return "left", e.At
 		case NodeKilled:
 			return "killed", e.At
@@ -119,11 +119,11 @@
 // Timeline returns the flow's events as text, one a line.
 func (f *Flow) Timeline(hosts []Host) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "flow %s type %d node n-%d key %s, waits %d ms\n", f.ID, f.Type, f.Node, f.Key, f.Timeout/1000)
+	fmt.Fprintf(&b, "flow %s type %d node n-%d key %s, waits %d ms\n", f.ID, f.ServiceType, f.Node, f.Key, f.Timeout/1000)
 	for _, e := range f.Events {
 		fmt.Fprintf(&b, "  %12.6f s  %-11v", float64(e.At)/1e6, e.Kind)
 		if e.Host >= 0 && e.Host < len(hosts) {
-			fmt.Fprintf(&b, " %s connect %d", hosts[e.Host].Name, e.Try)
+			fmt.Fprintf(&b, " %s connect %d", hosts[e.Host].Name, e.Connect)
 		}
 		if e.Text != "" {
 			fmt.Fprintf(&b, " %q", e.Text)
@@ -138,112 +138,112 @@
 
 // Host is what happened to a host.
 type Host struct {
-	Name   string
-	Zone   int
-	FellAt int64   // when it was overloaded while cold; 0 if it was not
-	Most   float64 // its worst interval while cold, as a multiple of what it can do
+	Name         string
+	Zone         int
+	CollapsedAt  int64   // when it was overloaded while cold; 0 if it was not
+	PeakColdLoad float64 // its worst interval while cold, as a multiple of what it can do
 
-	ColdSent int       // connects that it got while it was cold
-	ColdMay  float64   // connects that the rule would have allowed since its last start
-	Load     []float64 // load over capacity, by second
+	ColdConnects int       // connects that it got while it was cold
+	ColdAllowed  float64   // connects that the rule would have allowed since its last start
+	Load         []float64 // load over capacity, by second
 }
 
-// Told says that a node has learned that a host drains or is gone, or that it is up again.
-type Told struct {
-	Node, Host int
-	At         int64
-	Up         bool
-	Restart    bool // by the list that the node started with
+// HostNotice says that a node has learned that a host drains or is gone, or that it is up again.
+type HostNotice struct {
+	Node, Host  int
+	At          int64
+	Up          bool
+	InitialList bool // by the list that the node started with
 }
 
-// Still is an interval in which a node's process was stopped. To is 0 until it goes on.
-type Still struct {
+// NodePause is an interval in which a node's process was stopped. To is 0 until it goes on.
+type NodePause struct {
 	Node     int
 	From, To int64
 }
 
 // BadClient is a client that violates the protocol, with what it was given.
 type BadClient struct {
-	Kind       string
-	Node       int
-	At         int64 // when it connected
-	Within     int64 // the node has to send an error or close within this duration
-	AnsweredAt int64 // when it did; 0 if it did not
-	Excused    bool  // its node died, or the run ended, before
-	Served     bool  // it was given what only a flow is given
+	Kind         string
+	Node         int
+	At           int64 // when it connected
+	AnswerWithin int64 // the node has to send an error or close within this duration
+	AnsweredAt   int64 // when it did; 0 if it did not
+	Excused      bool  // its node died, or the run ended, before
+	Served       bool  // it was given what only a flow is given
 }
 
-// Type is a service type with its requirements.
-type Type struct {
-	Name                     string
-	Target, Timeout, Message int64
-	Benefit                  float64
-	Effect, Scope            string
-	Window                   int64
+// ServiceType is a service type with its requirements.
+type ServiceType struct {
+	Name                                       string
+	SetupTarget, ConnectTimeout, MessageTarget int64
+	Benefit                                    float64
+	Effect, Scope                              string
+	Window                                     int64
 }
 
 // Second holds the benefit requested and served in one second of a run, by service type.
 type Second struct {
-	Wanted, Served []float64
+	Requested, Served []float64
 }
 
 // Counts are the counts of a whole run.
 type Counts struct {
-	Wishes        int // connections that clients wanted
-	Tries         int // their requests, with retries
-	Connects      int
-	Probes        int
-	Moves         int
-	Breaks        int // established flows that were closed without a MOVE
-	Crossings     int // flows established in another zone than that of their node
-	Wasted        int // set-ups whose connect had been given up
-	Falls         int // cold hosts that were overloaded
-	Events        uint64
-	Unsent        int     // connects that failed before they were sent; in virtual time only
-	Datagrams     int     // between nodes
-	DatagramBytes int     // between nodes
-	Work          float64 // of hosts, core-microseconds
-	WorkWasted    float64 // of hosts, on wasted set-ups, core-microseconds
+	Clients        int // connections that clients wanted
+	Flows          int // their requests, with retries
+	Connects       int
+	Probes         int
+	Moves          int
+	Disconnects    int // established flows that were closed without a MOVE
+	Crossings      int // flows established in another zone than that of their node
+	WastedSetups   int // set-ups whose connect had been given up
+	Collapses      int // cold hosts that were overloaded
+	Events         uint64
+	FailedConnects int     // connects that failed before they were sent; in virtual time only
+	Datagrams      int     // between nodes
+	DatagramBytes  int     // between nodes
+	Work           float64 // of hosts, core-microseconds
+	WastedWork     float64 // of hosts, on wasted set-ups, core-microseconds
 }
 
 // Run is the record of one rehearsal.
 type Run struct {
-	Script     string
-	Seed       uint64
-	Length     int64
-	Multiple   float64 // load that overloads a cold host, as a multiple of what it can do
-	Grace      int64   // time in which a node may still use a host after learning that it drains
-	Types      []Type
-	Hosts      []Host
-	Flows      []*Flow
-	Told       []Told
-	Bad        []BadClient
-	Stills     []Still
-	Seconds    []Second
-	Counts     Counts
-	Void       string    // why a live run is void; empty if it is valid
-	Notes      []string  // unexpected ends of nodes
-	Late       string    // how late the machine was; live runs only
-	Waited     float64   // share of the nodes' time in which they waited for a core; live runs only
-	NodePanics int       // panics that nodes counted or died of
-	NodeCPU    []float64 // CPU seconds of each node's last process; live runs only
-	Strange    []string  // lines that hosts received and no client sent
+	Script           string
+	Seed             uint64
+	Length           int64
+	CollapseMultiple float64 // load that overloads a cold host, as a multiple of what it can do
+	DrainGrace       int64   // time in which a node may still use a host after learning that it drains
+	Types            []ServiceType
+	Hosts            []Host
+	Flows            []*Flow
+	Notices          []HostNotice
+	BadClients       []BadClient
+	Pauses           []NodePause
+	Seconds          []Second
+	Counts           Counts
+	VoidReason       string    // why a live run is void; empty if it is valid
+	NodeExits        []string  // unexpected ends of nodes
+	LatenessText     string    // how late the machine was; live runs only
+	CPUWaitShare     float64   // share of the nodes' time in which they waited for a core; live runs only
+	NodePanics       int       // panics that nodes counted or died of
+	NodeCPU          []float64 // CPU seconds of each node's last process; live runs only
+	UnknownLines     []string  // lines that hosts received and no client sent
 }
 
-// Answers writes the final answers, one flow a line in the order of the requests: id, service type, node, time of the
+// WriteAnswers writes the final answers, one flow a line in the order of the requests: id, service type, node, time of the
 // request, connects with host, outcome and duration, answer, time of the answer. Times are milliseconds.
-func (r *Run) Answers(w io.Writer) error {
+func (r *Run) WriteAnswers(w io.Writer) error {
 	b := bufio.NewWriter(w)
 	for _, f := range r.Flows {
 		asked := int64(0)
-		if e := f.Find(Asked); e != nil {
+		if e := f.FirstEvent(RequestSent); e != nil {
 			asked = e.At
 		}
-		fmt.Fprintf(b, "%s %s n-%d %.3f", f.ID, r.Types[f.Type].Name, f.Node, float64(asked)/1000)
+		fmt.Fprintf(b, "%s %s n-%d %.3f", f.ID, r.Types[f.ServiceType].Name, f.Node, float64(asked)/1000)
 		for _, c := range f.attempts() {
 			fmt.Fprintf(b, " %s:%s:%.3f", r.Hosts[c.host].Name, c.outcome, float64(c.duration)/1000)
 		}
-		outcome, at := f.Answer()
+		outcome, at := f.Outcome()
 		fmt.Fprintf(b, " %s %.3f\n", outcome, float64(at)/1000)
 	}
 	return b.Flush()
@@ -262,55 +262,55 @@
 	var all []attempt
 	settled := map[int]bool{}
 	for _, e := range f.Events {
-		if e.Kind == Sent || e.Kind == Refused && e.Try >= len(all) {
-			for len(all) <= e.Try {
+		if e.Kind == ConnectSent || e.Kind == ConnectRefused && e.Connect >= len(all) {
+			for len(all) <= e.Connect {
 				all = append(all, attempt{host: e.Host, outcome: "open", sentAt: e.At})
 			}
 		}
-		if e.Try >= len(all) || e.Host < 0 || settled[e.Try] {
+		if e.Connect >= len(all) || e.Host < 0 || settled[e.Connect] {
 			continue
 		}
 		outcome := ""
 		switch e.Kind {
-		case Said:
+		case HostAnswered:
 			outcome = strings.ToLower(e.Text)
-		case Refused:
+		case ConnectRefused:
 			outcome = "refused"
-		case Stopped:
+		case NodeClosed:
 			outcome = "given-up"
-		case Lost:
+		case HostClosed:
 			outcome = "reset"
 		}
 		if outcome != "" {
-			settled[e.Try] = true
-			all[e.Try].outcome, all[e.Try].duration = outcome, e.At-all[e.Try].sentAt
+			settled[e.Connect] = true
+			all[e.Connect].outcome, all[e.Connect].duration = outcome, e.At-all[e.Connect].sentAt
 		}
 	}
 	return all
 }
 
-// Figures is the summary of a run.
-type Figures struct {
-	Service    float64        // benefit served over benefit requested
-	Worst10    float64        // lowest service of any ten seconds in a row
-	WorstType  float64        // lowest service of a service type
-	ByType     []float64      // service by service type
-	Answers    map[string]int // flows by their outcome
-	Setups     [][]int64      // sorted durations from the client's line to UP, by service type
-	LateShare  []float64      // share of the set-ups that took longer than the target, by service type
-	PerFlow    float64        // connects a flow
-	ProbesFlow float64        // probes a flow
-	Crossings  float64        // crossings between zones a flow
-	Moves      float64        // moves a flow
+// Summary is the summary of a run.
+type Summary struct {
+	Service          float64        // benefit served over benefit requested
+	Worst10          float64        // lowest service of any ten seconds in a row
+	WorstType        float64        // lowest service of a service type
+	ByType           []float64      // service by service type
+	Answers          map[string]int // flows by their outcome
+	SetupTimes       [][]int64      // sorted durations from the client's line to UP, by service type
+	LateShare        []float64      // share of the set-ups that took longer than the target, by service type
+	ConnectsPerFlow  float64        // connects a flow
+	ProbesPerFlow    float64        // probes a flow
+	CrossingsPerFlow float64        // crossings between zones a flow
+	MovesPerFlow     float64        // moves a flow
 }
 
-// Sum computes the summary of a run.
-func (r *Run) Sum() Figures {
-	s := Figures{Answers: map[string]int{}, Setups: make([][]int64, len(r.Types)), LateShare: make([]float64, len(r.Types))}
+// Summarize computes the summary of a run.
+func (r *Run) Summarize() Summary {
+	s := Summary{Answers: map[string]int{}, SetupTimes: make([][]int64, len(r.Types)), LateShare: make([]float64, len(r.Types))}
 	wanted, served := make([]float64, len(r.Types)), make([]float64, len(r.Types))
 	for _, sec := range r.Seconds {
 		for t := range r.Types {
-			wanted[t] += sec.Wanted[t]
+			wanted[t] += sec.Requested[t]
 			served[t] += sec.Served[t]
 		}
 	}
@@ -328,27 +328,27 @@
 	for i := 0; i+window <= len(r.Seconds); i++ {
 		w, v := 0.0, 0.0
 		for _, sec := range r.Seconds[i : i+window] {
-			w, v = w+sum(sec.Wanted), v+sum(sec.Served)
+			w, v = w+sum(sec.Requested), v+sum(sec.Served)
 		}
 		s.Worst10 = min(s.Worst10, ratio(v, w))
 	}
 	for _, f := range r.Flows {
-		outcome, _ := f.Answer()
+		outcome, _ := f.Outcome()
 		s.Answers[outcome]++
-		if outcome == "established" && !f.Stood {
-			s.Setups[f.Type] = append(s.Setups[f.Type], f.Establish)
-			if f.Establish > r.Types[f.Type].Target {
-				s.LateShare[f.Type]++
+		if outcome == "established" && !f.Standing {
+			s.SetupTimes[f.ServiceType] = append(s.SetupTimes[f.ServiceType], f.SetupTime)
+			if f.SetupTime > r.Types[f.ServiceType].SetupTarget {
+				s.LateShare[f.ServiceType]++
 			}
 		}
 	}
-	for t := range s.Setups {
-		slices.Sort(s.Setups[t])
-		s.LateShare[t] = ratio(s.LateShare[t], float64(len(s.Setups[t])))
+	for t := range s.SetupTimes {
+		slices.Sort(s.SetupTimes[t])
+		s.LateShare[t] = ratio(s.LateShare[t], float64(len(s.SetupTimes[t])))
 	}
 	n := max(float64(len(r.Flows)), 1)
-	s.PerFlow, s.ProbesFlow = float64(r.Counts.Connects)/n, float64(r.Counts.Probes)/n
-	s.Crossings, s.Moves = float64(r.Counts.Crossings)/n, float64(r.Counts.Moves)/n
+	s.ConnectsPerFlow, s.ProbesPerFlow = float64(r.Counts.Connects)/n, float64(r.Counts.Probes)/n
+	s.CrossingsPerFlow, s.MovesPerFlow = float64(r.Counts.Crossings)/n, float64(r.Counts.Moves)/n
 	return s
 }
 
--- a/rehearsal/replay/clients.go
+++ b/rehearsal/replay/clients.go
@@ -82,18 +82,18 @@
 	byKey = map[string][]clientPart{}
 	for _, c := range all {
 		shift := c.At - begin
-		last = max(last, c.Last+shift)
+		last = max(last, c.LastRecordAt+shift)
 		for _, f := range c.Flows {
-			p := clientPart{flow: f, zone: c.Zone, from: f.At + shift, to: f.At + f.Took + shift}
+			p := clientPart{flow: f, zone: c.Zone, from: f.At + shift, to: f.At + f.AnswerTime + shift}
 			if f.Answer == capture.Established {
-				e, ended := c.Ends[f.No]
+				e, ended := c.Ends[f.Number]
 				p.open = !ended
 				if ended {
 					p.to = e.At + shift
-					p.done = e.How == capture.Completed || e.How == capture.Gone
+					p.done = e.Outcome == capture.Completed || e.Outcome == capture.ClientClosed
 				}
 			}
-			p.loads, p.shift = c.Loads[f.No], shift
+			p.loads, p.shift = c.Loads[f.Number], shift
 			if byKey[f.Key] == nil {
 				keys = append(keys, f.Key)
 			}
--- a/rehearsal/replay/replay_test.go
+++ b/rehearsal/replay/replay_test.go
@@ -10,18 +10,18 @@
 // node and left. It also checks clients whose end is unknown, that were never established, or that return much later.
 func TestClients(t *testing.T) {
 	const s = 1_000_000
-	one := &capture.Capture{Start: capture.Start{Node: "n-0", At: 100 * s}, Last: 60 * s,
+	one := &capture.Capture{Start: capture.Start{Node: "n-0", At: 100 * s}, LastRecordAt: 60 * s,
 		Flows: []capture.Flow{
-			{No: 1, At: 1 * s, Type: "t", Key: "a", Answer: capture.Rejected, Took: 1000},
-			{No: 2, At: 2 * s, Type: "t", Key: "a", Answer: capture.Established, Took: 1000},
-			{No: 3, At: 3 * s, Type: "t", Key: "open", Answer: capture.Established, Took: 1000},
-			{No: 4, At: 4 * s, Type: "t", Key: "never", Answer: capture.Rejected, Took: 1000},
-			{No: 5, At: 40 * s, Type: "t", Key: "a", Answer: capture.Established, Took: 1000}},
-		Ends:  map[uint64]capture.End{2: {No: 2, At: 5 * s, How: capture.Severed}, 5: {No: 5, At: 45 * s, How: capture.Gone}},
-		Loads: map[uint64][]capture.Load{2: {{No: 2, At: 2 * s, Load: 100}, {No: 2, At: 4 * s, Load: 300}}}}
-	two := &capture.Capture{Start: capture.Start{Node: "n-1", Zone: 1, At: 101 * s}, Last: 60 * s,
-		Flows: []capture.Flow{{No: 1, At: 5 * s, Type: "t", Key: "a", Again: true, Answer: capture.Established, Took: 1000}},
-		Ends:  map[uint64]capture.End{1: {No: 1, At: 9 * s, How: capture.Completed}}}
+			{Number: 1, At: 1 * s, Type: "t", Key: "a", Answer: capture.Rejected, AnswerTime: 1000},
+			{Number: 2, At: 2 * s, Type: "t", Key: "a", Answer: capture.Established, AnswerTime: 1000},
+			{Number: 3, At: 3 * s, Type: "t", Key: "open", Answer: capture.Established, AnswerTime: 1000},
+			{Number: 4, At: 4 * s, Type: "t", Key: "never", Answer: capture.Rejected, AnswerTime: 1000},
+			{Number: 5, At: 40 * s, Type: "t", Key: "a", Answer: capture.Established, AnswerTime: 1000}},
+		Ends:  map[uint64]capture.End{2: {Number: 2, At: 5 * s, Outcome: capture.Severed}, 5: {Number: 5, At: 45 * s, Outcome: capture.ClientClosed}},
+		Loads: map[uint64][]capture.Load{2: {{Number: 2, At: 2 * s, Load: 100}, {Number: 2, At: 4 * s, Load: 300}}}}
+	two := &capture.Capture{Start: capture.Start{Node: "n-1", Zone: 1, At: 101 * s}, LastRecordAt: 60 * s,
+		Flows: []capture.Flow{{Number: 1, At: 5 * s, Type: "t", Key: "a", Returning: true, Answer: capture.Established, AnswerTime: 1000}},
+		Ends:  map[uint64]capture.End{1: {Number: 1, At: 9 * s, Outcome: capture.Completed}}}
 	all := Clients([]*capture.Capture{one, two})
 	if len(all) != 4 {
 		t.Fatalf("%d clients: %+v", len(all), all)
--- a/rehearsal/report/html.go
+++ b/rehearsal/report/html.go
@@ -16,8 +16,8 @@
 	"coursewinch/rehearsal/rules"
 )
 
-// Colours are the colours of lines in a plot. They can also be told apart by colour-blind readers.
-var Colours = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
+// Palette are the colours of lines in a plot. They can also be told apart by colour-blind readers.
+var Palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {230, 159, 0, 255}, {90, 90, 90, 255}, {0, 0, 0, 255}}
 
 // Series is one named line of a plot, with a value for each second.
@@ -41,19 +41,19 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color = Colours[i%len(Colours)]
+		line.Color = Palette[i%len(Palette)]
 		line.Width = vg.Points(1.2)
-		if i >= len(Colours) {
+		if i >= len(Palette) {
 			line.Dashes = []vg.Length{vg.Points(3), vg.Points(2)}
 		}
 		p.Add(line)
 		p.Legend.Add(l.Name, line)
 	}
-	return Draw(p, 24*vg.Centimeter, 9*vg.Centimeter)
+	return RenderSVG(p, 24*vg.Centimeter, 9*vg.Centimeter)
 }
 
-// Draw returns a plot as SVG text without the XML header.
-func Draw(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
+// RenderSVG returns a plot as SVG text without the XML header.
+func RenderSVG(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	w, err := p.WriterTo(width, height, "svg")
 	if err != nil {
 		return "", err
@@ -94,11 +94,11 @@
 	Setup   Setup
 }
 
-// HTML writes a run as one page that needs no other files.
-func HTML(w io.Writer, r *record.Run, breaches []rules.Breach) error {
-	sum := Of(r, breaches)
+// WriteHTML writes a run as one page that needs no other files.
+func WriteHTML(w io.Writer, r *record.Run, breaches []rules.Breach) error {
+	sum := Summarize(r, breaches)
 	data := struct {
-		Sum    Sum
+		Sum    Summary
 		Types  []typeRow
 		Plots  []template.HTML
 		Broken []string
@@ -136,8 +136,8 @@
 	for _, s := range r.Seconds {
 		wanted, served := 0.0, 0.0
 		for t := range r.Types {
-			wanted, served = wanted+s.Wanted[t], served+s.Served[t]
-			all[t+1].Y = append(all[t+1].Y, ratio(s.Served[t], s.Wanted[t]))
+			wanted, served = wanted+s.Requested[t], served+s.Served[t]
+			all[t+1].Y = append(all[t+1].Y, ratio(s.Served[t], s.Requested[t]))
 		}
 		all[0].Y = append(all[0].Y, ratio(served, wanted))
 	}
@@ -186,7 +186,7 @@
 func answerSeries(r *record.Run) []Series {
 	byOutcome := map[string][]float64{}
 	for _, f := range r.Flows {
-		outcome, at := f.Answer()
+		outcome, at := f.Outcome()
 		second := int(at / 1e6)
 		if at < 0 || second > int(r.Length/1e6) {
 			continue
--- a/rehearsal/report/text.go
+++ b/rehearsal/report/text.go
@@ -14,8 +14,8 @@
 	"coursewinch/rehearsal/rules"
 )
 
-// Sum is the summary of a run, under the JSON names that programs read.
-type Sum struct {
+// Summary is the summary of a run, under the JSON names that programs read.
+type Summary struct {
 	Script    string             `json:"script"`
 	Seed      uint64             `json:"seed"`
 	Service   float64            `json:"service"`
@@ -45,17 +45,17 @@
 	Late   float64 `json:"late_share"` // share of the set-ups over the target
 }
 
-// Of returns the summary of a run with the given breaches.
-func Of(r *record.Run, breaches []rules.Breach) Sum {
-	f := r.Sum()
-	s := Sum{Script: r.Script, Seed: r.Seed, Service: f.Service, Worst10: f.Worst10, WorstType: f.WorstType,
-		ByType: map[string]float64{}, Flows: len(r.Flows), Answers: f.Answers, Connects: f.PerFlow, Probes: f.ProbesFlow,
-		Crossings: f.Crossings, Moves: f.Moves, Breaks: r.Counts.Breaks, Setup: map[string]Setup{},
-		Breaches: map[string]int{}, Hash: Hash(r), Events: r.Counts.Events, Void: r.Void}
+// Summarize returns the summary of a run with the given breaches.
+func Summarize(r *record.Run, breaches []rules.Breach) Summary {
+	f := r.Summarize()
+	s := Summary{Script: r.Script, Seed: r.Seed, Service: f.Service, Worst10: f.Worst10, WorstType: f.WorstType,
+		ByType: map[string]float64{}, Flows: len(r.Flows), Answers: f.Answers, Connects: f.ConnectsPerFlow, Probes: f.ProbesPerFlow,
+		Crossings: f.CrossingsPerFlow, Moves: f.MovesPerFlow, Breaks: r.Counts.Disconnects, Setup: map[string]Setup{},
+		Breaches: map[string]int{}, Hash: AnswersHash(r), Events: r.Counts.Events, Void: r.VoidReason}
 	for i, t := range r.Types {
 		s.ByType[t.Name] = f.ByType[i]
-		s.Setup[t.Name] = Setup{float64(record.Quantile(f.Setups[i], 0.5)) / 1000,
-			float64(record.Quantile(f.Setups[i], 0.99)) / 1000, float64(t.Target) / 1000, f.LateShare[i]}
+		s.Setup[t.Name] = Setup{float64(record.Quantile(f.SetupTimes[i], 0.5)) / 1000,
+			float64(record.Quantile(f.SetupTimes[i], 0.99)) / 1000, float64(t.SetupTarget) / 1000, f.LateShare[i]}
 	}
 	for _, cpu := range r.NodeCPU {
 		s.NodeCPU += cpu
@@ -66,15 +66,15 @@
 	return s
 }
 
-// Hash returns the SHA-256 of the final answers, in hexadecimal.
-func Hash(r *record.Run) string {
+// AnswersHash returns the SHA-256 of the final answers, in hexadecimal.
+func AnswersHash(r *record.Run) string {
 	h := sha256.New()
-	r.Answers(h)
+	r.WriteAnswers(h)
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// JSON writes a value as indented JSON.
-func JSON(w io.Writer, value any) error {
+// WriteJSON writes a value as indented JSON.
+func WriteJSON(w io.Writer, value any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(value)
@@ -83,9 +83,9 @@
 // outcomeOrder holds the outcomes of flows in the order of reports.
 var outcomeOrder = []string{"established", "rejected", "aborted", "unreached", "killed", "left", "cut", "none"}
 
-// Text writes a run for people: its service, where flows were established, and the breaches of rules.
-func Text(w io.Writer, r *record.Run, breaches []rules.Breach) {
-	s := Of(r, breaches)
+// WriteText writes a run for people: its service, where flows were established, and the breaches of rules.
+func WriteText(w io.Writer, r *record.Run, breaches []rules.Breach) {
+	s := Summarize(r, breaches)
 	writeSummary(w, r, s)
 	writePlacement(w, r)
 	writeRejections(w, r)
@@ -93,7 +93,7 @@
 }
 
 // writeSummary writes the figures of a run and of each service type.
-func writeSummary(w io.Writer, r *record.Run, s Sum) {
+func writeSummary(w io.Writer, r *record.Run, s Summary) {
 	fmt.Fprintf(w, "%s, seed %d: %d flows in %.0f s\n", s.Script, s.Seed, s.Flows, float64(r.Length)/1e6)
 	if s.Void != "" {
 		fmt.Fprintf(w, "VOID: %s\n", s.Void)
@@ -106,8 +106,8 @@
 	}
 	fmt.Fprintf(w, "\n  a flow: %.2f connects, %.2f probes, %.2f crossings, %.3f moves; %d breaks\n", s.Connects, s.Probes,
 		s.Crossings, s.Moves, s.Breaks)
-	if r.Late != "" {
-		fmt.Fprintf(w, "  %s\n", r.Late)
+	if r.LatenessText != "" {
+		fmt.Fprintf(w, "  %s\n", r.LatenessText)
 	}
 	if s.NodeCPU > 0 {
 		fmt.Fprintf(w, "  nodes' CPU %.2f s, %.0f us a flow\n", s.NodeCPU, s.NodeCPU*1e6/float64(max(s.Flows, 1)))
@@ -153,8 +153,8 @@
 		for len(cells) <= f.Node {
 			cells = append(cells, make([]cell, len(r.Types)))
 		}
-		outcome, _ := f.Answer()
-		c := &cells[f.Node][f.Type]
+		outcome, _ := f.Outcome()
+		c := &cells[f.Node][f.ServiceType]
 		c.flows++
 		if outcome == "rejected" {
 			c.rejected++
@@ -220,7 +220,7 @@
 
 // writeColdHosts writes how many connects cold hosts got, if any host came back.
 func writeColdHosts(w io.Writer, r *record.Run) {
-	if sent, allowed, worst := r.Cold(); allowed > 0 {
+	if sent, allowed, worst := r.ColdTotals(); allowed > 0 {
 		fmt.Fprintf(w, "\n  cold hosts were sent %d connects, %.0f%% of what the rule allows; the worst stretch had %.2f of what pushes one over\n",
 			sent, 100*float64(sent)/allowed, worst)
 	}
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -63,14 +63,14 @@
 // checker collects the breaches of a run.
 type checker struct {
 	run      *record.Run
-	notices  map[[2]int][]record.Told // by node and host, in order of time
+	notices  map[[2]int][]record.HostNotice // by node and host, in order of time
 	breaches []Breach
 }
 
 // Check returns every breach of a run, by rule and then in the order of flows.
 func Check(r *record.Run) []Breach {
-	c := &checker{run: r, notices: map[[2]int][]record.Told{}}
-	for _, t := range r.Told {
+	c := &checker{run: r, notices: map[[2]int][]record.HostNotice{}}
+	for _, t := range r.Notices {
 		at := [2]int{t.Node, t.Host}
 		c.notices[at] = append(c.notices[at], t)
 	}
@@ -81,17 +81,17 @@
 		c.checkProtocol(f)
 	}
 	for _, h := range r.Hosts {
-		if h.FellAt > 0 {
-			c.add(ColdHostSpared, nil, "%s fell over at %.3f s", h.Name, float64(h.FellAt)/1e6)
+		if h.CollapsedAt > 0 {
+			c.add(ColdHostSpared, nil, "%s fell over at %.3f s", h.Name, float64(h.CollapsedAt)/1e6)
 		}
 	}
-	for _, text := range r.Strange {
+	for _, text := range r.UnknownLines {
 		c.add(ValidLines, nil, "%s", text)
 	}
-	for _, b := range r.Bad {
+	for _, b := range r.BadClients {
 		c.checkBadClient(b)
 	}
-	for _, text := range r.Notes {
+	for _, text := range r.NodeExits {
 		c.add(ProcessRuns, nil, "%s", text)
 	}
 	if r.NodePanics > 0 {
@@ -108,7 +108,7 @@
 
 // wasPaused tells whether a node's process was stopped at some time in an interval. A stopped process can do nothing in time.
 func (c *checker) wasPaused(node int, from, to int64) bool {
-	return slices.ContainsFunc(c.run.Stills, func(s record.Still) bool {
+	return slices.ContainsFunc(c.run.Pauses, func(s record.NodePause) bool {
 		return s.Node == node && s.From <= to && (s.To == 0 || s.To+TimeTolerance >= from)
 	})
 }
@@ -116,7 +116,7 @@
 // checkAnswer checks that a flow has exactly one answer, in time. A flow is excused if its client left first, or if its node
 // was killed or stopped meanwhile.
 func (c *checker) checkAnswer(f *record.Flow) {
-	asked := f.Find(record.Asked)
+	asked := f.FirstEvent(record.RequestSent)
 	if asked == nil {
 		return // its line never left the client
 	}
@@ -137,12 +137,12 @@
 			if late := e.At - asked.At - f.Timeout; late > TimeTolerance && !c.wasPaused(f.Node, asked.At, e.At) {
 				c.add(FinalAnswer, f, "answered %d ms late", late/1000)
 			}
-		case record.Cut:
+		case record.Disconnected:
 			if answers == 0 {
 				c.add(FinalAnswer, f, "its connection ended with no answer")
 				return
 			}
-		case record.Left:
+		case record.ClientLeft:
 			if answers == 0 {
 				if e.At-asked.At >= f.Timeout && !c.wasPaused(f.Node, asked.At, e.At) {
 					c.add(FinalAnswer, f, "no answer in %d ms", f.Timeout/1000)
@@ -165,34 +165,34 @@
 func (c *checker) checkEffect(f *record.Flow) {
 	var connects []connectState
 	connectOf := func(e record.Event) *connectState {
-		for len(connects) <= e.Try {
+		for len(connects) <= e.Connect {
 			connects = append(connects, connectState{host: e.Host})
 		}
-		return &connects[e.Try]
+		return &connects[e.Connect]
 	}
 	runs := 0
 	var first *connectState
-	t := c.run.Types[f.Type]
+	t := c.run.Types[f.ServiceType]
 	for _, e := range f.Events {
 		switch e.Kind {
-		case record.Sent:
+		case record.ConnectSent:
 			for i, other := range connects {
-				if other.open && i != e.Try {
-					c.add(SingleEffect, f, "connect %d is sent while connect %d is out", e.Try, i)
+				if other.open && i != e.Connect {
+					c.add(SingleEffect, f, "connect %d is sent while connect %d is out", e.Connect, i)
 				}
 			}
 			n := connectOf(e)
 			n.sent, n.open, n.host = e.At, true, e.Host
-		case record.Stopped, record.Lost:
+		case record.NodeClosed, record.HostClosed:
 			n := connectOf(e)
 			n.open, n.ended = false, e.At
-		case record.Said:
+		case record.HostAnswered:
 			if e.Text == "BUSY" {
 				connectOf(e).mayHaveRun = false
 			}
-		case record.Came:
+		case record.ConnectReceived:
 			connectOf(e).mayHaveRun = true
-		case record.Ran:
+		case record.SetupDone:
 			n := connectOf(e)
 			n.ran = e.At
 			if runs++; runs == 1 {
@@ -210,7 +210,7 @@
 }
 
 // checkSecondRun checks whether the set-up of a flow was allowed to run a second time.
-func (c *checker) checkSecondRun(f *record.Flow, t record.Type, first, second connectState) {
+func (c *checker) checkSecondRun(f *record.Flow, t record.ServiceType, first, second connectState) {
 	switch t.Effect {
 	case "once-only":
 		c.add(SingleEffect, f, "ran at %s and again at %s", c.run.Hosts[first.host].Name, c.run.Hosts[second.host].Name)
@@ -226,7 +226,7 @@
 // checkDrain checks that nothing new goes to a host later than the grace period after its node has learned of the drain.
 func (c *checker) checkDrain(f *record.Flow) {
 	for _, e := range f.Events {
-		if e.Kind != record.Sent {
+		if e.Kind != record.ConnectSent {
 			continue
 		}
 		since := int64(-1) // when the node learned that the host leaves; below 0 if the host is up
@@ -235,17 +235,17 @@
 			case notice.At > e.At:
 			case notice.Up:
 				since = -1
-			case since < 0 || notice.Restart:
+			case since < 0 || notice.InitialList:
 				since = notice.At
-				for _, s := range c.run.Stills {
+				for _, s := range c.run.Pauses {
 					if s.Node == f.Node && s.From <= since && since < s.To {
 						since = s.To // the node was stopped and could not know before
 					}
 				}
 			}
 		}
-		if since >= 0 && e.At-since > c.run.Grace+TimeTolerance {
-			c.add(DrainObserved, f, "connect %d goes to %s %d ms after the node was told that it leaves", e.Try,
+		if since >= 0 && e.At-since > c.run.DrainGrace+TimeTolerance {
+			c.add(DrainObserved, f, "connect %d goes to %s %d ms after the node was told that it leaves", e.Connect,
 				c.run.Hosts[e.Host].Name, (e.At-since)/1000)
 		}
 	}
@@ -259,18 +259,18 @@
 		switch e.Kind {
 		case record.Answered:
 			established = established || strings.HasPrefix(e.Text, "UP ")
-		case record.Lost, record.Left, record.NodeKilled, record.Moved:
+		case record.HostClosed, record.ClientLeft, record.NodeKilled, record.Moved:
 			ended = true
-		case record.Cut:
+		case record.Disconnected:
 			if established && !ended {
 				c.add(NoDisconnect, f, "cut off while its host still stood")
 			}
-		case record.Held:
+		case record.LineDelayed:
 			if c.wasPaused(f.Node, e.At-e.Value, e.At) {
 				continue
 			}
 			c.add(PromptLines, f, "a line %s was held for %d ms", e.Text, e.Value/1000)
-		case record.Unended:
+		case record.CloseDelayed:
 			if c.wasPaused(f.Node, e.At-e.Value, e.At) {
 				continue
 			}
@@ -279,7 +279,7 @@
 			} else {
 				c.add(PromptClose, f, "ended %d ms after its host's end", e.Value/1000)
 			}
-		case record.Nonsense:
+		case record.InvalidLine:
 			c.add(ValidLines, f, "%s", e.Text)
 		}
 	}
@@ -291,9 +291,9 @@
 	case b.Served:
 		c.add(BadClients, nil, "one of kind %s was served", b.Kind)
 	case b.Excused:
-	case b.AnsweredAt == 0 && c.run.Length-b.At > b.Within:
+	case b.AnsweredAt == 0 && c.run.Length-b.At > b.AnswerWithin:
 		c.add(BadClients, nil, "one of kind %s at n-%d had neither an error nor a close", b.Kind, b.Node)
-	case b.AnsweredAt-b.At > b.Within+TimeTolerance:
+	case b.AnsweredAt-b.At > b.AnswerWithin+TimeTolerance:
 		c.add(BadClients, nil, "one of kind %s at n-%d waited %d ms", b.Kind, b.Node, (b.AnsweredAt-b.At)/1000)
 	}
 }
--- a/rehearsal/rules/rules_test.go
+++ b/rehearsal/rules/rules_test.go
@@ -10,8 +10,8 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// rogue is a small node that keeps all rules except the one that its mode breaks.
-type rogue struct {
+// faultyNode is a small node that keeps all rules except the one that its mode breaks.
+type faultyNode struct {
 	world   *fleet.World
 	mode    string
 	pairs   map[*fleet.Conn]*pair // by the connection of either side
@@ -48,21 +48,21 @@
 message_target = "60ms"
 `
 
-func (r *rogue) Start(no int, _ fleet.Conf) { r.world.Ready(no) }
-func (r *rogue) Kill(int)                   {}
-func (r *rogue) Stop(int)                   {}
-func (r *rogue) Reload(int, fleet.Conf)     {}
-func (r *rogue) Starve(int, float64)        {}
-func (r *rogue) Listening(int, bool)        {}
-func (r *rogue) Datagram(int, int, []byte)  {}
-func (r *rogue) Pause(int, bool)            {}
-func (r *rogue) Twin(int, fleet.Conf, bool) {}
-func (r *rogue) Clock(int, int64, float64)  {}
-func (r *rogue) Refused(c *fleet.Conn)      { r.finish(c) }
-func (r *rogue) Arrive(c *fleet.Conn) bool  { r.pairs[c] = &pair{client: c}; return true }
-func (r *rogue) after(us int64, do func())  { r.world.At(r.world.Now()+us, do) }
-
-func (r *rogue) Bytes(c *fleet.Conn, b []byte) {
+func (r *faultyNode) Start(no int, _ fleet.NodeConfig)         { r.world.NodeReady(no) }
+func (r *faultyNode) Kill(int)                                 {}
+func (r *faultyNode) Stop(int)                                 {}
+func (r *faultyNode) Reload(int, fleet.NodeConfig)             {}
+func (r *faultyNode) SetStarvation(int, float64)               {}
+func (r *faultyNode) SetListening(int, bool)                   {}
+func (r *faultyNode) ReceiveDatagram(int, int, []byte)         {}
+func (r *faultyNode) SetPaused(int, bool)                      {}
+func (r *faultyNode) SetDuplicate(int, fleet.NodeConfig, bool) {}
+func (r *faultyNode) AdjustClock(int, int64, float64)          {}
+func (r *faultyNode) Refused(c *fleet.Conn)                    { r.finish(c) }
+func (r *faultyNode) Accept(c *fleet.Conn) bool                { r.pairs[c] = &pair{client: c}; return true }
+func (r *faultyNode) after(us int64, do func())                { r.world.Schedule(r.world.Now()+us, do) }
+
+func (r *faultyNode) Receive(c *fleet.Conn, b []byte) {
 	p := r.pairs[c]
 	if p == nil {
 		return
@@ -74,34 +74,34 @@
 	text := string(b)
 	switch {
 	case p.established && r.mode == "delayed line":
-		r.after(1_200_000, func() { r.world.Wrote(p.host, b) })
+		r.after(1_200_000, func() { r.world.Write(p.host, b) })
 	case p.established:
-		r.world.Wrote(p.host, b)
+		r.world.Write(p.host, b)
 	case text == "PING\r\n":
-		r.world.Wrote(c, []byte("PONG\r\n"))
+		r.world.Write(c, []byte("PONG\r\n"))
 	case strings.HasPrefix(text, "OPEN ") && strings.Count(text, "\n") == 1 && strings.Contains(text, "c=t,"):
 		p.line = text
 		r.open(p)
 	case r.mode != "bad client ignored" && strings.Contains(text, "\n"):
-		r.world.Wrote(c, []byte("ERR\r\n"))
-		r.world.Closed(c)
+		r.world.Write(c, []byte("ERR\r\n"))
+		r.world.Close(c)
 	}
 }
 
 // open handles a client's line according to the mode.
-func (r *rogue) open(p *pair) {
+func (r *faultyNode) open(p *pair) {
 	switch r.mode {
 	case "no answer":
 		return
 	case "closed without answer":
-		r.world.Closed(p.client)
+		r.world.Close(p.client)
 		return
 	case "forged receipt":
-		r.world.Wrote(p.client, []byte("UP h-0.0.77\r\n"))
+		r.world.Write(p.client, []byte("UP h-0.0.77\r\n"))
 		return
 	case "two answers":
-		r.world.Wrote(p.client, []byte("BUSY\r\n"))
-		r.after(100, func() { r.world.Wrote(p.client, []byte("UP h-0.0.1\r\n")) })
+		r.world.Write(p.client, []byte("BUSY\r\n"))
+		r.after(100, func() { r.world.Write(p.client, []byte("UP h-0.0.1\r\n")) })
 		return
 	case "changed line":
 		p.line = strings.Replace(p.line, " ", " x", 1)
@@ -115,55 +115,55 @@
 }
 
 // dial connects a pair to a host.
-func (r *rogue) dial(p *pair, to string) {
-	p.host = r.world.Dialed(0, to, nil)
+func (r *faultyNode) dial(p *pair, to string) {
+	p.host = r.world.Dial(0, to, nil)
 	r.pairs[p.host] = p
 	p.connects++
 }
 
-func (r *rogue) Up(c *fleet.Conn) {
+func (r *faultyNode) Connected(c *fleet.Conn) {
 	if p := r.pairs[c]; p != nil {
-		r.world.Wrote(c, []byte(p.line))
+		r.world.Write(c, []byte(p.line))
 	}
 }
 
 // handleHostBytes handles the answer of a host.
-func (r *rogue) handleHostBytes(p *pair, b []byte) {
+func (r *faultyNode) handleHostBytes(p *pair, b []byte) {
 	if !p.established && r.mode == "run twice" && p.connects == 1 { // the set-up has run, and is sent to another host
-		r.world.Closed(p.host)
+		r.world.Close(p.host)
 		r.after(100_000, func() { r.dial(p, "host-1") })
 		return
 	}
 	if !p.established && r.mode == "rejected after the set-up ran" {
-		r.world.Closed(p.host)
-		r.world.Wrote(p.client, []byte("BUSY\r\n"))
+		r.world.Close(p.host)
+		r.world.Write(p.client, []byte("BUSY\r\n"))
 		return
 	}
 	up := !p.established && strings.HasPrefix(string(b), "UP ")
 	p.established = p.established || up
-	r.world.Wrote(p.client, b)
+	r.world.Write(p.client, b)
 	if up && r.mode == "disconnect" {
 		r.after(500_000, func() {
-			r.world.Closed(p.client)
-			r.world.Closed(p.host)
+			r.world.Close(p.client)
+			r.world.Close(p.host)
 		})
 	}
 	if up && r.mode == "crash" && !r.crashed {
 		r.crashed = true
-		r.after(1000, func() { r.world.Exited(0, "exit status 2") })
+		r.after(1000, func() { r.world.NodeExited(0, "exit status 2") })
 	}
 }
 
 // finish closes both connections of a pair when one side has ended.
-func (r *rogue) finish(c *fleet.Conn) {
+func (r *faultyNode) finish(c *fleet.Conn) {
 	p := r.pairs[c]
 	if p == nil {
 		return
 	}
 	end := func() {
-		r.world.Closed(p.client)
+		r.world.Close(p.client)
 		if p.host != nil {
-			r.world.Closed(p.host)
+			r.world.Close(p.host)
 		}
 	}
 	if r.mode == "late close" && c == p.host {
@@ -171,13 +171,13 @@
 		return
 	}
 	if c == p.host && !p.established {
-		r.world.Wrote(p.client, []byte("ERR\r\n"))
+		r.world.Write(p.client, []byte("ERR\r\n"))
 	}
 	end()
 }
 
-func (r *rogue) End(c *fleet.Conn)    { r.finish(c) }
-func (r *rogue) Broken(c *fleet.Conn) { r.finish(c) }
+func (r *faultyNode) PeerClosed(c *fleet.Conn) { r.finish(c) }
+func (r *faultyNode) Reset(c *fleet.Conn)      { r.finish(c) }
 
 // play plays the script against a rogue, with one text of the script replaced and another appended.
 func play(t *testing.T, mode, more string, from, to string) *record.Run {
@@ -186,11 +186,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rogue{mode: mode, pairs: map[*fleet.Conn]*pair{}}
-	r.world = fleet.New(s, 1, r, fleet.Places{Discovery: func(_, n int) string { return "discovery" }, Lead: 100_000})
+	r := &faultyNode{mode: mode, pairs: map[*fleet.Conn]*pair{}}
+	r.world = fleet.New(s, 1, r, fleet.Environment{Discovery: func(_, n int) string { return "discovery" }, LeadTime: 100_000})
 	r.world.Begin()
-	r.world.Advance(r.world.End())
-	return r.world.Run()
+	r.world.Advance(r.world.AnswerDeadline())
+	return r.world.Record()
 }
 
 // TestEachRuleFindsItsBreach breaks each rule with a node that does nothing else wrong, and checks that the breach is
@@ -247,7 +247,7 @@
 	for _, b := range rules.Check(r) {
 		t.Error(b.Report(r))
 	}
-	if n := r.Sum().Answers["established"]; n < 20 {
+	if n := r.Summarize().Answers["established"]; n < 20 {
 		t.Errorf("%d flows established", n)
 	}
 }
--- a/rehearsal/scenario/check.go
+++ b/rehearsal/scenario/check.go
@@ -8,7 +8,7 @@
 )
 
 // checkSpan requires a length of time to be from low to high.
-func (p *problems) checkSpan(key string, value, low, high Span) {
+func (p *problems) checkSpan(key string, value, low, high Duration) {
 	if value < low || value > high {
 		p.add(key, "%v is out of range: %v to %v", value, low, high)
 	}
@@ -58,7 +58,7 @@
 func (s *Script) checkNetwork(p *problems) {
 	for _, delay := range []struct {
 		key string
-		v   Span
+		v   Duration
 	}{{"same", s.Network.SameZone}, {"cross", s.Network.CrossZone}, {"client", s.Network.Client}} {
 		p.checkSpan("network."+delay.key, delay.v, 1, 10*second)
 	}
@@ -74,7 +74,7 @@
 
 func (s *Script) checkFleet(p *problems) {
 	fleet := s.Fleet
-	p.checkNumber("fleet.flows_per_core", fleet.PerCore, 0.1, 1e5)
+	p.checkNumber("fleet.flows_per_core", fleet.FlowsPerCore, 0.1, 1e5)
 	p.checkNumber("fleet.cap", fleet.ConnectionCap, 0.1, 1000)
 	p.checkSpan("fleet.setup_work", fleet.SetupWork, 1, 10*second)
 	p.checkSpan("fleet.probe_work", fleet.ProbeWork, 0, second)
@@ -147,8 +147,8 @@
 	p.checkNumber("node.admission.reserve", float64(node.Admission.Reserve), 0, 1e6)
 	for _, cost := range []struct {
 		key string
-		v   Span
-	}{{"turn_cost", node.Turn}, {"event_cost", node.Event}, {"socket_cost", node.Socket}, {"kb_cost", node.KB}} {
+		v   Duration
+	}{{"turn_cost", node.IterationCost}, {"event_cost", node.EventCost}, {"socket_cost", node.SocketCost}, {"kb_cost", node.KilobyteCost}} {
 		p.checkSpan("node."+cost.key, cost.v, 0, second)
 	}
 }
@@ -161,7 +161,7 @@
 	p.checkNumber("clients.honour", clients.HonourShare, 0, 1)
 	for _, pair := range []struct {
 		key string
-		v   [2]Span
+		v   [2]Duration
 	}{{"back", clients.ReturnAfterBreak}, {"moved", clients.ReturnAfterMove}} {
 		if pair.v[0] < 0 || pair.v[1] < pair.v[0] || pair.v[1] > hour {
 			p.add("clients."+pair.key, "%v to %v is out of range: two times, the shorter first", pair.v[0], pair.v[1])
@@ -198,7 +198,7 @@
 		key := fmt.Sprintf("cluster.limits.%d", i)
 		p.checkWord(key+".over", l.Over, "address", "type", "group", "host", "cold")
 		p.checkWord(key+".promise", l.Promise, "strict", "available")
-		if !s.Cluster.On {
+		if !s.Cluster.Enabled {
 			p.add(key+".over", "cluster.on is false")
 		}
 		if l.AtOnce != 0 {
@@ -253,12 +253,12 @@
 }
 
 // checkClientGroup checks a group of looping or bulk clients.
-func (s *Script) checkClientGroup(p *problems, key string, from, length Span, count int, kind, zone string) {
+func (s *Script) checkClientGroup(p *problems, key string, from, length Duration, count int, kind, zone string) {
 	p.checkSpan(key+".at", from, 0, s.Length)
 	p.checkSpan(key+".for", length, 0, s.Length)
 	p.checkNumber(key+".count", float64(count), 1, 10_000)
 	s.checkZone(p, key+".zone", zone, true)
-	if s.TypeNo(kind) < 0 && kind != "" {
+	if s.TypeIndex(kind) < 0 && kind != "" {
 		p.add(key+".type", "%q is not a service type", kind)
 	}
 }
@@ -287,7 +287,7 @@
 	} else if fault.Parts != 0 {
 		p.add(key+".parts", "has no meaning for %s", fault.Kind)
 	}
-	if strings.HasPrefix(fault.Kind, "link_") && (!s.Cluster.On || s.Cluster.Alone) {
+	if strings.HasPrefix(fault.Kind, "link_") && (!s.Cluster.Enabled || s.Cluster.Isolated) {
 		p.add(key+".kind", "nodes have no links: cluster.on is false or cluster.alone is true")
 	}
 	if fault.Kind == "delay" || fault.Kind == "link_delay" {
@@ -341,7 +341,7 @@
 	return n
 }
 
-// TypeNo returns the index of a service type, or -1 if there is none of that name.
-func (s *Script) TypeNo(name string) int {
+// TypeIndex returns the index of a service type, or -1 if there is none of that name.
+func (s *Script) TypeIndex(name string) int {
 	return slices.IndexFunc(s.Types, func(t ServiceType) bool { return t.Name == name })
 }
--- a/rehearsal/scenario/flows.go
+++ b/rehearsal/scenario/flows.go
@@ -15,7 +15,7 @@
 const flowsHeader = "# at_us type zone group key load,after_us:load... life_us"
 
 // WriteFlows writes clients in the format of the file that Demand.Flows names: one per line, with - for no group.
-func WriteFlows(to io.Writer, s *Script, all []Recorded) error {
+func WriteFlows(to io.Writer, s *Script, all []RecordedClient) error {
 	w := bufio.NewWriter(to)
 	fmt.Fprintln(w, flowsHeader)
 	for _, client := range all {
@@ -51,7 +51,7 @@
 			p.all = append(p.all, problem{p.lines["demand.flows"], "demand.flows", fmt.Sprintf("%s:%d: %v", path, line, err)})
 			return // the other lines are likely to have the same problem
 		}
-		s.Recorded = append(s.Recorded, client)
+		s.RecordedClients = append(s.RecordedClients, client)
 	}
 	if err := scanner.Err(); err != nil {
 		p.add("demand.flows", "%v", err)
@@ -59,7 +59,7 @@
 }
 
 // formatLoads formats the loads of a client: LOAD,AFTER:LOAD,... with times in microseconds.
-func formatLoads(all []Step) string {
+func formatLoads(all []LoadStep) string {
 	var b strings.Builder
 	for i, step := range all {
 		if i > 0 {
@@ -71,7 +71,7 @@
 }
 
 // parseLoads is the inverse of formatLoads.
-func parseLoads(text string) (all []Step, err error) {
+func parseLoads(text string) (all []LoadStep, err error) {
 	for i, part := range strings.Split(text, ",") {
 		after, load, ok := strings.Cut(part, ":")
 		if i == 0 {
@@ -79,23 +79,23 @@
 		}
 		at, afterErr := strconv.ParseInt(after, 10, 64)
 		value, loadErr := strconv.ParseFloat(load, 64)
-		if !ok || afterErr != nil || loadErr != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Span(at) < all[i-1].After {
+		if !ok || afterErr != nil || loadErr != nil || !(value > 0 && value < 1e6) || at < 0 || i > 0 && Duration(at) < all[i-1].After {
 			return nil, fmt.Errorf("load %q: want a number over 0, then times with numbers, in order of time", text)
 		}
-		all = append(all, Step{Span(at), value})
+		all = append(all, LoadStep{Duration(at), value})
 	}
 	return all, nil
 }
 
 // parseRecorded parses the fields of one client.
-func (s *Script) parseRecorded(fields []string) (client Recorded, err error) {
+func (s *Script) parseRecorded(fields []string) (client RecordedClient, err error) {
 	if len(fields) != 7 {
 		return client, fmt.Errorf("%d fields, want the 7 of %q", len(fields), flowsHeader)
 	}
 	at, atErr := strconv.ParseInt(fields[0], 10, 64)
 	life, lifeErr := strconv.ParseInt(fields[6], 10, 64)
 	loads, loadsErr := parseLoads(fields[5])
-	client = Recorded{At: Span(at), Type: s.TypeNo(fields[1]), Key: fields[4], Loads: loads, Life: Span(life), Zone: -1}
+	client = RecordedClient{At: Duration(at), Type: s.TypeIndex(fields[1]), Key: fields[4], Loads: loads, Life: Duration(life), Zone: -1}
 	for i, z := range s.Zones {
 		if z == fields[2] {
 			client.Zone = i
--- a/rehearsal/scenario/limits.go
+++ b/rehearsal/scenario/limits.go
@@ -3,7 +3,7 @@
 // FleetLimits returns the limits that all nodes of the fleet keep together: the rate of node.admission per address, and
 // those that the script lists. There are none if the cluster is off.
 func (s *Script) FleetLimits() (limits []Limit) {
-	if !s.Cluster.On {
+	if !s.Cluster.Enabled {
 		return nil
 	}
 	if admission := s.Node.Admission; admission.Rate > 0 {
--- a/rehearsal/scenario/read.go
+++ b/rehearsal/scenario/read.go
@@ -17,8 +17,8 @@
 //go:embed scripts/*.toml
 var shipped embed.FS
 
-// Shipped returns the names of the scripts that come with the program, in order.
-func Shipped() []string {
+// ShippedNames returns the names of the scripts that come with the program, in order.
+func ShippedNames() []string {
 	files, _ := fs.Glob(shipped, "scripts/*.toml")
 	var names []string
 	for _, f := range files {
@@ -40,7 +40,7 @@
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("%w (shipped scripts: %s)", err, strings.Join(Shipped(), ", "))
+		return nil, fmt.Errorf("%w (shipped scripts: %s)", err, strings.Join(ShippedNames(), ", "))
 	}
 	return Parse(name, text)
 }
--- a/rehearsal/scenario/scenario_test.go
+++ b/rehearsal/scenario/scenario_test.go
@@ -27,7 +27,7 @@
 
 // TestShippedScriptsAreValid checks that every shipped script can be read and has the name of its file.
 func TestShippedScriptsAreValid(t *testing.T) {
-	names := Shipped()
+	names := ShippedNames()
 	if len(names) < 8 {
 		t.Errorf("%d shipped scripts, want at least 8", len(names))
 	}
@@ -79,12 +79,12 @@
 	if err := os.WriteFile(path, []byte(validScript), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := LoadWith(path, []string{`types.0.benefit=3.5`, `fleet.buffer="2s"`})
+	s, err := LoadWithOverrides(path, []string{`types.0.benefit=3.5`, `fleet.buffer="2s"`})
 	if err != nil || s.Types[0].Benefit != 3.5 || s.Fleet.Buffer != 2*second {
 		t.Errorf("error %v, script %+v: the overrides are not applied", err, s)
 	}
 	for _, bad := range []string{"types.7.benefit=1", "fleet.bufer=1", "rate", "demand.rate=fast"} {
-		if _, err := LoadWith(path, []string{bad}); err == nil {
+		if _, err := LoadWithOverrides(path, []string{bad}); err == nil {
 			t.Errorf("override %q was accepted", bad)
 		}
 	}
@@ -97,8 +97,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []Recorded{{At: 5, Zone: 1, Key: "k", Loads: []Step{{0, 1.5}, {70, 2}}, Life: 9}, {At: 6, Group: "g1", Key: "l",
-		Loads: []Step{{0, 1}}, Life: 8}}
+	all := []RecordedClient{{At: 5, Zone: 1, Key: "k", Loads: []LoadStep{{0, 1.5}, {70, 2}}, Life: 9}, {At: 6, Group: "g1", Key: "l",
+		Loads: []LoadStep{{0, 1}}, Life: 8}}
 	var b bytes.Buffer
 	if err := WriteFlows(&b, s, all); err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 		return Parse(filepath.Join(dir, "s.toml"), []byte(text))
 	}
 	got, err := write(b.String())
-	if err != nil || len(got.Recorded) != 2 || got.Recorded[0].Loads[1] != all[0].Loads[1] || got.Recorded[1].Group != "g1" {
+	if err != nil || len(got.RecordedClients) != 2 || got.RecordedClients[0].Loads[1] != all[0].Loads[1] || got.RecordedClients[1].Group != "g1" {
 		t.Fatalf("error %v, script %+v: the flows are not those written", err, got)
 	}
 	for _, bad := range []string{"1 t a - k 1", "x t a - k 1 1", "1 u a - k 1 1", "1 t z - k 1 1", "1 t a - k 0 1",
--- a/rehearsal/trial/html.go
+++ b/rehearsal/trial/html.go
@@ -39,8 +39,8 @@
 	Plot template.HTML
 }
 
-// HTML writes the results of an experiment as one page that needs no other files.
-func HTML(w io.Writer, results []Result, seeds int) error {
+// WriteHTML writes the results of an experiment as one page that needs no other files.
+func WriteHTML(w io.Writer, results []Result, seeds int) error {
 	var all []section
 	for i := 0; i < len(results); {
 		s := section{Name: results[i].Script}
@@ -79,10 +79,10 @@
 		if err != nil {
 			return "", err
 		}
-		box.FillColor = report.Colours[i%len(report.Colours)]
+		box.FillColor = report.Palette[i%len(report.Palette)]
 		p.Add(box)
 		names = append(names, c.Variant)
 	}
 	p.NominalX(names...)
-	return report.Draw(p, 22*vg.Centimeter, 7*vg.Centimeter)
+	return report.RenderSVG(p, 22*vg.Centimeter, 7*vg.Centimeter)
 }
--- a/rehearsal/trial/sweep.go
+++ b/rehearsal/trial/sweep.go
@@ -19,12 +19,12 @@
 
 // Sweep plays a script at several multiples of its demand and with several numbers of nodes, always with the same hosts.
 type Sweep struct {
-	Script  string
-	Changes []string  // of the script, KEY=VALUE
-	Times   []float64 // multiples of the script's demand rate
-	Nodes   []int     // nodes in each zone
-	Seeds   int
-	Workers int // runs at the same time; 0 for one a core
+	Script        string
+	Changes       []string  // of the script, KEY=VALUE
+	DemandFactors []float64 // multiples of the script's demand rate
+	Nodes         []int     // nodes in each zone
+	Seeds         int
+	Workers       int // runs at the same time; 0 for one a core
 }
 
 // SweepResult holds the figures of a fleet at one size and multiple. Each is the median over the seeds, except
@@ -51,7 +51,7 @@
 	type job struct{ result, seed int }
 	var all []SweepResult
 	for _, n := range p.Nodes {
-		for _, t := range p.Times {
+		for _, t := range p.DemandFactors {
 			all = append(all, SweepResult{Nodes: n, DemandFactor: t})
 		}
 	}
@@ -92,7 +92,7 @@
 
 // play plays the script once, at one size and multiple, and stores the figures of the run.
 func (p Sweep) play(to *SweepResult, at SweepResult, seed uint64) error {
-	s, err := scenario.LoadWith(p.Script, p.Changes)
+	s, err := scenario.LoadWithOverrides(p.Script, p.Changes)
 	if err != nil {
 		return err
 	}
@@ -111,15 +111,15 @@
 
 // measure returns the figures of a run at a multiple of the script's demand.
 func measure(s *scenario.Script, r *record.Run, factor float64) (l SweepResult) {
-	f, unit := r.Sum(), 0.0
+	f, unit := r.Summarize(), 0.0
 	for _, sec := range r.Seconds {
 		wanted := make([]float64, len(s.Types))
 		for t, k := range s.Types {
-			wanted[t] = sec.Wanted[t] / k.Benefit
-			unit += sec.Wanted[t] / factor
+			wanted[t] = sec.Requested[t] / k.Benefit
+			unit += sec.Requested[t] / factor
 			l.Goodput += sec.Served[t]
 		}
-		l.BestGoodput += fleet.Best(s, wanted)
+		l.BestGoodput += fleet.MaxBenefitRate(s, wanted)
 	}
 	unit = max(unit, 1e-9)
 	l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10 = factor, l.Goodput/unit, l.BestGoodput/unit, f.Worst10
@@ -130,7 +130,7 @@
 	seconds := float64(r.Length) / 1e6
 	l.Rejected = float64(f.Answers["rejected"]+f.Answers["aborted"]) / float64(max(answers, 1))
 	l.EstablishedPerSecond = float64(f.Answers["established"]) / seconds
-	l.ConnectsPerFlow = f.PerFlow
+	l.ConnectsPerFlow = f.ConnectsPerFlow
 	l.ProbesPerSecond = float64(r.Counts.Probes) / seconds
 	l.rejectionVariances = rejectionVariances(r)
 	for _, h := range r.Hosts {
@@ -159,11 +159,11 @@
 	type cell struct{ flows, rejected float64 }
 	cells := map[[2]int]*cell{}
 	for _, f := range r.Flows {
-		outcome, _ := f.Answer()
-		c := cells[[2]int{f.Type, f.Node}]
+		outcome, _ := f.Outcome()
+		c := cells[[2]int{f.ServiceType, f.Node}]
 		if c == nil {
 			c = &cell{}
-			cells[[2]int{f.Type, f.Node}] = c
+			cells[[2]int{f.ServiceType, f.Node}] = c
 		}
 		if c.flows++; outcome == "rejected" {
 			c.rejected++
@@ -221,8 +221,8 @@
 	return l
 }
 
-// SweepText writes the results of a sweep for people, as a table.
-func SweepText(w io.Writer, all []SweepResult) {
+// WriteSweepText writes the results of a sweep for people, as a table.
+func WriteSweepText(w io.Writer, all []SweepResult) {
 	fmt.Fprintf(w, "%6s %6s %8s %8s %8s %9s %7s %8s %9s %8s %7s %7s %7s\n", "nodes", "times", "goodput", "best", "worst10s",
 		"rejected", "spread", "up a s", "connects", "probes", "busy", "top", "broken")
 	for _, l := range all {
--- a/rehearsal/trial/sweep_test.go
+++ b/rehearsal/trial/sweep_test.go
@@ -6,7 +6,7 @@
 // their peak goodput and nodes without links 0.6. Without overload control they reach at most half of what linked nodes do.
 func TestGoodputOfOverloadedFleet(t *testing.T) {
 	play := func(changes ...string) []SweepResult {
-		all, err := Sweep{Script: "fleet-overload", Changes: changes, Times: []float64{2, 5, 10}, Nodes: []int{4}, Seeds: 2}.Run()
+		all, err := Sweep{Script: "fleet-overload", Changes: changes, DemandFactors: []float64{2, 5, 10}, Nodes: []int{4}, Seeds: 2}.Run()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/rehearsal/trial/text.go
+++ b/rehearsal/trial/text.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Text writes the results of an experiment for people, as one table for each script.
-func Text(w io.Writer, results []Result, seeds int) {
+// WriteText writes the results of an experiment for people, as one table for each script.
+func WriteText(w io.Writer, results []Result, seeds int) {
 	width := 8 // of the first column
 	for _, c := range results {
 		width = max(width, len(c.Variant))
--- a/rehearsal/trial/trial.go
+++ b/rehearsal/trial/trial.go
@@ -61,29 +61,29 @@
 }
 
 // play plays a script once and returns the summary of the run.
-func (v Variant) play(script string, seed uint64) (report.Sum, error) {
+func (v Variant) play(script string, seed uint64) (report.Summary, error) {
 	if v.Program != "" {
 		return v.playBuild(script, seed)
 	}
-	s, err := scenario.LoadWith(script, v.Changes)
+	s, err := scenario.LoadWithOverrides(script, v.Changes)
 	if err != nil {
-		return report.Sum{}, err
+		return report.Summary{}, err
 	}
 	opt := virtual.Options{Seed: seed}
 	if v.Baseline != "" {
-		if opt.Decide, err = baseline.New(v.Baseline); err != nil {
-			return report.Sum{}, err
+		if opt.NewDecider, err = baseline.New(v.Baseline); err != nil {
+			return report.Summary{}, err
 		}
 	}
 	r, err := virtual.Play(s, opt)
 	if err != nil {
-		return report.Sum{}, err
+		return report.Summary{}, err
 	}
-	return report.Of(r, rules.Check(r)), nil
+	return report.Summarize(r, rules.Check(r)), nil
 }
 
 // playBuild plays a script with another build of the command. A run with breaches (exit code 2) has figures too.
-func (v Variant) playBuild(script string, seed uint64) (sum report.Sum, err error) {
+func (v Variant) playBuild(script string, seed uint64) (sum report.Summary, err error) {
 	c := exec.Command(v.Program, "play", script, "--json", "--seed", strconv.FormatUint(seed, 10))
 	var out, errOut bytes.Buffer
 	c.Stdout, c.Stderr = &out, &errOut
@@ -94,21 +94,21 @@
 	return sum, nil
 }
 
-// Plan is an experiment. The other variants are compared with the first one.
-type Plan struct {
-	Scripts  []string
-	Variants []Variant
-	Seeds    int
-	First    uint64 // first seed
-	Workers  int    // runs at the same time; 0 for one a core
-	Progress func(done, all int)
+// Experiment is an experiment. The other variants are compared with the first one.
+type Experiment struct {
+	Scripts   []string
+	Variants  []Variant
+	Seeds     int
+	FirstSeed uint64 // first seed
+	Workers   int    // runs at the same time; 0 for one a core
+	Progress  func(done, all int)
 }
 
 // Result holds the runs of a variant on a script, over all seeds.
 type Result struct {
 	Script   string                  `json:"script"`
 	Variant  string                  `json:"variant"`
-	Runs     []report.Sum            `json:"-"`
+	Runs     []report.Summary        `json:"-"`
 	Mean     map[string]float64      `json:"mean"`
 	Diff     map[string]Interval     `json:"diff,omitempty"` // from the first variant, by seed
 	Breaches map[string]int          `json:"breaches"`
@@ -126,7 +126,7 @@
 var MetricNames = []string{"service", "worst_10s", "worst_type", "connects", "crossings", "moves", "breaks", "rejected"}
 
 // metricValues returns the figures of a run by their names.
-func metricValues(s report.Sum) map[string]float64 {
+func metricValues(s report.Summary) map[string]float64 {
 	n := float64(max(s.Flows, 1))
 	return map[string]float64{"service": s.Service, "worst_10s": s.Worst10, "worst_type": s.WorstType, "connects": s.Connects,
 		"crossings": s.Crossings, "moves": s.Moves, "breaks": float64(s.Breaks) / n,
@@ -135,11 +135,11 @@
 
 // Run plays the experiment with several workers. The result does not depend on their number. It fails with the first error of
 // a run.
-func (p Plan) Run() ([]Result, error) {
+func (p Experiment) Run() ([]Result, error) {
 	results := make([]Result, 0, len(p.Scripts)*len(p.Variants))
 	for _, s := range p.Scripts {
 		for _, v := range p.Variants {
-			results = append(results, Result{Script: s, Variant: v.Name, Runs: make([]report.Sum, p.Seeds)})
+			results = append(results, Result{Script: s, Variant: v.Name, Runs: make([]report.Summary, p.Seeds)})
 		}
 	}
 	workers := p.Workers
@@ -157,7 +157,7 @@
 		go func() {
 			defer wg.Done()
 			for j := range jobs {
-				sum, err := p.Variants[j.result%len(p.Variants)].play(results[j.result].Script, p.First+uint64(j.seed))
+				sum, err := p.Variants[j.result%len(p.Variants)].play(results[j.result].Script, p.FirstSeed+uint64(j.seed))
 				mu.Lock()
 				results[j.result].Runs[j.seed] = sum
 				if firstErr == nil && err != nil {
--- a/rehearsal/trial/trial_test.go
+++ b/rehearsal/trial/trial_test.go
@@ -18,8 +18,8 @@
 }
 
 // plan returns an experiment with six seeds of a small script.
-func plan(t *testing.T, workers int, variants ...string) Plan {
-	p := Plan{Scripts: []string{"small-twin"}, Seeds: 6, First: 1, Workers: workers}
+func plan(t *testing.T, workers int, variants ...string) Experiment {
+	p := Experiment{Scripts: []string{"small-twin"}, Seeds: 6, FirstSeed: 1, Workers: workers}
 	for _, text := range variants {
 		v, err := ParseVariant(text)
 		if err != nil {
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		Text(&texts[i], results, 6)
+		WriteText(&texts[i], results, 6)
 		if i > 0 {
 			continue
 		}
@@ -57,7 +57,7 @@
 			}
 		}
 		var html bytes.Buffer
-		if err := HTML(&html, results, 6); err != nil || !strings.Contains(html.String(), "<svg") ||
+		if err := WriteHTML(&html, results, 6); err != nil || !strings.Contains(html.String(), "<svg") ||
 			strings.Contains(html.String(), "src=") {
 			t.Errorf("page without a plot, or with references to other files: %v", err)
 		}
--- a/rehearsal/virtual/bytes_test.go
+++ b/rehearsal/virtual/bytes_test.go
@@ -31,7 +31,7 @@
 	for _, n := range []int{12, 60} {
 		var got [2]float64
 		for i, limits := range []string{"", tenLimits} {
-			s, err := scenario.LoadWith("fleet-overload", []string{"cluster.on=true", fmt.Sprintf("length=\"%ds\"", seconds), "demand.rate=5",
+			s, err := scenario.LoadWithOverrides("fleet-overload", []string{"cluster.on=true", fmt.Sprintf("length=\"%ds\"", seconds), "demand.rate=5",
 				fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, n), "cluster.limits=[" + limits + "]"})
 			if err != nil {
 				t.Fatal(err)
@@ -45,12 +45,12 @@
 				}
 			}
 			sentBefore := 0
-			watch := func(at int64, _ map[int][]node.Hold) {
+			watch := func(at int64, _ map[int][]node.Holding) {
 				if at == from {
 					sentBefore = sent
 				}
 			}
-			if _, err := Play(s, Options{Configure: tune, Watch: watch}); err != nil {
+			if _, err := Play(s, Options{Configure: tune, OnSecond: watch}); err != nil {
 				t.Fatal(err)
 			}
 			got[i] = float64(sent-sentBefore) / (seconds - from/1e6) / float64(n)
--- a/rehearsal/virtual/cluster.go
+++ b/rehearsal/virtual/cluster.go
@@ -33,17 +33,17 @@
 }
 
 // now returns the time of day by the node's own clock, in microseconds.
-func (v *vnode) now() int64 { return startTimeOfDay + v.clock.timeAt(v.player.world.Now()) }
+func (v *emulatedNode) now() int64 { return startTimeOfDay + v.clock.timeAt(v.player.world.Now()) }
 
-// Clock makes a node's clock jump and sets its rate.
-func (p *player) Clock(no int, jump int64, rate float64) {
+// AdjustClock makes a node's clock jump and sets its rate.
+func (p *player) AdjustClock(no int, jump int64, rate float64) {
 	v, now := p.nodes[no], p.world.Now()
 	v.clock = clock{now, v.clock.timeAt(now) + jump, rate}
 	v.scheduleNow()
 }
 
-// Pause stops a node's process or lets it go on.
-func (p *player) Pause(no int, on bool) {
+// SetPaused stops a node's process or lets it go on.
+func (p *player) SetPaused(no int, on bool) {
 	v := p.nodes[no]
 	v.paused = on
 	if on {
@@ -55,9 +55,9 @@
 }
 
 // configureCluster sets a node's cluster configuration: its name, the limits of the fleet and its links to the other nodes.
-func (v *vnode) configureCluster(c *node.Config, seed uint64) {
+func (v *emulatedNode) configureCluster(c *node.Config, seed uint64) {
 	s := v.player.script
-	if !s.Cluster.On {
+	if !s.Cluster.Enabled {
 		return
 	}
 	c.Cluster = node.Cluster{On: true, Name: c.Cluster.Name, Process: seed*0x9e3779b97f4a7c15 + uint64(v.generation) + 1}
@@ -65,9 +65,9 @@
 		strict := l.Promise == "strict"
 		c.Cluster.Limits = append(c.Cluster.Limits, node.FleetLimit{Over: l.Over, Of: l.Of,
 			Rate:   limits.Limit{Rate: l.Rate, Burst: l.Burst, Strict: strict},
-			AtOnce: permits.Limit{Most: l.AtOnce, Strict: strict}})
+			AtOnce: permits.Limit{Max: l.AtOnce, Strict: strict}})
 	}
-	if s.Cluster.Alone {
+	if s.Cluster.Isolated {
 		return
 	}
 	c.Cluster.Others = s.NodeCount() - 1
@@ -76,10 +76,10 @@
 			return // the first process has its address, so it can neither receive nor send
 		}
 		generation := v.generation
-		v.cost += float64(s.Node.Event)
+		v.cost += float64(s.Node.EventCost)
 		v.afterCost(func() {
 			if v.generation == generation {
-				v.player.world.Told(v.index, nodeAtPeerIndex(v.index, to), d)
+				v.player.world.SendDatagram(v.index, nodeAtPeerIndex(v.index, to), d)
 			}
 		})
 	}
@@ -101,8 +101,8 @@
 	return other
 }
 
-// Datagram delivers a datagram of another node. Of two processes of one name the first has the address until it ends.
-func (p *player) Datagram(no, from int, d []byte) {
+// ReceiveDatagram delivers a datagram of another node. Of two processes of one name the first has the address until it ends.
+func (p *player) ReceiveDatagram(no, from int, d []byte) {
 	v := p.nodes[no]
 	if v.core == nil {
 		return
@@ -117,14 +117,14 @@
 	payload []byte
 }
 
-// Twin starts or ends a second process under a node's name. It has no clients.
-func (p *player) Twin(no int, conf fleet.Conf, on bool) {
+// SetDuplicate starts or ends a second process under a node's name. It has no clients.
+func (p *player) SetDuplicate(no int, conf fleet.NodeConfig, on bool) {
 	if t := p.duplicates[no]; t != nil {
 		t.discardProcess()
 		delete(p.duplicates, no)
 	}
 	if on {
-		t := &vnode{player: p, index: no, iterationAt: never}
+		t := &emulatedNode{player: p, index: no, iterationAt: never}
 		t.generation = 1 << 20 // the first process never counts so far
 		p.duplicates[no] = t
 		conf.Seed ^= 1 << 40
--- a/rehearsal/virtual/cluster_test.go
+++ b/rehearsal/virtual/cluster_test.go
@@ -75,7 +75,7 @@
 // TestOverloadAfterHostLoss lets a third of the hosts die, which alone overloads the others. Together they must serve at
 // least seven tenths of what they can. Three seeds are summed because single ones differ by a third.
 func TestOverloadAfterHostLoss(t *testing.T) {
-	s, err := scenario.LoadWith("fleet-overload", []string{"hosts.2.count=1"})
+	s, err := scenario.LoadWithOverrides("fleet-overload", []string{"hosts.2.count=1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,9 +85,9 @@
 		for _, sec := range r.Seconds[40:60] {
 			wanted := make([]float64, len(s.Types))
 			for i, k := range s.Types {
-				wanted[i] = sec.Wanted[i] / k.Benefit
+				wanted[i] = sec.Requested[i] / k.Benefit
 			}
-			best += fleet.Best(s, wanted) / 20
+			best += fleet.MaxBenefitRate(s, wanted) / 20
 		}
 		got += servedPerSecond(r, 40, 60)
 	}
@@ -104,7 +104,7 @@
 			{at="20s",times=10.0},{at="25s",times=10.0},{at="25s",times=1.0}]`)
 		wanted := 0.0
 		for _, sec := range r.Seconds[35:60] {
-			for _, v := range sec.Wanted {
+			for _, v := range sec.Requested {
 				wanted += v / 25
 			}
 		}
--- a/rehearsal/virtual/cold_test.go
+++ b/rehearsal/virtual/cold_test.go
@@ -29,8 +29,8 @@
 			play := func(seed int, limits string) (share, worst float64, collapses int) {
 				r := playOverload(t, fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, c.nodes), fmt.Sprintf("seed=%d", seed),
 					"cluster.limits=["+limits+"]", "faults=["+hostsReturn+c.faults+"]")
-				sent, allowed, worst := r.Cold()
-				return float64(sent) / allowed, worst, r.Counts.Falls
+				sent, allowed, worst := r.ColdTotals()
+				return float64(sent) / allowed, worst, r.Counts.Collapses
 			}
 			estimated, granted, most, seeds := 0.0, 0.0, 0.0, 2
 			if c.faults != "" {
--- a/rehearsal/virtual/fleet_cold_test.go
+++ b/rehearsal/virtual/fleet_cold_test.go
@@ -15,9 +15,9 @@
 			fmt.Sprintf("seed=%d", seed+1), `faults=[{at="15s",kind="crash",hosts=["h-0","h-4","h-8"],for="4s"}]`)
 		sent := 0
 		for _, h := range r.Hosts {
-			sent += h.ColdSent
+			sent += h.ColdConnects
 		}
-		t.Logf("%d nodes, seed %d, rate %g: %d cold hosts overloaded, %d connects to cold hosts", nodes, seed+1, rate, r.Counts.Falls, sent)
+		t.Logf("%d nodes, seed %d, rate %g: %d cold hosts overloaded, %d connects to cold hosts", nodes, seed+1, rate, r.Counts.Collapses, sent)
 		if rate > 10 && sent < 10 {
 			t.Errorf("%d nodes, seed %d, rate %g: %d connects to cold hosts, too few to show anything", nodes, seed+1, rate, sent)
 		}
--- a/rehearsal/virtual/limits_test.go
+++ b/rehearsal/virtual/limits_test.go
@@ -19,7 +19,7 @@
 // establishedTimes returns when the flows of the loop were established. They are recognized by their load of 0.01.
 func establishedTimes(r *record.Run) (all []int64) {
 	for _, f := range r.Flows {
-		if outcome, at := f.Answer(); f.Load == 0.01 && outcome == "established" {
+		if outcome, at := f.Outcome(); f.Load == 0.01 && outcome == "established" {
 			all = append(all, at)
 		}
 	}
@@ -32,7 +32,7 @@
 	most = -1e9
 	for i := range all {
 		for j := i; j < len(all); j++ {
-			most = max(most, float64(j-i+1)-l.Most(nodes, all[j]-all[i]+late))
+			most = max(most, float64(j-i+1)-l.MaxAdmitted(nodes, all[j]-all[i]+late))
 		}
 	}
 	return most
@@ -53,7 +53,7 @@
 			for _, f := range r.Flows {
 				if f.Load != 0.01 {
 					others++
-					if outcome, _ := f.Answer(); outcome == "established" {
+					if outcome, _ := f.Outcome(); outcome == "established" {
 						othersEstablished++
 					}
 				}
@@ -100,7 +100,7 @@
 	failedConnects := func(changes ...string) (n int) {
 		for seed := range 16 {
 			n += playChecked(t, "fleet-overload", append([]string{"discovery.notice=\"8s\"", "demand.rate=20", "demand.life=\"3s\"", "length=\"40s\"",
-				fmt.Sprintf("seed=%d", seed+1), `faults=[{at="20s",kind="crash",hosts=["h-0","h-4"]}]`}, changes...)...).Counts.Unsent
+				fmt.Sprintf("seed=%d", seed+1), `faults=[{at="20s",kind="crash",hosts=["h-0","h-4"]}]`}, changes...)...).Counts.FailedConnects
 		}
 		return n
 	}
--- a/rehearsal/virtual/loop.go
+++ b/rehearsal/virtual/loop.go
@@ -13,8 +13,8 @@
 	"coursewinch/settings"
 )
 
-// vnode is one node with its sockets and its event loop. It implements node.Net.
-type vnode struct {
+// emulatedNode is one node with its sockets and its event loop. It implements node.Net.
+type emulatedNode struct {
 	player        *player
 	index         int
 	core          *node.Node // nil while no process runs
@@ -38,25 +38,25 @@
 }
 
 // start starts a process.
-func (v *vnode) start(conf fleet.Conf) {
+func (v *emulatedNode) start(conf fleet.NodeConfig) {
 	p, no := v.player, v.index
-	set, err := settings.JSON([]byte(conf.Settings))
+	set, err := settings.ParseJSON([]byte(conf.Settings))
 	if err != nil {
 		p.fail(fmt.Errorf("settings of node n-%d: %w", no, err))
 		return
 	}
-	known, err := discovery.ParseList([]byte(conf.Known))
+	known, err := discovery.ParseList([]byte(conf.KnownHosts))
 	if err != nil {
 		p.fail(fmt.Errorf("list of node n-%d: %w", no, err))
 		return
 	}
 	v.discardProcess()
 	conf.Seed ^= p.options.NodeSeed * 0x9e3779b97f4a7c15
-	c := node.Config{Discovery: conf.Discovery, Seed: int64(conf.Seed >> 1), Decide: p.options.Decide}
+	c := node.Config{Discovery: conf.Discovery, Seed: int64(conf.Seed >> 1), NewDecider: p.options.NewDecider}
 	a := p.script.Node.Admission
 	c.Admission = admission.Limits{PerAddress: a.PerAddress, Rate: a.Rate, Burst: a.Burst, Reserve: a.Reserve}
 	// The buffers of the script belong to the process, not to the node core.
-	c.Limits = node.Limits{Idle: p.script.Node.Holding.Idle.Us(), Stalled: p.script.Node.Holding.Stalled.Us()}
+	c.Limits = node.Limits{Idle: p.script.Node.Holding.Idle.Microseconds(), Stalled: p.script.Node.Holding.Stalled.Microseconds()}
 	if p.options.Capture != "" {
 		file := filepath.Join(p.options.Capture, fmt.Sprintf("n-%d.%d.capture", no, v.generation))
 		w, err := capture.Create(file, maxCaptureBytes,
@@ -81,7 +81,7 @@
 }
 
 // discardProcess ends the process and everything that it holds.
-func (v *vnode) discardProcess() {
+func (v *emulatedNode) discardProcess() {
 	v.collectCounters()
 	v.generation++
 	v.core, v.sockets, v.openSockets, v.backlog = nil, nil, 0, nil
@@ -91,7 +91,7 @@
 }
 
 // collectCounters closes the capture and adds the process's counters to those of the run.
-func (v *vnode) collectCounters() {
+func (v *emulatedNode) collectCounters() {
 	if v.capture != nil {
 		v.capture.Close()
 		v.capture = nil
@@ -99,20 +99,20 @@
 	if v.core != nil {
 		v.player.counters.Panics += v.core.Count.Panics
 		v.player.counters.Connects += v.core.Count.Connects
-		v.player.counters.Asked += v.core.Count.Asked
+		v.player.counters.RequestsSent += v.core.Count.RequestsSent
 	}
 }
 
 // scheduleNow schedules an iteration as soon as the core is free.
-func (v *vnode) scheduleNow() { v.schedule(max(v.player.world.Now(), v.busyUntil)) }
+func (v *emulatedNode) scheduleNow() { v.schedule(max(v.player.world.Now(), v.busyUntil)) }
 
 // schedule schedules a loop iteration. Only the earliest that was asked for takes place.
-func (v *vnode) schedule(at int64) {
+func (v *emulatedNode) schedule(at int64) {
 	if v.core == nil || at >= v.iterationAt {
 		return
 	}
 	v.iterationAt = at
-	v.player.world.At(at, func() {
+	v.player.world.Schedule(at, func() {
 		if v.iterationAt == at {
 			v.iterationAt = never
 			if v.paused {
@@ -124,11 +124,11 @@
 }
 
 // scheduleNext schedules an iteration at the node's next deadline, or at once if there is work.
-func (v *vnode) scheduleNext() {
+func (v *emulatedNode) scheduleNext() {
 	if len(v.inbox) > 0 || len(v.backlog) > 0 && v.hasRoom() {
 		v.scheduleNow()
 	}
-	next, ok := v.core.Next()
+	next, ok := v.core.NextDeadline()
 	if !ok {
 		return
 	}
@@ -138,12 +138,12 @@
 }
 
 // hasRoom tells whether the process may open one more socket.
-func (v *vnode) hasRoom() bool { return v.Room() > 0 }
+func (v *emulatedNode) hasRoom() bool { return v.Room() > 0 }
 
 // runIteration runs one iteration of the node's event loop and accounts for its cost.
-func (v *vnode) runIteration() {
+func (v *emulatedNode) runIteration() {
 	now := v.player.world.Now()
-	v.cost = float64(v.player.script.Node.Turn)
+	v.cost = float64(v.player.script.Node.IterationCost)
 	late := int64(0)
 	if now <= v.busyUntil+minIteration {
 		late = v.lastCost // what came meanwhile has waited at most so long
@@ -151,16 +151,16 @@
 	if v.pausedAt > 0 {
 		late, v.pausedAt = now-v.pausedAt, 0
 	}
-	v.core.Late(late, v.lastCost)
-	v.core.Turn(v.now(), v.dispatch)
+	v.core.ReportLateness(late, v.lastCost)
+	v.core.RunIteration(v.now(), v.dispatch)
 	cost := int64(v.cost / (1 - v.starvedShare))
 	v.busyUntil, v.lastCost = now+max(cost, minIteration), cost
 	if v.core.Done() {
 		generation := v.generation
-		v.player.world.At(v.busyUntil, func() {
+		v.player.world.Schedule(v.busyUntil, func() {
 			if v.generation == generation {
 				v.discardProcess()
-				v.player.world.Exited(v.index, "stopped")
+				v.player.world.NodeExited(v.index, "stopped")
 			}
 		})
 		return
@@ -169,13 +169,13 @@
 }
 
 // dispatch gives the node all that has come since the last iteration.
-func (v *vnode) dispatch() {
+func (v *emulatedNode) dispatch() {
 	if v.stopRequested {
 		v.stopRequested = false
 		v.core.Stop()
 	}
 	if v.newDiscovery != "" {
-		v.core.Follow(v.newDiscovery)
+		v.core.SetDiscovery(v.newDiscovery)
 		v.newDiscovery = ""
 	}
 	inbox := v.inbox
@@ -183,12 +183,12 @@
 	datagrams := v.datagrams
 	v.datagrams = nil
 	for _, d := range datagrams {
-		v.cost += float64(v.player.script.Node.Event)
-		v.core.HeardFrom(peerIndex(v.index, d.from), d.payload)
+		v.cost += float64(v.player.script.Node.EventCost)
+		v.core.ReceiveClusterDatagram(peerIndex(v.index, d.from), d.payload)
 	}
 	for _, i := range inbox {
 		if !i.socket.closed && i.socket.in != nil {
-			v.cost += float64(v.player.script.Node.Event)
+			v.cost += float64(v.player.script.Node.EventCost)
 			v.deliver(i)
 		} else if !i.socket.closed {
 			v.inbox = append(v.inbox, i) // not accepted yet
@@ -198,25 +198,25 @@
 }
 
 // accept accepts and rejects connections of the backlog, as many as the node allows in one iteration.
-func (v *vnode) accept() {
-	take, refuse := v.core.Quota()
+func (v *emulatedNode) accept() {
+	take, refuse := v.core.AcceptQuota()
 	for i := 0; len(v.backlog) > 0 && i < take+refuse; i++ {
 		if i >= take {
 			s := v.backlog[0]
 			v.backlog = v.backlog[1:]
-			v.cost += float64(v.player.script.Node.Socket)
+			v.cost += float64(v.player.script.Node.SocketCost)
 			v.rejectConnection(s)
-			v.core.Refused()
+			v.core.CountRefused()
 			continue
 		}
-		if !v.core.Spare() || v.Room() < 1 {
+		if !v.core.CanAccept() || v.Room() < 1 {
 			return
 		}
 		s := v.backlog[0]
 		v.backlog = v.backlog[1:]
-		v.cost += float64(v.player.script.Node.Socket + v.player.script.Node.Event)
+		v.cost += float64(v.player.script.Node.SocketCost + v.player.script.Node.EventCost)
 		var ok bool
-		if s.id, s.in, s.out, ok = v.core.Accept(s.conn.From); !ok {
+		if s.id, s.in, s.out, ok = v.core.Accept(s.conn.ClientAddress); !ok {
 			v.rejectConnection(s)
 			continue
 		}
@@ -225,16 +225,16 @@
 }
 
 // rejectConnection answers BUSY and closes a connection, as the event loop of a process does.
-func (v *vnode) rejectConnection(s *socket) {
+func (v *emulatedNode) rejectConnection(s *socket) {
 	s.closed = true
 	v.afterCost(func() {
-		v.player.world.Wrote(s.conn, []byte("BUSY\r\n"))
-		v.player.world.Closed(s.conn)
+		v.player.world.Write(s.conn, []byte("BUSY\r\n"))
+		v.player.world.Close(s.conn)
 	})
 }
 
 // deliver gives the node one input.
-func (v *vnode) deliver(i input) {
+func (v *emulatedNode) deliver(i input) {
 	s := i.socket
 	switch i.kind {
 	case inputConnected:
@@ -262,20 +262,20 @@
 }
 
 // receive moves received bytes into the socket's ring, as many as fit, and tells the node.
-func (v *vnode) receive(s *socket) {
+func (v *emulatedNode) receive(s *socket) {
 	got := 0
 	for len(s.unread) > 0 {
-		space := s.in.Space()
+		space := s.in.WriteSpace()
 		n := copy(space, s.unread)
 		if n == 0 {
 			break
 		}
-		s.in.Grow(n)
+		s.in.Commit(n)
 		s.unread = s.unread[n:]
 		got += n
 	}
-	s.in.Drop(0)
-	v.cost += float64(v.player.script.Node.KB) * float64(got) / 1024
+	s.in.Discard(0)
+	v.cost += float64(v.player.script.Node.KilobyteCost) * float64(got) / 1024
 	if got > 0 {
 		v.core.Received(s.id)
 	}
@@ -288,14 +288,14 @@
 }
 
 // afterCost does something when the core has worked off the cost of this iteration so far.
-func (v *vnode) afterCost(do func()) {
+func (v *emulatedNode) afterCost(do func()) {
 	cost := int64(v.cost / (1 - v.starvedShare))
 	if cost == 0 {
 		do()
 		return
 	}
 	generation := v.generation
-	v.player.world.At(v.player.world.Now()+cost, func() {
+	v.player.world.Schedule(v.player.world.Now()+cost, func() {
 		if v.generation == generation {
 			do()
 		}
--- a/rehearsal/virtual/permits_test.go
+++ b/rehearsal/virtual/permits_test.go
@@ -31,8 +31,8 @@
 		for _, promise := range []string{"strict", "available"} {
 			r := playChecked(t, "fleet-overload", `nodes=[{count=6,zone="port"}]`, "cluster.on=true", "demand.rate=8", "faults=["+c.faults+"]",
 				fmt.Sprintf(`cluster.limits=[{over="type",of="studio-feed",at_once=%d,promise=%q},{over="host",at_once=%d,promise=%q}]`, typeLimit, promise, hostLimit, promise))
-			types := r.AtOnce(late, func(f *record.Flow) string { return r.Types[f.Type].Name })
-			hosts := r.AtOnce(late, func(f *record.Flow) string { return r.Hosts[f.Host].Name })
+			types := r.PeakConcurrent(late, func(f *record.Flow) string { return r.Types[f.ServiceType].Name })
+			hosts := r.PeakConcurrent(late, func(f *record.Flow) string { return r.Hosts[f.Host].Name })
 			worst := 0
 			for _, n := range hosts {
 				worst = max(worst, n)
--- a/rehearsal/virtual/suspensions_test.go
+++ b/rehearsal/virtual/suspensions_test.go
@@ -17,20 +17,20 @@
 	at      int64 // time of the run, microseconds
 	node    int
 	host    string
-	reasons verdicts.Kind
+	reasons verdicts.Reason
 }
 
 // playSuspensions plays twelve nodes in three zones, with hosts that have capacity to spare, and returns the suspensions.
 func playSuspensions(t *testing.T, seed int, changes ...string) (r *record.Run, all []suspension) {
 	t.Helper()
-	s, err := scenario.LoadWith("fleet-overload", append([]string{"cluster.on=true", "demand.rate=20", "demand.life=\"3s\"", "length=\"45s\"",
+	s, err := scenario.LoadWithOverrides("fleet-overload", append([]string{"cluster.on=true", "demand.rate=20", "demand.life=\"3s\"", "length=\"45s\"",
 		fmt.Sprintf("seed=%d", seed)}, changes...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	tune := func(no int, _ *settings.Settings, c *node.Config) {
-		c.Cluster.Held = func(now int64, host string, v verdicts.Verdict) {
-			all = append(all, suspension{now - startTimeOfDay, no, host, v.Of})
+		c.Cluster.OnSuspended = func(now int64, host string, v verdicts.Suspension) {
+			all = append(all, suspension{now - startTimeOfDay, no, host, v.Reasons})
 		}
 	}
 	if r, err = Play(s, Options{Configure: tune}); err != nil {
@@ -85,7 +85,7 @@
 					t.Errorf("%s, seed %d: n-%d suspended %s as %s at %.2f s", c.name, seed+1, v.node, v.host, v.reasons, float64(v.at)/1e6)
 				}
 			}
-			t.Logf("%s, seed %d: %d suspensions, %d failed connects", c.name, seed+1, len(all), r.Counts.Unsent)
+			t.Logf("%s, seed %d: %d suspensions, %d failed connects", c.name, seed+1, len(all), r.Counts.FailedConnects)
 		}
 	}
 }
--- a/rehearsal/virtual/virtual.go
+++ b/rehearsal/virtual/virtual.go
@@ -36,10 +36,10 @@
 	Capture string
 	// NodeSeed changes the random sources of the nodes and nothing else.
 	NodeSeed uint64
-	// Decide makes the decider of a node from its settings and seed. If it is nil, the node's own balancer decides.
-	Decide func(*settings.Settings, int64) node.Decider
-	// Watch is called every virtual second, at a time in microseconds, with what each running node holds.
-	Watch func(at int64, holdings map[int][]node.Hold)
+	// NewDecider makes the decider of a node from its settings and seed. If it is nil, the node's own balancer decides.
+	NewDecider func(*settings.Settings, int64) node.Decider
+	// OnSecond is called every virtual second, at a time in microseconds, with what each running node holds.
+	OnSecond func(at int64, holdings map[int][]node.Holding)
 	// Configure is called before a node is created and may change its configuration.
 	Configure func(no int, set *settings.Settings, c *node.Config)
 }
@@ -49,15 +49,15 @@
 	world      *fleet.World
 	script     *scenario.Script
 	options    Options
-	nodes      []*vnode
-	duplicates map[int]*vnode // second processes under a node's name
+	nodes      []*emulatedNode
+	duplicates map[int]*emulatedNode // second processes under a node's name
 	err        error
 	counters   node.Counters
 }
 
 // holdings returns what each running node holds now, by the node's number.
-func (p *player) holdings() map[int][]node.Hold {
-	all := map[int][]node.Hold{}
+func (p *player) holdings() map[int][]node.Holding {
+	all := map[int][]node.Holding{}
 	for _, v := range p.nodes {
 		if v.core != nil {
 			all[v.index] = v.core.Holdings()
@@ -73,26 +73,26 @@
 	if seed == 0 {
 		seed = s.Seed
 	}
-	p := &player{script: s, options: opt, duplicates: map[int]*vnode{}}
+	p := &player{script: s, options: opt, duplicates: map[int]*emulatedNode{}}
 	discovery := func(_, which int) string { return [2]string{"discovery-0", "discovery-1"}[which] }
-	p.world = fleet.New(s, seed, p, fleet.Places{Discovery: discovery, Epoch: startTimeOfDay, Lead: leadTime})
+	p.world = fleet.New(s, seed, p, fleet.Environment{Discovery: discovery, Epoch: startTimeOfDay, LeadTime: leadTime})
 	for no := range s.NodeCount() {
-		p.nodes = append(p.nodes, &vnode{player: p, index: no, iterationAt: never})
+		p.nodes = append(p.nodes, &emulatedNode{player: p, index: no, iterationAt: never})
 	}
 	p.world.Begin()
-	for at := int64(0); p.err == nil && at < p.world.End(); {
-		at = min(at+1_000_000, p.world.End())
+	for at := int64(0); p.err == nil && at < p.world.AnswerDeadline(); {
+		at = min(at+1_000_000, p.world.AnswerDeadline())
 		p.world.Advance(at)
-		if opt.Watch != nil {
-			opt.Watch(at, p.holdings())
+		if opt.OnSecond != nil {
+			opt.OnSecond(at, p.holdings())
 		}
 	}
-	run := p.world.Run()
+	run := p.world.Record()
 	for _, v := range p.nodes {
 		v.collectCounters()
 	}
 	run.NodePanics = p.counters.Panics
-	run.Counts.Unsent = p.counters.Connects - p.counters.Asked
+	run.Counts.FailedConnects = p.counters.Connects - p.counters.RequestsSent
 	return run, p.err
 }
 
@@ -124,7 +124,7 @@
 type socket struct {
 	id         uint64
 	conn       *fleet.Conn
-	node       *vnode
+	node       *emulatedNode
 	in, out    *lines.Ring // nil until the node accepts the connection
 	generation int         // of the node, when the socket was opened
 	dialing    bool
@@ -135,16 +135,16 @@
 }
 
 // Start starts the process of a node.
-func (p *player) Start(no int, conf fleet.Conf) {
+func (p *player) Start(no int, conf fleet.NodeConfig) {
 	p.nodes[no].start(conf)
-	p.world.Ready(no)
+	p.world.NodeReady(no)
 }
 
 // Kill ends the process of a node at once.
 func (p *player) Kill(no int) { p.nodes[no].discardProcess() }
 
-// Listening does nothing: the emulated network knows which hosts listen.
-func (p *player) Listening(int, bool) {}
+// SetListening does nothing: the emulated network knows which hosts listen.
+func (p *player) SetListening(int, bool) {}
 
 // Stop asks a node to stop, as SIGTERM does.
 func (p *player) Stop(no int) {
@@ -153,22 +153,22 @@
 }
 
 // Reload gives a node its new configuration, of which only the address of discovery is read.
-func (p *player) Reload(no int, conf fleet.Conf) {
+func (p *player) Reload(no int, conf fleet.NodeConfig) {
 	p.nodes[no].newDiscovery = conf.Discovery
 	p.nodes[no].scheduleNow()
 }
 
-// Starve takes a share of a node's core.
-func (p *player) Starve(no int, share float64) { p.nodes[no].starvedShare = min(share, 0.999) }
+// SetStarvation takes a share of a node's core.
+func (p *player) SetStarvation(no int, share float64) { p.nodes[no].starvedShare = min(share, 0.999) }
 
-// Arrive puts a client's connection into the backlog of a node. It returns false if the backlog is full.
-func (p *player) Arrive(c *fleet.Conn) bool {
+// Accept puts a client's connection into the backlog of a node. It returns false if the backlog is full.
+func (p *player) Accept(c *fleet.Conn) bool {
 	v := p.nodes[c.Node]
 	if len(v.backlog) >= p.script.Node.Backlog {
 		return false // the operating system drops it
 	}
 	s := &socket{conn: c, node: v, generation: v.generation}
-	c.Ref = s
+	c.PlayerState = s
 	v.backlog = append(v.backlog, s)
 	v.scheduleNow()
 	return true
@@ -176,7 +176,7 @@
 
 // enqueue adds an input for a connection. It does nothing if the node no longer has the connection.
 func (p *player) enqueue(c *fleet.Conn, kind inputKind) {
-	s, ok := c.Ref.(*socket)
+	s, ok := c.PlayerState.(*socket)
 	if !ok || s.closed || s.generation != s.node.generation {
 		return
 	}
@@ -185,21 +185,21 @@
 	v.scheduleNow()
 }
 
-// Up reports that a dialed connection is established.
-func (p *player) Up(c *fleet.Conn) { p.enqueue(c, inputConnected) }
+// Connected reports that a dialed connection is established.
+func (p *player) Connected(c *fleet.Conn) { p.enqueue(c, inputConnected) }
 
 // Refused reports that a dialed connection was refused.
 func (p *player) Refused(c *fleet.Conn) { p.enqueue(c, inputRefused) }
 
-// End reports that the other side has closed a connection.
-func (p *player) End(c *fleet.Conn) { p.enqueue(c, inputClosed) }
+// PeerClosed reports that the other side has closed a connection.
+func (p *player) PeerClosed(c *fleet.Conn) { p.enqueue(c, inputClosed) }
 
-// Broken reports that a connection was reset.
-func (p *player) Broken(c *fleet.Conn) { p.enqueue(c, inputReset) }
+// Reset reports that a connection was reset.
+func (p *player) Reset(c *fleet.Conn) { p.enqueue(c, inputReset) }
 
-// Bytes delivers bytes of the other side.
-func (p *player) Bytes(c *fleet.Conn, b []byte) {
-	s, ok := c.Ref.(*socket)
+// Receive delivers bytes of the other side.
+func (p *player) Receive(c *fleet.Conn, b []byte) {
+	s, ok := c.PlayerState.(*socket)
 	if !ok || s.closed {
 		return
 	}
@@ -211,7 +211,7 @@
 }
 
 // hasUnreportedEnd tells whether the inbox has the end of a socket that the node does not know of yet.
-func (v *vnode) hasUnreportedEnd(s *socket) bool {
+func (v *emulatedNode) hasUnreportedEnd(s *socket) bool {
 	return slices.ContainsFunc(v.inbox, func(i input) bool {
 		return i.socket == s && (i.kind == inputClosed || i.kind == inputReset)
 	})
--- a/rehearsal/virtual/virtual_test.go
+++ b/rehearsal/virtual/virtual_test.go
@@ -27,7 +27,7 @@
 
 // TestRunsAreDeterministic plays every shipped script on one core and on all cores. The answers must be equal byte for byte.
 func TestRunsAreDeterministic(t *testing.T) {
-	for _, name := range scenario.Shipped() {
+	for _, name := range scenario.ShippedNames() {
 		if name == "full-size" || name == "full-core" { // too long for a test; they are measured with the command
 			continue
 		}
@@ -43,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			hashes[i] = report.Hash(r)
+			hashes[i] = report.AnswersHash(r)
 			for _, b := range rules.Check(r) {
 				t.Errorf("%s: %s", name, b.Report(r))
 			}
@@ -57,7 +57,7 @@
 // playChecked plays a shipped script with changes and reports every breach of a rule.
 func playChecked(t *testing.T, name string, changes ...string) *record.Run {
 	t.Helper()
-	s, err := scenario.LoadWith(name, changes)
+	s, err := scenario.LoadWithOverrides(name, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	afterRestart, onColdHost := 0, 0
 	for seed := range 5 {
 		for _, f := range playChecked(t, "node-restart-cold-host", fmt.Sprintf("seed=%d", seed+1)).Flows {
-			outcome, at := f.Answer()
+			outcome, at := f.Outcome()
 			if outcome == "established" && f.Node == 0 && at > 24_000_000 {
 				afterRestart++
 			}
@@ -97,11 +97,11 @@
 	r := playChecked(t, "drain-beside-neighbour")
 	moved := 0
 	for _, f := range r.Flows {
-		_, at := f.Answer()
+		_, at := f.Outcome()
 		if f.Host == 1 && at > 19_000_000 {
 			t.Errorf("established on the drained host at %d us", at)
 		}
-		if f.Host == 1 && f.Find(record.Moved) != nil {
+		if f.Host == 1 && f.FirstEvent(record.Moved) != nil {
 			moved++
 		}
 	}
@@ -113,7 +113,7 @@
 // TestAllHostsDie checks that every flow has an answer and that none is served while all hosts are dead.
 func TestAllHostsDie(t *testing.T) {
 	r := playChecked(t, "all-hosts-die")
-	if n := r.Sum().Answers["none"]; n > 0 {
+	if n := r.Summarize().Answers["none"]; n > 0 {
 		t.Errorf("%d flows without an answer", n)
 	}
 	for _, s := range r.Seconds[22:29] {
@@ -128,7 +128,7 @@
 // TestTenTimesDemand offers ten times what the hosts can serve: most flows are rejected, and all have an answer.
 func TestTenTimesDemand(t *testing.T) {
 	r := playChecked(t, "ten-times")
-	a := r.Sum().Answers
+	a := r.Summarize().Answers
 	if a["rejected"] < a["established"] || a["established"] < 100 || a["none"] > 0 {
 		t.Errorf("answers %v", a)
 	}
@@ -142,11 +142,11 @@
 	free := playChecked(t, "full-core", append(short, `node={}`)...)
 	full := playChecked(t, "full-core", append(short, `node={turn_cost="28us",event_cost="3us",socket_cost="100us"}`)...)
 	const perFlow = 4 * 100 // microseconds at least: a socket accepted, one opened and two closed
-	n, most := full.Sum().Answers["established"]+full.Sum().Answers["left"], 1_000_000/perFlow
+	n, most := full.Summarize().Answers["established"]+full.Summarize().Answers["left"], 1_000_000/perFlow
 	if n > most || n < most/4 {
 		t.Errorf("%d flows with a saturated core, %d possible", n, most)
 	}
-	if m := free.Sum().Answers["established"]; m < 3*n {
+	if m := free.Summarize().Answers["established"]; m < 3*n {
 		t.Errorf("%d flows with a saturated core, %d with a free one", n, m)
 	}
 }
@@ -157,10 +157,10 @@
 		`faults=[{at="1s",kind="node_starve",nodes=["n-0"],size=0.95,for="1s"}]`)
 	var before, during []int64
 	for _, f := range r.Flows {
-		if outcome, at := f.Answer(); outcome == "established" && at < 1_000_000 {
-			before = append(before, f.Establish)
+		if outcome, at := f.Outcome(); outcome == "established" && at < 1_000_000 {
+			before = append(before, f.SetupTime)
 		} else if outcome == "established" && at > 1_050_000 && at < 2_000_000 {
-			during = append(during, f.Establish)
+			during = append(during, f.SetupTime)
 		}
 	}
 	slices.Sort(before)
@@ -195,13 +195,13 @@
 		}
 		all = append(all, c)
 	}
-	s.Recorded, _ = replay.ToScript(all, s, leadTime)
+	s.RecordedClients, _ = replay.RecordedDemand(all, s, leadTime)
 	s.Demand.Flows = "captured"
 	second, err := Play(s, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := first.Sum().Service, second.Sum().Service; math.Abs(a-b) > 0.02 {
+	if a, b := first.Summarize().Service, second.Summarize().Service; math.Abs(a-b) > 0.02 {
 		t.Errorf("service %.3f, replayed %.3f", a, b)
 	}
 }
@@ -211,10 +211,10 @@
 func TestManySilentConnections(t *testing.T) {
 	r := playChecked(t, "calm-evening", "length=\"12s\"", "node.sockets=200", `faults=[]`,
 		`demand.bad=[{at="1s",for="10s",rate=1000.0,kind="mute"}]`)
-	if len(r.Bad) < 9000 {
-		t.Fatalf("%d silent connections", len(r.Bad))
+	if len(r.BadClients) < 9000 {
+		t.Fatalf("%d silent connections", len(r.BadClients))
 	}
-	if a := r.Sum().Answers; a["established"] < len(r.Flows)-1 {
+	if a := r.Summarize().Answers; a["established"] < len(r.Flows)-1 {
 		t.Errorf("answers %v", a)
 	}
 }
@@ -224,7 +224,7 @@
 func TestPerAddressLimits(t *testing.T) {
 	limited := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`)
 	unlimited := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`, "node.admission={}")
-	if c, o := limited.Sum(), unlimited.Sum(); c.Service < 0.99 || c.LateShare[0] > 0.01 || c.Answers["none"] > 0 || o.Service > c.Service {
+	if c, o := limited.Summarize(), unlimited.Summarize(); c.Service < 0.99 || c.LateShare[0] > 0.01 || c.Answers["none"] > 0 || o.Service > c.Service {
 		t.Errorf("service %.3f with limits, %.3f without; late %.3f; answers %v", c.Service, o.Service, c.LateShare[0], c.Answers)
 	}
 }
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	sums := map[string][2]float64{}
-	_, err = Play(s, Options{Watch: func(at int64, all map[int][]node.Hold) {
+	_, err = Play(s, Options{OnSecond: func(at int64, all map[int][]node.Holding) {
 		half := 0
 		if at > 40_000_000 {
 			half = 1
@@ -265,7 +265,7 @@
 	r := playChecked(t, "overload")
 	var bySecond [9]int
 	for _, f := range r.Flows {
-		if outcome, at := f.Answer(); outcome == "established" && at < 9_000_000 {
+		if outcome, at := f.Outcome(); outcome == "established" && at < 9_000_000 {
 			bySecond[at/1_000_000]++
 		}
 	}
@@ -278,10 +278,10 @@
 	if bySecond[7] < 430 {
 		t.Errorf("two seconds after the overload %d of 500 are established", bySecond[7])
 	}
-	s := r.Sum()
+	s := r.Summarize()
 	for typ, target := range r.Types {
-		if p99 := record.Quantile(s.Setups[typ], 0.99); p99 > target.Target {
-			t.Errorf("%s: p99 of set-ups %d us, target %d", target.Name, p99, target.Target)
+		if p99 := record.Quantile(s.SetupTimes[typ], 0.99); p99 > target.SetupTarget {
+			t.Errorf("%s: p99 of set-ups %d us, target %d", target.Name, p99, target.SetupTarget)
 		}
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -103,28 +103,28 @@
 // Settings are the settings of the balance module, and those that the programs around it read. Times are microseconds.
 type Settings struct {
 	balance.Settings
-	Reports     bool           // hosts report their load, at least in answers to probes
-	Report      int            // index of the value in a load report that is used: load over capacity, or how busy the cores are; -1 for none
-	Passes      bool           // packets pass through and connections do not end at the node
-	Names       map[string]int // index of each service type by its name
-	Zones       map[string]int // index of each zone by its name
-	Groups      bool           // clients belong to groups that share work
-	TellsTime   bool           // hosts report how long messages take
-	Dial        int64          // timeout after which a connection attempt has failed; 0 if none is set
-	Worth       []float64      // benefit of a flow, by service type; 0 if none is set
-	Longest     int64          // highest connect timeout of any service type
-	Limits      []int64        // connect timeout, by service type; 0 if none is set
-	NinesWeight float64        // weight of availability, counted in nines, in the goal; 0 if the goal does not count it
-	NinesWanted float64        // availability that the goal wants, in nines
-	Pushed      bool           // lists of hosts are pushed: what they say counts as known at once
-	Grace       int64          // time after a drain notice in which new flows may still go to a host; 0 if none is set
+	HostsReportLoad    bool           // hosts report their load, at least in answers to probes
+	LoadReportIndex    int            // index of the value in a load report that is used: load over capacity, or how busy the cores are; -1 for none
+	PassThrough        bool           // packets pass through and connections do not end at the node
+	ServiceTypeIndex   map[string]int // index of each service type by its name
+	ZoneIndex          map[string]int // index of each zone by its name
+	HasGroups          bool           // clients belong to groups that share work
+	ReportsMessageTime bool           // hosts report how long messages take
+	DialTimeout        int64          // timeout after which a connection attempt has failed; 0 if none is set
+	Benefits           []float64      // benefit of a flow, by service type; 0 if none is set
+	MaxConnectTimeout  int64          // highest connect timeout of any service type
+	ConnectTimeouts    []int64        // connect timeout, by service type; 0 if none is set
+	NinesWeight        float64        // weight of availability, counted in nines, in the goal; 0 if the goal does not count it
+	NinesWanted        float64        // availability that the goal wants, in nines
+	ListsPushed        bool           // lists of hosts are pushed: what they say counts as known at once
+	DrainGrace         int64          // time after a drain notice in which new flows may still go to a host; 0 if none is set
 	// Only a drain notice obliges nodes to stop using a host. A host that the list calls gone, or leaves out, without having
 	// been drained obliges nobody, so the successor process of a node does not treat it as a drain.
-	DrainsAlone bool
+	DrainBindsAlone bool
 }
 
-// Pairs decodes the form that the simulator sends: each part is PATH=VALUE.
-func Pairs(parts [][]byte) (*Settings, error) {
+// ParsePairs decodes the form that the simulator sends: each part is PATH=VALUE.
+func ParsePairs(parts [][]byte) (*Settings, error) {
 	values := make(map[string]string, len(parts))
 	for _, p := range parts {
 		key, value, ok := strings.Cut(string(p), "=")
@@ -136,8 +136,8 @@
 	return decode(values, ",")
 }
 
-// JSON decodes the nested form of the config file.
-func JSON(text []byte) (*Settings, error) {
+// ParseJSON decodes the nested form of the config file.
+func ParseJSON(text []byte) (*Settings, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	var tree map[string]any
@@ -199,33 +199,33 @@
 	d := &decoder{values: values, separator: separator}
 	s := &Settings{
 		Settings: balance.Settings{
-			Nodes:        int(d.number("Balancers", 1)),
-			Index:        int(d.number("Index", 0)),
-			Zone:         int(d.number("MyZone", 0)),
-			MaxConnects:  int(d.number("Limits.MaxConnects", 1)),
-			Probing:      d.boolean("Limits.Probing"),
-			Untold:       values["Specifics.TellsDelay"] == "false",
-			OnRequest:    d.choice("Discovery", "pushed", "on_request") == 1,
-			ColdFrom:     d.number("Obligations.ColdFrom", 0),
-			ColdTime:     d.duration("Obligations.ColdMs", 0),
-			FallMultiple: d.number("Obligations.FallMultiple", 0),
+			Nodes:          int(d.number("Balancers", 1)),
+			Index:          int(d.number("Index", 0)),
+			Zone:           int(d.number("MyZone", 0)),
+			MaxConnects:    int(d.number("Limits.MaxConnects", 1)),
+			Probing:        d.boolean("Limits.Probing"),
+			NoDelayReports: values["Specifics.TellsDelay"] == "false",
+			OnRequest:      d.choice("Discovery", "pushed", "on_request") == 1,
+			ColdFrom:       d.number("Obligations.ColdFrom", 0),
+			ColdTime:       d.duration("Obligations.ColdMs", 0),
+			FallMultiple:   d.number("Obligations.FallMultiple", 0),
 		},
-		Names:     map[string]int{},
-		Zones:     map[string]int{},
-		Passes:    values["Specifics.Mode"] == "pass",
-		Groups:    values["Specifics.Groups"] == "true",
-		TellsTime: values["Specifics.TellsDelay"] == "true",
+		ServiceTypeIndex:   map[string]int{},
+		ZoneIndex:          map[string]int{},
+		PassThrough:        values["Specifics.Mode"] == "pass",
+		HasGroups:          values["Specifics.Groups"] == "true",
+		ReportsMessageTime: values["Specifics.TellsDelay"] == "true",
 	}
 	d.optionalSettings(s)
-	s.Report = d.loadReportIndex()
-	s.Reports = s.Report >= 0
+	s.LoadReportIndex = d.loadReportIndex()
+	s.HostsReportLoad = s.LoadReportIndex >= 0
 	if s.NinesWeight = d.optionalNumber("Goal.Nines", 0); s.NinesWeight > 0 {
 		s.NinesWanted = d.number("Goal.NinesWanted", minNinesWanted)
 	} else {
 		d.optionalNumber("Goal.NinesWanted", 0)
 	}
 	for i, name := range d.list("Localities") {
-		s.Zones[name] = i
+		s.ZoneIndex[name] = i
 	}
 	d.serviceTypes(s)
 	return s, d.err
@@ -234,21 +234,21 @@
 // optionalSettings decodes the settings that only some deployments have.
 func (d *decoder) optionalSettings(s *Settings) {
 	if d.boolean("Limits.RetryAfter") {
-		s.MaxWait = d.duration("Limits.MaxRetryAfterMs", 0)
+		s.MaxRetryAfter = d.duration("Limits.MaxRetryAfterMs", 0)
 	}
 	s.FallTime = int64(d.optionalNumber("Obligations.FallMs", 0) * 1000)
-	s.Grace = int64(d.optionalNumber("Obligations.DrainGraceMs", 0) * 1000)
+	s.DrainGrace = int64(d.optionalNumber("Obligations.DrainGraceMs", 0) * 1000)
 	if s.OnRequest {
 		s.AskWithin = d.duration("Obligations.AskWithinMs", 1)
 	}
 	if _, ok := d.values["Limits.DialTimeoutMs"]; ok {
-		s.Dial = d.duration("Limits.DialTimeoutMs", 1)
+		s.DialTimeout = d.duration("Limits.DialTimeoutMs", 1)
 	}
 	if _, ok := d.values["Obligations.DrainBindsAlone"]; ok {
-		s.DrainsAlone = d.boolean("Obligations.DrainBindsAlone")
+		s.DrainBindsAlone = d.boolean("Obligations.DrainBindsAlone")
 	}
 	if _, ok := d.values["Limits.Peers"]; ok {
-		s.Peers = d.boolean("Limits.Peers")
+		s.PeerMessages = d.boolean("Limits.Peers")
 	}
 }
 
@@ -263,17 +263,17 @@
 		prefix := fmt.Sprintf("ServiceTypes.%d.", i)
 		t := d.serviceType(prefix, i, messageTargets)
 		name := d.values[prefix+"Name"]
-		if _, duplicate := s.Names[name]; duplicate {
+		if _, duplicate := s.ServiceTypeIndex[name]; duplicate {
 			d.fail(prefix+"Name", fmt.Sprintf("is %q, the name of another service type", name))
 		}
-		s.Names[name] = i
-		s.Worth = append(s.Worth, d.optionalNumber(prefix+"Benefit", 0))
+		s.ServiceTypeIndex[name] = i
+		s.Benefits = append(s.Benefits, d.optionalNumber(prefix+"Benefit", 0))
 		connectTimeout := int64(0)
 		if _, ok := d.values[prefix+"HardLimitMs"]; ok {
 			connectTimeout = d.duration(prefix+"HardLimitMs", 0)
 		}
-		s.Longest = max(s.Longest, connectTimeout)
-		s.Limits = append(s.Limits, connectTimeout)
+		s.MaxConnectTimeout = max(s.MaxConnectTimeout, connectTimeout)
+		s.ConnectTimeouts = append(s.ConnectTimeouts, connectTimeout)
 		s.Types = append(s.Types, t)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -29,15 +29,15 @@
 	for _, p := range flat {
 		parts = append(parts, []byte(p))
 	}
-	a, err := Pairs(parts)
+	a, err := ParsePairs(parts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := JSON([]byte(nested))
+	b, err := ParseJSON([]byte(nested))
 	if err != nil || !reflect.DeepEqual(a, b) {
 		t.Fatalf("%+v\n%+v\n%v", a, b, err)
 	}
-	if b.Longest != 3_200_000 || b.Types[1].MessageTarget != 50_500 || b.Zones["b_c"] != 1 || b.MaxWait != 0 || b.FallTime != 2_500_000 {
+	if b.MaxConnectTimeout != 3_200_000 || b.Types[1].MessageTarget != 50_500 || b.ZoneIndex["b_c"] != 1 || b.MaxRetryAfter != 0 || b.FallTime != 2_500_000 {
 		t.Fatalf("%+v", b)
 	}
 }
@@ -46,21 +46,21 @@
 // must be kept.
 func TestNamesWithSpacesAndCommas(t *testing.T) {
 	text := strings.NewReplacer(`"b_c"`, `"b c, d"`, `"Name":"x"`, `"Name":"x, y"`).Replace(nested)
-	s, err := JSON([]byte(text))
-	if err != nil || len(s.Zones) != 2 || s.Zones["b c, d"] != 1 || len(s.Names) != 2 {
+	s, err := ParseJSON([]byte(text))
+	if err != nil || len(s.ZoneIndex) != 2 || s.ZoneIndex["b c, d"] != 1 || len(s.ServiceTypeIndex) != 2 {
 		t.Fatalf("%+v %v", s, err)
 	}
-	if _, ok := s.Names["x, y"]; !ok {
-		t.Fatal(s.Names)
+	if _, ok := s.ServiceTypeIndex["x, y"]; !ok {
+		t.Fatal(s.ServiceTypeIndex)
 	}
-	if s, err := JSON([]byte(strings.Replace(nested, `"Name":"x"`, `"Name":"y"`, 1))); err == nil {
-		t.Fatal("two service types with the same name were accepted", s.Names)
+	if s, err := ParseJSON([]byte(strings.Replace(nested, `"Name":"x"`, `"Name":"y"`, 1))); err == nil {
+		t.Fatal("two service types with the same name were accepted", s.ServiceTypeIndex)
 	}
 }
 
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "null", "[]", "{}", `{"Balancers":"three"}`} {
-		if s, err := JSON([]byte(text)); err == nil {
+		if s, err := ParseJSON([]byte(text)); err == nil {
 			t.Errorf("%q: %+v", text, s)
 		}
 	}
@@ -73,14 +73,14 @@
 		for _, p := range append(append([]string(nil), flat...), more...) {
 			parts = append(parts, []byte(p))
 		}
-		return Pairs(parts)
+		return ParsePairs(parts)
 	}
 	s, err := with()
-	if err != nil || s.DrainsAlone || s.NinesWeight != 0 || s.NinesWanted != 0 {
+	if err != nil || s.DrainBindsAlone || s.NinesWeight != 0 || s.NinesWanted != 0 {
 		t.Fatal(s, err)
 	}
 	s, err = with("Obligations.DrainBindsAlone=true", "Goal.Nines=0.3", "Goal.NinesWanted=2")
-	if err != nil || !s.DrainsAlone || s.NinesWeight != 0.3 || s.NinesWanted != 2 {
+	if err != nil || !s.DrainBindsAlone || s.NinesWeight != 0.3 || s.NinesWanted != 2 {
 		t.Fatal(s, err)
 	}
 	for _, bad := range []string{"Obligations.DrainBindsAlone=1", "Obligations.DrainBindsAlone=", "Goal.Nines=-1", "Goal.Nines=much",
@@ -94,7 +94,7 @@
 		"LoadReport.How=pull LoadReport.Names=cpu,waiting,x0 Limits.Peers=true": "2 true", "LoadReport.How=often": "LoadReport.How",
 		"LoadReport.How=piggyback LoadReport.Names=waiting,cpu": "1 false", "Limits.Peers=perhaps": "Limits.Peers"} {
 		s, err := with(strings.Fields(more)...)
-		if err != nil && !strings.Contains(err.Error(), want) || err == nil && fmt.Sprint(s.Report, s.Peers) != want {
+		if err != nil && !strings.Contains(err.Error(), want) || err == nil && fmt.Sprint(s.LoadReportIndex, s.PeerMessages) != want {
 			t.Errorf("%q: %v, want %s", more, err, want)
 		}
 	}
--- a/simwire/adapter.go
+++ b/simwire/adapter.go
@@ -43,9 +43,9 @@
 	groupsByShortHash  map[uint32]*balance.Group  // includes groups that only peer messages have named
 }
 
-// Door reads batches of lines and writes the replies. It implements balance.Writer for the instance whose events it
+// Adapter reads batches of lines and writes the replies. It implements balance.Writer for the instance whose events it
 // handles.
-type Door struct {
+type Adapter struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
 	instances map[int64]*instance
@@ -61,13 +61,13 @@
 }
 
 // New returns an adapter that reads batches from in and writes replies to out.
-func New(in io.Reader, out io.Writer) *Door {
-	return &Door{in: bufio.NewReaderSize(in, readBufferSize), out: bufio.NewWriterSize(out, writeBufferSize),
+func New(in io.Reader, out io.Writer) *Adapter {
+	return &Adapter{in: bufio.NewReaderSize(in, readBufferSize), out: bufio.NewWriterSize(out, writeBufferSize),
 		instances: map[int64]*instance{}}
 }
 
 // Run answers batches until the input ends. It returns an error with the line number for input that breaks the protocol.
-func (d *Door) Run() error {
+func (d *Adapter) Run() error {
 	for {
 		if err := d.handleBatch(); err == io.EOF {
 			return nil
@@ -81,7 +81,7 @@
 }
 
 // readLine reads the next line and splits it into its fields.
-func (d *Door) readLine() error {
+func (d *Adapter) readLine() error {
 	raw, err := d.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		d.longLine = append(d.longLine[:0], raw...)
@@ -103,7 +103,7 @@
 }
 
 // handleBatch handles one batch, from its mark line to over_to_you, and writes the reply.
-func (d *Door) handleBatch() error {
+func (d *Adapter) handleBatch() error {
 	if err := d.readLine(); err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 }
 
 // nextLine reads the next line of a batch.
-func (d *Door) nextLine() error {
+func (d *Adapter) nextLine() error {
 	if err := d.readLine(); err != nil {
 		return d.endWithinBatch(err)
 	}
@@ -153,7 +153,7 @@
 }
 
 // endWithinBatch replaces the end of the input, which is an error within a batch.
-func (d *Door) endWithinBatch(err error) error {
+func (d *Adapter) endWithinBatch(err error) error {
 	if err == io.EOF {
 		return fmt.Errorf("line %d: the input ends within a batch", d.line.number+1)
 	}
@@ -161,7 +161,7 @@
 }
 
 // handleInstance handles the lines of one instance, up to the next at or over_to_you.
-func (d *Door) handleInstance() error {
+func (d *Adapter) handleInstance() error {
 	if err := d.nextLine(); err != nil {
 		return err
 	}
@@ -194,13 +194,13 @@
 }
 
 // atBoundary reports whether the current line ends the events of an instance.
-func (d *Door) atBoundary() bool {
+func (d *Adapter) atBoundary() bool {
 	return string(d.line.name) == "at" || string(d.line.name) == "over_to_you"
 }
 
 // runRound runs a round of the Balancer with the events that follow. A panic is reported to the simulator with its cause, and
 // the rest of the events is skipped.
-func (d *Door) runRound() {
+func (d *Adapter) runRound() {
 	defer func() {
 		if p := recover(); p != nil {
 			d.writeCall("bail_out", fmt.Sprintf("panic: %v", p))
@@ -212,7 +212,7 @@
 }
 
 // skipInstance skips the rest of the instance's events.
-func (d *Door) skipInstance() error {
+func (d *Adapter) skipInstance() error {
 	for !d.atBoundary() {
 		if err := d.nextLine(); err != nil {
 			return err
@@ -222,7 +222,7 @@
 }
 
 // handleLifecycle handles the lines that start and stop an instance. It returns false for other lines.
-func (d *Door) handleLifecycle() bool {
+func (d *Adapter) handleLifecycle() bool {
 	l := &d.line
 	switch string(l.name) {
 	case "configure":
@@ -231,7 +231,7 @@
 			d.err = l.err
 			return true
 		}
-		set, err := settings.Pairs(l.fields[l.next:])
+		set, err := settings.ParsePairs(l.fields[l.next:])
 		if err != nil {
 			d.err = fmt.Errorf("line %d: configure: %w", l.number, err)
 			return true
@@ -257,7 +257,7 @@
 }
 
 // handleEvents makes the calls for the lines of one instance, up to the next boundary or lifecycle line.
-func (d *Door) handleEvents(b *balance.Balancer) {
+func (d *Adapter) handleEvents(b *balance.Balancer) {
 	for !d.atBoundary() {
 		if name := string(d.line.name); name == "configure" || name == "stop" {
 			return
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -30,7 +30,7 @@
 )
 
 // handleEvent makes the call for the current line.
-func (d *Door) handleEvent(b *balance.Balancer) {
+func (d *Adapter) handleEvent(b *balance.Balancer) {
 	l := &d.line
 	switch string(l.name) {
 	case "demand":
@@ -50,7 +50,7 @@
 	case "tick_due":
 		l.takeCount("Ref", false)
 		if l.endOfLine() == nil {
-			b.Tick()
+			b.AlarmFired()
 		}
 	case "announce":
 		d.handleAnnounce(b)
@@ -66,14 +66,14 @@
 }
 
 // handleDemand handles a new flow.
-func (d *Door) handleDemand(b *balance.Balancer) {
+func (d *Adapter) handleDemand(b *balance.Balancer) {
 	l, n := &d.line, d.current
 	id, flags := string(l.takeText("Ref")), l.takeCount("Flags", false)
 	f := d.newFlow(id, l.takeIndex("Priority", len(n.settings.Types), false))
 	l.takeCount("Team", true)
 	f.Hash = keyHash(l.takeAny("Object"))
-	f.Again = flags&flagsReturning != 0
-	f.Hint = loadHint(flags, l.takeNumber("PredictedMs"))
+	f.Returning = flags&flagsReturning != 0
+	f.LoadHint = loadHint(flags, l.takeNumber("PredictedMs"))
 	f.Group = n.groupByName(l.takeAny("Channel"))
 	left := l.takeMicros("LeftMs")
 	if l.endOfLine() != nil {
@@ -81,11 +81,11 @@
 	}
 	f.Deadline = d.now + left
 	n.flows[id] = f
-	b.Demand(f)
+	b.PlaceFlow(f)
 }
 
 // handleHandover handles a flow that is established already, on a server chosen by another instance.
-func (d *Door) handleHandover(b *balance.Balancer) {
+func (d *Adapter) handleHandover(b *balance.Balancer) {
 	l, n := &d.line, d.current
 	id := string(l.takeText("Ref"))
 	l.takeMicros("LeftMs")
@@ -99,15 +99,15 @@
 		return
 	}
 	f := d.newFlow(id, serviceType)
-	f.Hint, f.Group, f.Hash = loadHint(flags, predicted), n.groupByName(group), keyHash(object)
+	f.LoadHint, f.Group, f.Hash = loadHint(flags, predicted), n.groupByName(group), keyHash(object)
 	state := f.Ref.(*flowState)
 	state.connects, state.pending = append(state.connects, s), 1
 	n.flows[id] = f
-	b.Opened(f, s)
+	b.AdoptFlow(f, s)
 }
 
 // handleEstablished handles a connect that succeeded.
-func (d *Door) handleEstablished(b *balance.Balancer) {
+func (d *Adapter) handleEstablished(b *balance.Balancer) {
 	l := &d.line
 	f, _ := d.takeConnect()
 	took := l.takeMicros("DelaySeenMs")
@@ -118,7 +118,7 @@
 }
 
 // handleSignal handles a measured load of a flow, or a measured delay of a server.
-func (d *Door) handleSignal(b *balance.Balancer) {
+func (d *Adapter) handleSignal(b *balance.Balancer) {
 	l := &d.line
 	f, _ := d.takeConnect()
 	s := d.serverByName(l.takeText("Host"))
@@ -127,14 +127,14 @@
 		return
 	}
 	if topic == topicLoad && f != nil {
-		b.Load(f, amount)
+		b.LoadMeasured(f, amount)
 	} else if topic == topicDelay {
-		b.Slow(s, int64(amount*1000))
+		b.DelayMeasured(s, int64(amount*1000))
 	}
 }
 
 // handleResponse handles the outcome of a connect, and the end of its flow if the flow has finished.
-func (d *Door) handleResponse(b *balance.Balancer) {
+func (d *Adapter) handleResponse(b *balance.Balancer) {
 	l := &d.line
 	f, s := d.takeConnect()
 	l.takeText("Host")
@@ -144,7 +144,7 @@
 		return
 	}
 	if reported {
-		b.Reported(s, load, true)
+		b.LoadReported(s, load, true)
 	}
 	state := f.Ref.(*flowState)
 	state.pending--
@@ -156,7 +156,7 @@
 }
 
 // handleExpired forgets a flow, after the outcomes of its pending connects.
-func (d *Door) handleExpired() {
+func (d *Adapter) handleExpired() {
 	l, n := &d.line, d.current
 	id := l.takeText("Ref")
 	if l.endOfLine() != nil {
@@ -172,21 +172,21 @@
 }
 
 // handleProbed handles the outcome of a probe.
-func (d *Door) handleProbed(b *balance.Balancer) {
+func (d *Adapter) handleProbed(b *balance.Balancer) {
 	l := &d.line
 	s, outcome := d.serverByName(l.takeText("Host")), d.takeOutcome()
 	took := l.takeMicros("DelaySeenMs")
 	load, reported := d.loadReport()
 	if l.endOfLine() == nil && d.err == nil {
 		if reported {
-			b.Reported(s, load, true)
+			b.LoadReported(s, load, true)
 		}
 		b.Probed(s, outcome, took)
 	}
 }
 
 // handleAnnounce handles a list of servers: the current line and the item lines that follow.
-func (d *Door) handleAnnounce(b *balance.Balancer) {
+func (d *Adapter) handleAnnounce(b *balance.Balancer) {
 	l := &d.line
 	scope := l.takeText("Scope")
 	kind := balance.ListKind(max(slices.Index(listKinds, string(scope)), 0))
@@ -198,7 +198,7 @@
 	if l.endOfLine() != nil {
 		return
 	}
-	b.List(kind)
+	b.BeginList(kind)
 	for range items {
 		if d.err = d.nextLine(); d.err != nil {
 			return
@@ -212,11 +212,11 @@
 			return
 		}
 	}
-	b.ListEnd(kind)
+	b.EndList(kind)
 }
 
 // handleItem handles one entry of a list of servers.
-func (d *Door) handleItem(b *balance.Balancer) {
+func (d *Adapter) handleItem(b *balance.Balancer) {
 	l, n := &d.line, d.current
 	host := l.takeText("Host")
 	zone, _, cell := l.takeCount("Site", false), l.takeCount("Sku", false), l.takeCount("Cohort", false)
@@ -233,18 +233,18 @@
 	if s == nil {
 		s = &balance.Server{Name: string(host), Hash: hashOf(host)}
 		n.servers[s.Name] = s
-		n.serversByShortHash[peers.Short(s.Hash)] = s
+		n.serversByShortHash[peers.ShortHash(s.Hash)] = s
 	}
 	s.Zone, s.Cell = int(zone), int(cell)
 	if size <= 0 {
 		size = 1
 	}
-	b.Entry(s, state, size, ready)
+	b.ListEntry(s, state, size, ready)
 }
 
 // loadReport takes the load from a load report. An invalid report is ignored, like an invalid message of another node.
-func (d *Door) loadReport() (load float64, reported bool) {
-	return lines.Figures(bytes.Split(d.line.takeAny("Usage"), []byte(","))).At(d.current.settings.Report)
+func (d *Adapter) loadReport() (load float64, reported bool) {
+	return lines.LoadReport(bytes.Split(d.line.takeAny("Usage"), []byte(","))).Value(d.current.settings.LoadReportIndex)
 }
 
 // handlePeerMessage handles a message of another node. An invalid message is ignored.
@@ -253,13 +253,13 @@
 	if err != nil {
 		return
 	}
-	peers.Read(raw, func(hash uint32, load float64) {
+	peers.Decode(raw, func(hash uint32, load float64) {
 		if s := n.serversByShortHash[hash]; s != nil {
-			b.Reported(s, load, false)
+			b.LoadReported(s, load, false)
 		}
 	}, func(group, hash uint32) {
 		if s := n.serversByShortHash[hash]; s != nil {
-			b.Held(n.groupByShortHash(group), s)
+			b.PlacementReported(n.groupByShortHash(group), s)
 		}
 	})
 }
@@ -273,9 +273,9 @@
 }
 
 // newFlow returns a flow of a service type, which is limited to the configured types.
-func (d *Door) newFlow(id string, serviceType int) *balance.Flow {
+func (d *Adapter) newFlow(id string, serviceType int) *balance.Flow {
 	serviceType = min(max(serviceType, 0), len(d.current.settings.Types)-1)
-	return &balance.Flow{Type: &d.current.settings.Types[serviceType], TypeNo: serviceType, Passed: d.current.settings.Passes, Ref: &flowState{id: id}}
+	return &balance.Flow{Type: &d.current.settings.Types[serviceType], TypeIndex: serviceType, Passthrough: d.current.settings.PassThrough, Ref: &flowState{id: id}}
 }
 
 // groupByShortHash returns the group with the hash that peer messages use, and creates it on first use.
@@ -294,14 +294,14 @@
 	g := n.groups[string(p)]
 	if g == nil {
 		h := hashOf(p)
-		g = n.groupByShortHash(peers.Short(h))
+		g = n.groupByShortHash(peers.ShortHash(h))
 		g.Hash, n.groups[string(p)] = h, g
 	}
 	return g
 }
 
 // serverByName returns the server of this name. It sets the adapter's error if no list has named it.
-func (d *Door) serverByName(p []byte) *balance.Server {
+func (d *Adapter) serverByName(p []byte) *balance.Server {
 	s := d.current.servers[string(p)]
 	if s == nil {
 		if d.line.err == nil {
@@ -313,7 +313,7 @@
 }
 
 // takeOutcome takes the outcome of a connect or a probe.
-func (d *Door) takeOutcome() balance.Outcome {
+func (d *Adapter) takeOutcome() balance.Outcome {
 	p := d.line.takeText("Disposition")
 	outcome, ok := outcomesByName[string(p)]
 	if !ok {
@@ -323,7 +323,7 @@
 }
 
 // takeConnect takes a flow's id and the index of one of its connects. The flow is nil if its id has been forgotten.
-func (d *Door) takeConnect() (*balance.Flow, *balance.Server) {
+func (d *Adapter) takeConnect() (*balance.Flow, *balance.Server) {
 	l := &d.line
 	id, index := l.takeText("Ref"), l.takeCount("Shot", false)
 	f := d.current.flows[string(id)]
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -11,7 +11,7 @@
 const alarmToken = 1 // the adapter has a single alarm for each instance
 
 // writeCall writes the name and first fields of a call, after a line that names the instance if it has changed.
-func (d *Door) writeCall(name string, parts ...string) {
+func (d *Adapter) writeCall(name string, parts ...string) {
 	if d.repliedID != d.instanceID {
 		d.repliedID = d.instanceID
 		d.out.WriteString("as\t")
@@ -25,15 +25,15 @@
 	}
 }
 
-func (d *Door) endLine() { d.out.WriteByte('\n') }
+func (d *Adapter) endLine() { d.out.WriteByte('\n') }
 
-func (d *Door) writeInt(n int64) {
+func (d *Adapter) writeInt(n int64) {
 	d.digits = strconv.AppendInt(d.digits[:0], n, 10)
 	d.out.Write(d.digits)
 }
 
 // writeMillis writes a field with a time in milliseconds, with three decimals if it is not whole.
-func (d *Door) writeMillis(us int64) {
+func (d *Adapter) writeMillis(us int64) {
 	d.digits = append(d.digits[:0], '\t')
 	d.digits = strconv.AppendInt(d.digits, us/1000, 10)
 	if rest := us % 1000; rest != 0 {
@@ -43,7 +43,7 @@
 }
 
 // Connect opens a connection of a flow to a server, with a timeout in microseconds.
-func (d *Door) Connect(f *balance.Flow, s *balance.Server, timeout int64) {
+func (d *Adapter) Connect(f *balance.Flow, s *balance.Server, timeout int64) {
 	state := f.Ref.(*flowState)
 	state.connects = append(state.connects, s)
 	state.pending++
@@ -53,7 +53,7 @@
 }
 
 // Reject answers a flow that the client may retry after retryAfter microseconds.
-func (d *Door) Reject(f *balance.Flow, retryAfter int64) {
+func (d *Adapter) Reject(f *balance.Flow, retryAfter int64) {
 	state := f.Ref.(*flowState)
 	d.writeCall("overload_reply", state.id)
 	d.writeMillis(retryAfter)
@@ -62,7 +62,7 @@
 }
 
 // Abort answers a flow that the client has to give up.
-func (d *Door) Abort(f *balance.Flow) {
+func (d *Adapter) Abort(f *balance.Flow) {
 	state := f.Ref.(*flowState)
 	d.writeCall("abort", state.id)
 	d.endLine()
@@ -70,7 +70,7 @@
 }
 
 // finish marks a flow as answered, and forgets it unless connects are pending.
-func (d *Door) finish(state *flowState) {
+func (d *Adapter) finish(state *flowState) {
 	state.finished = true
 	if state.pending == 0 {
 		delete(d.current.flows, state.id)
@@ -78,7 +78,7 @@
 }
 
 // Move asks the client of an established flow to connect anew.
-func (d *Door) Move(f *balance.Flow) {
+func (d *Adapter) Move(f *balance.Flow) {
 	state := f.Ref.(*flowState)
 	state.finished = true
 	d.writeCall("transfer", state.id)
@@ -86,34 +86,34 @@
 }
 
 // Probe sends a probe to a server.
-func (d *Door) Probe(s *balance.Server) {
+func (d *Adapter) Probe(s *balance.Server) {
 	d.writeCall("ping", s.Name)
 	d.endLine()
 }
 
-// Tell publishes load reports and group placements to the other nodes.
-func (d *Door) Tell(servers []*balance.Server, placements []balance.Home) {
-	peers.Write(servers, placements, func(message []byte) {
+// Publish publishes load reports and group placements to the other nodes.
+func (d *Adapter) Publish(servers []*balance.Server, placements []balance.GroupPlacement) {
+	peers.Encode(servers, placements, func(message []byte) {
 		d.writeCall("memo_to", "*", base64.StdEncoding.EncodeToString(message))
 		d.endLine()
 	})
 }
 
 // Watch requests the list of servers and its changes.
-func (d *Door) Watch() {
+func (d *Adapter) Watch() {
 	d.writeCall("tail", "1")
 	d.endLine()
 }
 
-// Alarm sets the time, in microseconds, at which the simulator sends tick_due.
-func (d *Door) Alarm(at int64) {
+// SetAlarm sets the time, in microseconds, at which the simulator sends tick_due.
+func (d *Adapter) SetAlarm(at int64) {
 	d.writeCall("set_alarm", strconv.Itoa(alarmToken))
 	d.writeMillis(at)
 	d.endLine()
 }
 
-// Trace writes a line of text to the simulator's trace.
-func (d *Door) Trace(text string) {
+// Log writes a line of text to the simulator's trace.
+func (d *Adapter) Log(text string) {
 	d.writeCall("trace", text)
 	d.endLine()
 }
