--- a/cluster/drawn/fleet.go
+++ b/cluster/faultplan/fleet.go
@@ -1,7 +1,7 @@
-// Package drawn simulates a fleet of cluster cores in virtual time under a plan of faults: processes that are killed,
+// Package faultplan simulates a fleet of cluster cores in virtual time under a plan of faults: processes that are killed,
 // paused or restarted, partitions, lost, delayed or duplicated datagrams, and clocks that drift or jump. It is for tests of
 // cores that build on leases. The same plan always gives the same run.
-package drawn
+package faultplan
 
 import (
 	"math/rand"
--- a/cluster/drawn/plan.go
+++ b/cluster/faultplan/plan.go
@@ -1,4 +1,4 @@
-package drawn
+package faultplan
 
 import (
 	"cmp"
--- a/cluster/verdicts/verdicts.go
+++ b/cluster/health/health.go
@@ -1,4 +1,4 @@
-// Package verdicts decides from the health reports of other nodes which hosts this node suspends for now: it sends them no
+// Package health decides from the health reports of other nodes which hosts this node suspends for now: it sends them no
 // new flows. It has no I/O and no clock. The caller leaves out reports that are too old, so that each suspension ends by
 // itself.
 //
@@ -7,7 +7,7 @@
 // one zone's network path only counts in that zone. A witness that finds most hosts failing, or that is late itself, counts
 // for itself alone, and a node in the smaller part of a partitioned fleet follows nobody's reports. Whatever is reported, at
 // most a third of the hosts are suspended.
-package verdicts
+package health
 
 import (
 	"cmp"
--- a/cluster/verdicts/verdicts_test.go
+++ b/cluster/health/health_test.go
@@ -1,9 +1,9 @@
-package verdicts
+package health
 
 import (
 	"testing"
 
-	"coursewinch/cluster/drawn"
+	"coursewinch/cluster/faultplan"
 
 	"pgregory.net/rapid"
 )
@@ -71,7 +71,7 @@
 // however many, two thirds of the hosts stay in service, the last one included, and no host is suspended on fewer than two
 // reports, except for a drain.
 func TestAtMostAThirdIsSuspended(t *testing.T) {
-	drawn.FixSeed()
+	faultplan.FixSeed()
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 20).Draw(t, "hosts")
 		kinds := rapid.SampledFrom([]Reason{0, 0, Down, SetupFails, Cold, Draining, Down | Cold})
--- a/cluster/limits/limits_test.go
+++ b/cluster/limits/limits_test.go
@@ -4,7 +4,7 @@
 	"math/rand"
 	"testing"
 
-	"coursewinch/cluster/drawn"
+	"coursewinch/cluster/faultplan"
 
 	"pgregory.net/rapid"
 )
@@ -17,8 +17,8 @@
 
 // testFleet is a fleet of limits cores under a fault plan.
 type testFleet struct {
-	*drawn.Fleet
-	t          drawn.Failer
+	*faultplan.Fleet
+	t          faultplan.Failer
 	limit      Limit
 	grantedAt  []int64 // true time of each token granted
 	lastWaiter int
@@ -50,7 +50,7 @@
 
 // step advances the fleet by one step, in which each running member takes a token with the given probability.
 func (f *testFleet) step(rng *rand.Rand, probability float64) {
-	f.Step(func(m *drawn.Member, send func(to int, p []byte)) {
+	f.Step(func(m *faultplan.Member, send func(to int, p []byte)) {
 		if rng.Float64() < probability {
 			f.lastWaiter++
 			if granted, _ := m.Core.(fleetMember).Limits.Acquire(f.Key, f.lastWaiter, send); granted {
@@ -64,9 +64,9 @@
 }
 
 // newTestFleet returns a fleet whose members share one limit.
-func newTestFleet(t drawn.Failer, plan drawn.Plan, limit Limit) *testFleet {
+func newTestFleet(t faultplan.Failer, plan faultplan.Plan, limit Limit) *testFleet {
 	fleet := &testFleet{t: t, limit: limit}
-	fleet.Fleet = drawn.NewFleet(plan, func(m *drawn.Member) drawn.Core {
+	fleet.Fleet = faultplan.NewFleet(plan, func(m *faultplan.Member) faultplan.Core {
 		return fleetMember{New(limit, m.Process, plan.Nodes, m), fleet}
 	})
 	return fleet
@@ -90,10 +90,10 @@
 // TestNeverOver guards the bounds under drawn faults on fleets of three to seven nodes: a strict limit is never exceeded,
 // an available one never beyond its formula. No key has two owners at any step.
 func TestNeverOver(t *testing.T) {
-	drawn.FixSeed()
+	faultplan.FixSeed()
 	granted, runs, nearest := 0, 0, 0.0
 	rapid.Check(t, func(t *rapid.T) {
-		plan := drawn.Draw(t, 6*second)
+		plan := faultplan.Draw(t, 6*second)
 		fleet := newTestFleet(t, plan, Limit{Rate: 10, Burst: 12, Strict: rapid.Bool().Draw(t, "strict")})
 		rng := rand.New(rand.NewSource(plan.Seed + 1))
 		for range 1000 {
@@ -117,7 +117,7 @@
 	for _, strict := range []bool{true, false} {
 		var granted []int
 		for _, nodes := range []int{1, 4, 12} {
-			fleet := newTestFleet(t, drawn.Plan{Nodes: nodes, Seed: 1}, Limit{Rate: 20, Burst: 20, Strict: strict})
+			fleet := newTestFleet(t, faultplan.Plan{Nodes: nodes, Seed: 1}, Limit{Rate: 20, Burst: 20, Strict: strict})
 			rng := rand.New(rand.NewSource(2))
 			for range 300 {
 				fleet.step(rng, 0) // until the leases are granted
--- a/cluster/overload/controller.go
+++ b/cluster/overload/controller.go
@@ -18,7 +18,7 @@
 	"slices"
 
 	"coursewinch/balance"
-	"coursewinch/cluster/verdicts"
+	"coursewinch/cluster/health"
 )
 
 // Controller is the overload control of one node.
@@ -58,7 +58,7 @@
 	ownDemandShare   float64                    // this node's part of the total demand
 	usesGrants       func(*balance.Server) bool // whether a cold server is served by grants of the fleet; nil: never
 	zone             uint32                     // hash of the own zone, sent in reports
-	onSuspend        func(*balance.Server, verdicts.Suspension)
+	onSuspend        func(*balance.Server, health.Suspension)
 	draws            map[*balance.Flow]bool            // results of admission draws for flows that wait for a grant
 	grantedServer    map[*balance.Flow]*balance.Server // servers to which flows have a grant
 	capacityPerSize  float64                           // over the hosts of known capacity; kept when they leave
--- a/cluster/overload/hosts.go
+++ b/cluster/overload/hosts.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"coursewinch/balance"
-	"coursewinch/cluster/verdicts"
+	"coursewinch/cluster/health"
 )
 
 // host is what is known of one server. Fields that end in At are the times of the last such event.
@@ -32,7 +32,7 @@
 	downAt              int64 // a connect or a probe failed
 	setupFailedAt       int64
 	setupGoodAt         int64
-	suspension          verdicts.Suspension // because of other nodes' reports
+	suspension          health.Suspension // because of other nodes' reports
 	reportedSaturatedAt int64
 	saturatedReports    int  // other processes that report the host saturated
 	rejectionReported   bool // another node was rejected: retries avoid the host, but one report is not enough to stop first connects
--- a/cluster/overload/suspension.go
+++ b/cluster/overload/suspension.go
@@ -2,17 +2,17 @@
 
 import (
 	"coursewinch/balance"
-	"coursewinch/cluster/verdicts"
+	"coursewinch/cluster/health"
 )
 
 // ConfigureReports sets the zone that reports name and the function that is called when a host becomes suspended because of other
 // nodes' reports. It may be nil.
-func (c *Controller) ConfigureReports(zone uint32, onSuspend func(*balance.Server, verdicts.Suspension)) {
+func (c *Controller) ConfigureReports(zone uint32, onSuspend func(*balance.Server, health.Suspension)) {
 	c.zone, c.onSuspend = zone, onSuspend
 }
 
 // EachSuspended calls each for every server that is suspended because of other nodes' reports, in the order of their names.
-func (c *Controller) EachSuspended(each func(*balance.Server, verdicts.Suspension)) {
+func (c *Controller) EachSuspended(each func(*balance.Server, health.Suspension)) {
 	for _, h := range c.hostsByName {
 		if h.suspension.Reasons != 0 {
 			each(h.server, h.suspension)
@@ -22,7 +22,7 @@
 
 // updateSuspensions decides from the recent reports of other nodes which hosts are suspended.
 func (c *Controller) updateSuspensions() {
-	view := verdicts.View{
+	view := health.View{
 		Hosts:       len(c.hostsByName),
 		Linked:      c.Stats.ReportingProcesses,
 		Others:      c.nodes - 1,
@@ -41,16 +41,16 @@
 }
 
 // witnesses returns what the processes with a recent report say of the hosts.
-func (c *Controller) witnesses() (all []verdicts.Witness) {
+func (c *Controller) witnesses() (all []health.Witness) {
 	for _, process := range c.processes {
 		r := c.reports[process]
 		if c.now-r.sentAfter > c.maxReportAge {
 			continue
 		}
-		witness := verdicts.Witness{Late: r.late, Zone: r.zone}
+		witness := health.Witness{Late: r.late, Zone: r.zone}
 		for _, e := range r.hosts {
 			if h := c.byHash[e.hash]; h != nil {
-				witness.Hosts = append(witness.Hosts, verdicts.HostReport{Host: h.index, Reasons: e.reasons()})
+				witness.Hosts = append(witness.Hosts, health.HostReport{Host: h.index, Reasons: e.reasons()})
 			}
 		}
 		all = append(all, witness)
@@ -59,29 +59,29 @@
 }
 
 // contradicts reports whether this node has recent evidence of its own against a reason to suspend a host.
-func (c *Controller) contradicts(index int, reason verdicts.Reason) bool {
+func (c *Controller) contradicts(index int, reason health.Reason) bool {
 	h := c.hostsByName[index]
 	switch reason {
-	case verdicts.Down:
+	case health.Down:
 		return h.goodAt > h.downAt && c.now-h.goodAt < failureWindow
-	case verdicts.SetupFails:
+	case health.SetupFails:
 		return h.setupGoodAt > h.setupFailedAt && c.now-h.setupGoodAt < failureWindow
-	case verdicts.Cold:
+	case health.Cold:
 		return c.warmShare(h) < 1 // this node knows that the host is cold and limits its flows by the cold-start budget
 	}
 	return false
 }
 
 // reasons are those to suspend a host that an entry of a report gives.
-func (e hostEntry) reasons() (reasons verdicts.Reason) {
+func (e hostEntry) reasons() (reasons health.Reason) {
 	for _, mapping := range [...]struct {
 		flag   uint8
-		reason verdicts.Reason
+		reason health.Reason
 	}{
-		{flagDown, verdicts.Down},
-		{flagSetupFails, verdicts.SetupFails},
-		{flagCold, verdicts.Cold},
-		{flagDraining, verdicts.Draining},
+		{flagDown, health.Down},
+		{flagSetupFails, health.SetupFails},
+		{flagCold, health.Cold},
+		{flagDraining, health.Draining},
 	} {
 		if e.flags&mapping.flag != 0 {
 			reasons |= mapping.reason
--- a/cluster/permits/history_test.go
+++ b/cluster/permits/history_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"coursewinch/cluster/drawn"
+	"coursewinch/cluster/faultplan"
 
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
@@ -15,7 +15,7 @@
 type recordingMember struct {
 	*Permits
 	history      *history
-	member       *drawn.Member
+	member       *faultplan.Member
 	held         int           // permits held
 	acquireCalls map[int]int64 // by waiter: when it asked for a permit
 	pausedSince  int64         // since when it is paused; 0: it runs
@@ -24,8 +24,8 @@
 // history records what all members do as operations on one semaphore: acquire and release. Its times are nanoseconds of
 // true time.
 type history struct {
-	t          drawn.Failer
-	fleet      *drawn.Fleet
+	t          faultplan.Failer
+	fleet      *faultplan.Fleet
 	operations []porcupine.Operation
 	sequence   int64
 }
@@ -114,13 +114,13 @@
 // history of one semaphore, in which each operation takes effect between its call and its return. The permits of a killed
 // process are released when it ends, those of a paused process at some time before it resumes.
 func TestHistoryIsLinearizable(t *testing.T) {
-	drawn.FixSeed()
+	faultplan.FixSeed()
 	runs, operations := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		plan := drawn.Draw(t, 14*second)
+		plan := faultplan.Draw(t, 14*second)
 		limit := Limit{Max: rapid.IntRange(1, 5).Draw(t, "most"), Strict: true}
 		h := &history{t: t}
-		h.fleet = drawn.NewFleet(plan, func(m *drawn.Member) drawn.Core {
+		h.fleet = faultplan.NewFleet(plan, func(m *faultplan.Member) faultplan.Core {
 			if previous, ok := m.Core.(*recordingMember); ok {
 				previous.killed()
 			}
@@ -134,7 +134,7 @@
 		rng := rand.New(rand.NewSource(plan.Seed + 1))
 		lastWaiter := 0
 		for range 2000 {
-			h.fleet.Step(func(m *drawn.Member, send func(to int, payload []byte)) {
+			h.fleet.Step(func(m *faultplan.Member, send func(to int, payload []byte)) {
 				member := m.Core.(*recordingMember)
 				switch x := rng.Float64(); {
 				case x < 0.03:
--- a/cluster/permits/permits_test.go
+++ b/cluster/permits/permits_test.go
@@ -4,7 +4,7 @@
 	"math/rand"
 	"testing"
 
-	"coursewinch/cluster/drawn"
+	"coursewinch/cluster/faultplan"
 
 	"pgregory.net/rapid"
 )
@@ -13,7 +13,7 @@
 type fleetMember struct {
 	*Permits
 	key uint64
-	t   drawn.Failer
+	t   faultplan.Failer
 }
 
 func (m fleetMember) Tick(now int64, send func(to int, p []byte)) {
@@ -38,18 +38,18 @@
 // permits. The permits in use of a strict limit never exceed it; those of a member that is paused beyond their term don't
 // count, because it ends the flows before it does anything else. An available limit is never exceeded beyond its formula.
 func TestNeverOver(t *testing.T) {
-	drawn.FixSeed()
+	faultplan.FixSeed()
 	runs, worstExcess, stepsAtLimit := 0, -1000, 0
 	rapid.Check(t, func(t *rapid.T) {
-		plan := drawn.Draw(t, 16*second)
+		plan := faultplan.Draw(t, 16*second)
 		limit := Limit{Max: rapid.IntRange(1, 12).Draw(t, "most"), Strict: rapid.Bool().Draw(t, "strict")}
-		fleet := drawn.NewFleet(plan, func(m *drawn.Member) drawn.Core {
+		fleet := faultplan.NewFleet(plan, func(m *faultplan.Member) faultplan.Core {
 			return fleetMember{New(limit, m.Process, plan.Nodes, m), plan.Key, t}
 		})
 		rng := rand.New(rand.NewSource(plan.Seed + 1))
 		lastWaiter := 0
 		for range 2600 {
-			fleet.Step(func(m *drawn.Member, send func(to int, payload []byte)) {
+			fleet.Step(func(m *faultplan.Member, send func(to int, payload []byte)) {
 				member := m.Core.(fleetMember)
 				switch x := rng.Float64(); {
 				case x < 0.05:
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -6,10 +6,10 @@
 
 	"coursewinch/balance"
 	"coursewinch/cluster/frame"
+	"coursewinch/cluster/health"
 	"coursewinch/cluster/lease"
 	"coursewinch/cluster/members"
 	"coursewinch/cluster/overload"
-	"coursewinch/cluster/verdicts"
 )
 
 // Where the configuration turns it on, the node bounds its module by what all nodes of the fleet together may place on hosts.
@@ -28,7 +28,7 @@
 	Send    func(to int, p []byte) // sends a datagram to one of the other nodes, by index
 
 	// OnSuspended is called when this node suspends a host because of other nodes' reports. It may be nil.
-	OnSuspended func(now int64, host string, v verdicts.Suspension)
+	OnSuspended func(now int64, host string, v health.Suspension)
 }
 
 // cluster is a node's part in its fleet.
@@ -140,7 +140,7 @@
 }
 
 // noteSuspended handles the suspension of a host because of other nodes' reports.
-func (n *Node) noteSuspended(server *balance.Server, verdict verdicts.Suspension) {
+func (n *Node) noteSuspended(server *balance.Server, verdict health.Suspension) {
 	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", server.Name, verdict.Reasons, verdict.Witnesses))
 	if n.config.Cluster.OnSuspended != nil {
 		n.config.Cluster.OnSuspended(n.now, server.Name, verdict)
@@ -213,7 +213,7 @@
 	add("overload_demand", fmt.Sprintf("%.0f", figures.Demand))
 	add("overload_shed", figures.Rejected)
 	add("hosts_held_back", figures.SuspendedHosts)
-	cluster.overload.EachSuspended(func(server *balance.Server, verdict verdicts.Suspension) {
+	cluster.overload.EachSuspended(func(server *balance.Server, verdict health.Suspension) {
 		add("held_back."+server.Name, fmt.Sprintf("%s:%d", verdict.Reasons, verdict.Witnesses))
 	})
 	add("overload_cuts", figures.CapacityCuts)
--- a/rehearsal/virtual/suspensions_test.go
+++ b/rehearsal/virtual/suspensions_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"coursewinch/cluster/verdicts"
+	"coursewinch/cluster/health"
 	"coursewinch/node"
 	"coursewinch/rehearsal/record"
 	"coursewinch/rehearsal/scenario"
@@ -17,7 +17,7 @@
 	at      int64 // time of the run, microseconds
 	node    int
 	host    string
-	reasons verdicts.Reason
+	reasons health.Reason
 }
 
 // playSuspensions plays twelve nodes in three zones, with hosts that have capacity to spare, and returns the suspensions.
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	tune := func(no int, _ *settings.Settings, c *node.Config) {
-		c.Cluster.OnSuspended = func(now int64, host string, v verdicts.Suspension) {
+		c.Cluster.OnSuspended = func(now int64, host string, v health.Suspension) {
 			all = append(all, suspension{now - startTimeOfDay, no, host, v.Reasons})
 		}
 	}
@@ -50,7 +50,7 @@
 		seen := map[string]bool{} // by node and host
 		for _, v := range all {
 			key := fmt.Sprint(v.node, v.host)
-			if v.reasons&verdicts.Down != 0 && v.at < listed && !seen[key] {
+			if v.reasons&health.Down != 0 && v.at < listed && !seen[key] {
 				seen[key] = true
 				took = append(took, v.at-died)
 			}
