--- a/balance/lists.go
+++ b/balance/lists.go
@@ -28,7 +28,7 @@
 	wait := min(firstWatchBackoff<<min(b.refusals, 10), b.settings.WatchBackoffLimit())
 	b.nextWatchAt = b.now + wait - b.rng.Int63n(wait/2)
 	b.watching, b.watchRequested, b.refusals = false, false, b.refusals+1
-	b.logLimited("server list is out of date: the call for it failed")
+	b.logLimited("list stale: the call failed")
 }
 
 // ListEntry takes what the list says of one server.
--- a/balance/placement.go
+++ b/balance/placement.go
@@ -207,7 +207,7 @@
 		f.Group.rejected++
 		b.rejectedGroupFlows++
 	}
-	b.logLimited("rejecting flows: no server can take one")
+	b.logLimited("shedding: no server for a flow")
 	b.writer.Reject(f, b.bounds.RetryDelay(f, b.settings.MaxRetryAfter/2))
 }
 
--- a/balance/probing.go
+++ b/balance/probing.go
@@ -48,13 +48,13 @@
 	if s.skipped && s.goodProbes >= goodProbesToRecover {
 		s.skipped, s.failedSetups = false, 0
 		s.rampEnd = b.now + rampDuration
-		b.logLimited("server " + s.Name + " is back in use")
+		b.logLimited("back again " + s.Name)
 	}
 }
 
 // skip leaves a server out until enough probes in a row succeed, or for a while if there are no probes.
 func (b *Balancer) skip(s *Server, why string) {
-	b.logLimited("server " + s.Name + " is skipped: " + why)
+	b.logLimited("skipped " + s.Name + ": " + why)
 	if !b.settings.Probing {
 		s.avoidedUntil, s.failedSetups = b.now+probeInterval, 0
 		return
