--- a/balance/cold.go
+++ b/balance/cold.go
@@ -53,5 +53,5 @@
 	fall := uint64(b.settings.FallTime)
 	part := b.settings.FallMultiple * warm * float64(fall) / float64(b.settings.ColdTime)
 	period := (uint64(b.now) + f.Hash%fall) / fall * hashMultiplier // of FallTime, with a start that differs by flow
-	return hashFraction(f.Hash^s.Hash^period) < part/f.Group.crowdPerServer
+	return hashFraction(f.Hash^s.Hash^period) < part/f.Group.burstPerServer
 }
--- a/balance/groups.go
+++ b/balance/groups.go
@@ -68,7 +68,7 @@
 	// The servers that the group would fill by its part of all flows.
 	groupServers := n * float64(f.Group.flows+f.Group.connects) / all
 	withRejected := float64(f.Group.flows + f.Group.connects + f.Group.rejected)
-	f.Group.crowdPerServer = max(n*withRejected/(all+float64(b.rejectedGroupFlows)), 1)
+	f.Group.burstPerServer = max(n*withRejected/(all+float64(b.rejectedGroupFlows)), 1)
 	r := groupRange{
 		fewHealthy: used > 0 && healthy <= used*fewHealthyShare,
 		healthy:    (healthy + 2) / (used + 2), // with a prior of two healthy servers
--- a/balance/types.go
+++ b/balance/types.go
@@ -129,7 +129,7 @@
 	flows          int               // own flows
 	connects       int               // connects ever made for this group by this node
 	rejected       int               // flows of this group that this node rejected; counted in a sparse fleet only
-	crowdPerServer float64           // flows at each preferred server if all of the group arrive at once, over a server's usual flows
+	burstPerServer float64           // flows at each preferred server if all of the group arrive at once, over a server's usual flows
 	placements     map[*Server]int64 // servers that nodes reported to hold the group, and when they did
 }
 
@@ -316,7 +316,7 @@
 	Publish(servers []*Server, placements []GroupPlacement)
 	// Watch requests the server list and its changes.
 	Watch()
-	// SetAlarm asks for a round at this time; it replaces an alarm that was set before.
+	// SetAlarm requests a round at this time; it replaces an alarm that was set before.
 	SetAlarm(at int64)
 	// Log logs one line.
 	Log(line string)
@@ -346,14 +346,29 @@
 // unbounded is the Bounds that limits nothing.
 type unbounded struct{}
 
-func (unbounded) AdmitProbability(*Flow) float64         { return 1 }
+// AdmitProbability returns 1: every flow may be placed.
+func (unbounded) AdmitProbability(*Flow) float64 { return 1 }
+
+// RoomProbability returns 1: every server has room.
 func (unbounded) RoomProbability(*Server, *Flow) float64 { return 1 }
-func (unbounded) AllowRetry(*Flow, *Server) bool         { return true }
-func (unbounded) ExcessLoad(*Server) float64             { return 0 }
-func (unbounded) RetryDelay(_ *Flow, usual int64) int64  { return usual }
-func (unbounded) SlowProbesShowLoad() bool               { return false }
-func (unbounded) ProbeInterval(usual, most int64) int64  { return usual }
-func (unbounded) HasColdGrant(*Server) bool              { return false }
+
+// AllowRetry returns true: there is no retry budget.
+func (unbounded) AllowRetry(*Flow, *Server) bool { return true }
+
+// ExcessLoad returns 0: no load has to leave a server.
+func (unbounded) ExcessLoad(*Server) float64 { return 0 }
+
+// RetryDelay returns the usual delay.
+func (unbounded) RetryDelay(_ *Flow, usual int64) int64 { return usual }
+
+// SlowProbesShowLoad returns false: slow probes may skip a server.
+func (unbounded) SlowProbesShowLoad() bool { return false }
+
+// ProbeInterval returns the usual interval.
+func (unbounded) ProbeInterval(usual, most int64) int64 { return usual }
+
+// HasColdGrant returns false: the node's own cold-start budget applies.
+func (unbounded) HasColdGrant(*Server) bool { return false }
 
 // hashFraction mixes the bits of a hash and maps it to a number from 0 to 1.
 func hashFraction(x uint64) float64 {
--- a/cluster/faultplan/plan.go
+++ b/cluster/faultplan/plan.go
@@ -59,6 +59,7 @@
 
 // Failer is a test, or one run of a property test.
 type Failer interface {
+	// Fatalf reports a failure and ends the test, as testing.T does.
 	Fatalf(format string, args ...any)
 }
 
--- a/cluster/peers/peers.go
+++ b/cluster/peers/peers.go
@@ -34,27 +34,27 @@
 
 // Encode encodes the loads of servers and the preferred servers of groups into as few datagrams as hold them, and calls send
 // with each.
-func Encode(servers []*balance.Server, homes []balance.GroupPlacement, send func([]byte)) {
-	for len(servers)+len(homes) > 0 {
+func Encode(servers []*balance.Server, placements []balance.GroupPlacement, send func([]byte)) {
+	for len(servers)+len(placements) > 0 {
 		loads := min(len(servers), (MaxDatagramSize-headerSize)/loadEntrySize)
 		p := append(make([]byte, 0, MaxDatagramSize), version, byte(loads))
 		for _, s := range servers[:loads] {
 			p = appendShortHash(p, s.Hash)
 			p = append(p, byte(min(math.Round(max(s.ReportedLoad(), 0)*loadSteps), 255)))
 		}
-		groups := min(len(homes), (MaxDatagramSize-len(p))/groupEntrySize)
-		for _, home := range homes[:groups] {
-			p = appendShortHash(p, home.Group.Hash)
-			p = appendShortHash(p, home.Server.Hash)
+		groups := min(len(placements), (MaxDatagramSize-len(p))/groupEntrySize)
+		for _, placement := range placements[:groups] {
+			p = appendShortHash(p, placement.Group.Hash)
+			p = appendShortHash(p, placement.Server.Hash)
 		}
-		servers, homes = servers[loads:], homes[groups:]
+		servers, placements = servers[loads:], placements[groups:]
 		send(p)
 	}
 }
 
 // Decode decodes a datagram and calls loads and homes with each entry. Loads are shares of what the host can do. It returns
 // false, without any call, for an invalid datagram.
-func Decode(p []byte, loads func(host uint32, busy float64), homes func(group, host uint32)) bool {
+func Decode(p []byte, loads func(host uint32, busy float64), placements func(group, host uint32)) bool {
 	if len(p) < headerSize || len(p) > MaxDatagramSize || p[0] != version {
 		return false
 	}
@@ -68,7 +68,7 @@
 		p = p[loadEntrySize:]
 	}
 	for len(p) > 0 {
-		homes(readShortHash(p), readShortHash(p[shortHashSize:]))
+		placements(readShortHash(p), readShortHash(p[shortHashSize:]))
 		p = p[groupEntrySize:]
 	}
 	return true
--- a/cluster/peers/peers_test.go
+++ b/cluster/peers/peers_test.go
@@ -12,9 +12,9 @@
 func TestReadReturnsWhatWasWritten(t *testing.T) {
 	s := &balance.Server{Hash: 5 | 7<<40}
 	h := balance.GroupPlacement{Group: &balance.Group{Hash: 9}, Server: s}
-	loads, homes, p := 0, 0, []byte(nil)
+	loads, placements, p := 0, 0, []byte(nil)
 	read := func(q []byte) bool {
-		return Decode(q, func(host uint32, _ float64) { loads += int(host) }, func(group, host uint32) { homes += int(group - host) })
+		return Decode(q, func(host uint32, _ float64) { loads += int(host) }, func(group, host uint32) { placements += int(group - host) })
 	}
 	Encode(slices.Repeat([]*balance.Server{s}, 100), slices.Repeat([]balance.GroupPlacement{h}, 100), func(q []byte) {
 		if p = q; !read(q) || len(q) > MaxDatagramSize {
@@ -26,7 +26,7 @@
 			t.Fatal("an invalid datagram was taken:", bad)
 		}
 	}
-	if loads != 500 || homes != 400 {
-		t.Fatalf("sums of what was read: hosts %d, groups less hosts %d", loads, homes)
+	if loads != 500 || placements != 400 {
+		t.Fatalf("sums of what was read: hosts %d, groups less hosts %d", loads, placements)
 	}
 }
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -25,6 +25,7 @@
 	text string
 }
 
+// Error returns the text to print; it is empty if the reason has been printed.
 func (e *exitError) Error() string { return e.text }
 
 func main() {
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -118,32 +118,32 @@
 	}
 }
 
-// noteBusy passes a host's load report to the overload control.
-func (n *Node) noteBusy(h *host, busy float64) {
+// noteReportedLoad passes a host's load report to the overload control.
+func (n *Node) noteReportedLoad(h *host, busy float64) {
 	if n.cluster != nil {
 		n.cluster.overload.ObserveReportedLoad(&h.Server, busy)
 	}
 }
 
-// noteTurnedAway tells the overload control that a host answered BUSY.
-func (n *Node) noteTurnedAway(h *host) {
+// noteRejection tells the overload control that a host answered BUSY.
+func (n *Node) noteRejection(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.ObserveRejection(&h.Server)
 	}
 }
 
-// noteSick tells the overload control that a host failed a flow that it had received.
-func (n *Node) noteSick(h *host) {
+// noteSetupFailure tells the overload control that a host failed a flow that it had received.
+func (n *Node) noteSetupFailure(h *host) {
 	if n.cluster != nil && h.State == balance.Up {
 		n.cluster.overload.ObserveSetupFailure(&h.Server)
 	}
 }
 
 // noteSuspended handles the suspension of a host because of other nodes' reports.
-func (n *Node) noteSuspended(server *balance.Server, verdict health.Suspension) {
-	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", server.Name, verdict.Reasons, verdict.Witnesses))
+func (n *Node) noteSuspended(server *balance.Server, suspension health.Suspension) {
+	n.logThrottled("held_back", fmt.Sprintf("%s: %s, by %d", server.Name, suspension.Reasons, suspension.Witnesses))
 	if n.config.Cluster.OnSuspended != nil {
-		n.config.Cluster.OnSuspended(n.now, server.Name, verdict)
+		n.config.Cluster.OnSuspended(n.now, server.Name, suspension)
 	}
 }
 
@@ -157,8 +157,8 @@
 	return ""
 }
 
-// noteDown tells the overload control that a host can't be reached.
-func (n *Node) noteDown(h *host) {
+// noteUnreachable tells the overload control that a host can't be reached.
+func (n *Node) noteUnreachable(h *host) {
 	if n.cluster != nil {
 		n.cluster.overload.ObserveUnreachable(&h.Server)
 	}
@@ -213,8 +213,8 @@
 	add("overload_demand", fmt.Sprintf("%.0f", figures.Demand))
 	add("overload_shed", figures.Rejected)
 	add("hosts_held_back", figures.SuspendedHosts)
-	cluster.overload.EachSuspended(func(server *balance.Server, verdict health.Suspension) {
-		add("held_back."+server.Name, fmt.Sprintf("%s:%d", verdict.Reasons, verdict.Witnesses))
+	cluster.overload.EachSuspended(func(server *balance.Server, suspension health.Suspension) {
+		add("held_back."+server.Name, fmt.Sprintf("%s:%d", suspension.Reasons, suspension.Witnesses))
 	})
 	add("overload_cuts", figures.CapacityCuts)
 	add("overload_retries", figures.Retries)
@@ -222,9 +222,9 @@
 	return text
 }
 
-// worth returns the benefit of a flow of a service type, by which refusals are weighted; 0 where they are not, or the
+// benefit returns the benefit of a flow of a service type, by which refusals are weighted; 0 where they are not, or the
 // settings give none.
-func (n *Node) worth(typeIndex int) float64 {
+func (n *Node) benefit(typeIndex int) float64 {
 	if n.cluster != nil && typeIndex < len(n.settings.Benefits) {
 		return n.settings.Benefits[typeIndex]
 	}
--- a/node/ending.go
+++ b/node/ending.go
@@ -205,7 +205,7 @@
 // canMove reports whether a flow can be moved now: its client can be sent the MOVE line, and its host has neither sent its
 // last line nor closed its connection, read or not.
 func (n *Node) canMove(f *flow) bool {
-	return f.clientTakesLine() && f.lastWord == lines.Other && !n.net.PeerClosed(f.upstream.id)
+	return f.clientTakesLine() && f.lastAnswer == lines.Other && !n.net.PeerClosed(f.upstream.id)
 }
 
 // moveLine asks a client to reconnect.
--- a/node/flows.go
+++ b/node/flows.go
@@ -134,7 +134,7 @@
 		Hash:        hash(request.Key),
 		Returning:   request.Returning,
 		LoadHint:    request.LoadHint,
-		Benefit:     n.worth(typeIndex),
+		Benefit:     n.benefit(typeIndex),
 		Deadline:    n.now + wait - answerMargin,
 		Passthrough: n.settings.PassThrough,
 		Ref:         f,
@@ -309,11 +309,11 @@
 	n.deadlines.set(&f.timer, max(f.Deadline, n.now+1))
 	switch {
 	case cause == errBusy:
-		n.noteTurnedAway(h)
+		n.noteRejection(h)
 	case end.Outcome() == balance.Unreachable:
-		n.noteDown(h)
+		n.noteUnreachable(h)
 	case end.Outcome() != balance.Superseded && end.Outcome() != balance.Saturated:
-		n.noteSick(h)
+		n.noteSetupFailure(h)
 	}
 	n.decider.Ended(&f.Flow, &h.Server, end.Outcome(), took, false)
 }
--- a/node/handover.go
+++ b/node/handover.go
@@ -49,9 +49,13 @@
 
 // balancerMemory is implemented by deciders whose knowledge can be handed over.
 type balancerMemory interface {
+	// Memory returns what the decider knows besides its servers.
 	Memory() balance.Memory
+	// ServerMemory returns what the decider knows of a server.
 	ServerMemory(*balance.Server) balance.ServerMemory
+	// Restore takes over the result of Memory from the predecessor.
 	Restore(now int64, m balance.Memory)
+	// RestoreServer takes over the result of ServerMemory from the predecessor.
 	RestoreServer(*balance.Server, balance.ServerMemory)
 }
 
@@ -274,7 +278,7 @@
 // its last line, end here.
 func (n *Node) handOverFlow(f *flow) bool {
 	client, upstream := f.client, f.upstream
-	if f.ended || f.stage != Established || client.inputEnded || upstream.inputEnded || f.lastWord != lines.Other ||
+	if f.ended || f.stage != Established || client.inputEnded || upstream.inputEnded || f.lastAnswer != lines.Other ||
 		max(client.in.Len(), client.out.Len(), upstream.in.Len(), upstream.out.Len()) > lines.RingSize {
 		return false
 	}
@@ -432,7 +436,7 @@
 	f.Flow = balance.Flow{
 		Type:        &n.settings.Types[typeIndex],
 		TypeIndex:   typeIndex,
-		Benefit:     n.worth(typeIndex),
+		Benefit:     n.benefit(typeIndex),
 		Hash:        handed.Key,
 		Returning:   handed.Again,
 		LoadHint:    handed.Hint,
--- a/node/late.go
+++ b/node/late.go
@@ -64,9 +64,9 @@
 }
 
 // latenessSince returns how much of a leg that began in the given iteration and ends now may be the node's own lateness.
-func (n *Node) latenessSince(turn uint64) int64 {
-	if n.lateness.iteration-turn < keptIterations {
-		return n.lateness.current + int64(n.lateness.lengths[turn%keptIterations])
+func (n *Node) latenessSince(iteration uint64) int64 {
+	if n.lateness.iteration-iteration < keptIterations {
+		return n.lateness.current + int64(n.lateness.lengths[iteration%keptIterations])
 	}
 	return n.lateness.current // after so many iterations, the length of one hardly matters
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -34,7 +34,7 @@
 	Over   string        // what it counts over, such as OverType
 	Of     string        // name of the one service type, group or host that it holds for; empty for each
 	Rate   limits.Limit  // of new flows
-	AtOnce permits.Limit // of concurrent flows; Most is 0 where the limit is a rate
+	AtOnce permits.Limit // of concurrent flows; Max is 0 where the limit is a rate
 }
 
 // Check returns an error if the limit is invalid or can't be kept by that many nodes.
--- a/node/node.go
+++ b/node/node.go
@@ -122,13 +122,14 @@
 	DelayMeasured(s *balance.Server, us int64)
 	// Probed reports the end of a probe.
 	Probed(s *balance.Server, end balance.Outcome, took int64)
-	// AlarmFired reports that the time has come that was requested from the writer's alarm.
+	// AlarmFired reports that the time has come that was set with the writer's SetAlarm.
 	AlarmFired()
 }
 
 // module adapts the decision module to Decider.
 type module struct{ *balance.Balancer }
 
+// Round runs one round of the decision module.
 func (m module) Round(now int64, in func(), out balance.Writer) {
 	m.Balancer.Round(now, func(*balance.Balancer) { in() }, out)
 }
@@ -218,7 +219,7 @@
 	ended           bool
 	awaitsList      bool             // waits for the first list
 	movePending     bool             // is moved as soon as its client can be sent the MOVE line
-	lastWord        lines.AnswerKind // BYE or MOVE once the host has sent it
+	lastAnswer      lines.AnswerKind // BYE or MOVE once the host has sent it
 	unansweredSince int64            // when the oldest line without an answer was passed to the host; 0 for none
 	unansweredSpan  span             // measures that line
 	timer           deadline
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -37,8 +37,8 @@
 	counter := &heldCounter{Decider: n.decider}
 	n.decider, n.settings.HasGroups = counter, true
 	deliver := func() { n.ReceivePeerDatagram([]byte("GET / HTTP/1.1")); n.ReceivePeerDatagram(nil) }
-	homes := []balance.GroupPlacement{{Group: &balance.Group{Hash: hash("grp")}, Server: &n.hosts["s-0"].Server}}
-	peers.Encode(nil, homes, func(p []byte) { invalid := deliver; deliver = func() { invalid(); n.ReceivePeerDatagram(p) } })
+	placements := []balance.GroupPlacement{{Group: &balance.Group{Hash: hash("grp")}, Server: &n.hosts["s-0"].Server}}
+	peers.Encode(nil, placements, func(p []byte) { invalid := deliver; deliver = func() { invalid(); n.ReceivePeerDatagram(p) } })
 	for want, in := range []func(){deliver, func() { (&flow{}).joinNamedGroup(n, "grp") }, deliver} {
 		if net.run(1, in); counter.held != want {
 			t.Fatal(counter.held, "placements reported, want", want)
--- a/node/probes.go
+++ b/node/probes.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		if reported {
-			n.noteBusy(h, busy)
+			n.noteReportedLoad(h, busy)
 			n.decider.LoadReported(&h.Server, busy, true)
 		}
 		if word != lines.Pong {
@@ -115,7 +115,7 @@
 	n.closeProbe(h)
 	n.Count.ProbesFailed++
 	if end == balance.Unreachable {
-		n.noteDown(h)
+		n.noteUnreachable(h)
 	}
 	n.decider.Probed(&h.Server, end, took)
 }
--- a/node/relay.go
+++ b/node/relay.go
@@ -99,7 +99,7 @@
 			case lines.Load:
 				n.receiveFigure(f, load)
 			case lines.Bye, lines.Move:
-				f.lastWord = word
+				f.lastAnswer = word
 			}
 		}
 		rest = rest[end:]
@@ -126,7 +126,7 @@
 	switch {
 	case upstream.inputEnded && (upstream.in.Len() == 0 || upstream.err != nil):
 		end := balance.Severed
-		switch f.lastWord {
+		switch f.lastAnswer {
 		case lines.Bye:
 			end = balance.Completed
 		case lines.Move:
--- a/rehearsal/baseline/baseline.go
+++ b/rehearsal/baseline/baseline.go
@@ -217,10 +217,17 @@
 // Expired drops a flow whose deadline has passed.
 func (d *decider) Expired(f *balance.Flow) { d.forgetFlow(f) }
 
-// Baselines use neither loads, reports, groups, delays nor probes.
+// LoadMeasured does nothing: baselines do not use the loads of flows.
+func (d *decider) LoadMeasured(*balance.Flow, float64) {}
 
-func (d *decider) LoadMeasured(*balance.Flow, float64)               {}
-func (d *decider) LoadReported(*balance.Server, float64, bool)       {}
+// LoadReported does nothing: baselines do not use load reports.
+func (d *decider) LoadReported(*balance.Server, float64, bool) {}
+
+// PlacementReported does nothing: baselines do not use groups.
 func (d *decider) PlacementReported(*balance.Group, *balance.Server) {}
-func (d *decider) DelayMeasured(*balance.Server, int64)              {}
-func (d *decider) Probed(*balance.Server, balance.Outcome, int64)    {}
+
+// DelayMeasured does nothing: baselines do not use message delays.
+func (d *decider) DelayMeasured(*balance.Server, int64) {}
+
+// Probed does nothing: baselines do not use probes.
+func (d *decider) Probed(*balance.Server, balance.Outcome, int64) {}
