--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -383,7 +383,7 @@
 	}
 }
 
-// A single node, and one whose watch stood for a while, must not wait longer than needed.
+// A single node, and one whose watch was open for a while, must not wait longer than needed.
 func TestLoneRefusalIsRetriedSoon(t *testing.T) {
 	b, _ := newTestBalancer(3, Repeatable, ScopeAll)
 	b.settings.Nodes = 1
@@ -392,7 +392,7 @@
 	}
 	b.refusals, b.watching, b.watchBeganAt = 6, true, b.now-4*second
 	if b.BeginList(ListRefused); b.nextWatchAt > b.now+second {
-		t.Fatalf("the next call is %d us away after a watch that stood", b.nextWatchAt-b.now)
+		t.Fatalf("the next call is %d us away after a watch that was open", b.nextWatchAt-b.now)
 	}
 }
 
--- a/balance/constants.go
+++ b/balance/constants.go
@@ -127,7 +127,7 @@
 const (
 	watchSpreadPerNode  = 50_000      // over which the nodes of a fleet spread their calls, for each node
 	maxFirstWatchDelay  = 2500 * 1000 // of a starting node
-	stableWatchDuration = 3_000_000   // a watch that stood this long resets the backoff
+	stableWatchDuration = 3_000_000   // a watch that was open this long resets the backoff
 	firstWatchBackoff   = 200_000     // after one failed call; it doubles with each further one
 	maxWatchBackoff     = 3_800_000   // keeps the time to learn of a change within 6 s
 )
--- a/balance/load.go
+++ b/balance/load.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// DelayMeasured takes how long messages take at a server, in microseconds. If that is too long, the server gets no new flows for
-// a while and a lower load limit, and load is moved off it. This guards against a server that is overloaded by flows
-// already placed.
+// DelayMeasured takes how long messages take at a server, in microseconds. If that is too long, the server gets no new
+// flows for a while and a lower load limit, and load is moved off it. This guards against a server that is overloaded
+// by flows already placed.
 func (b *Balancer) DelayMeasured(s *Server, us int64) {
 	if us <= b.shortestMessageTarget/3 {
 		s.messageDelay = 0
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -99,8 +99,8 @@
 	b.flowsPerServer = m.Held
 }
 
-// RestoreServer takes over the memory of a server that the list names. If the server has been started anew since, nothing is
-// taken over.
+// RestoreServer takes over the memory of a server that the list names. If the server has been started anew since,
+// nothing is taken over.
 func (b *Balancer) RestoreServer(s *Server, m ServerMemory) {
 	if m.Started != s.Started || !isPlausible(m.Limit) || m.Rank < 0 || m.Fastest < 0 {
 		return
--- a/balance/types.go
+++ b/balance/types.go
@@ -66,7 +66,7 @@
 	AskWithin       int64   // a node that has not requested the list counts as informed of a change after this long
 	MaxWatchBackoff int64   // longest wait between a failed list call and the next; 0 derives it from the number of nodes
 	WatchSpread     int64   // time over which the nodes of a starting fleet spread their first list calls; 0 derives it
-	MaxRetryAfter   int64   // longest retry delay that clients obey; 0 where they are not told one
+	MaxRetryAfter   int64   // longest retry delay that clients obey; 0 where they are sent none
 	ColdFrom        float64 // share of its size that a server can carry when it has just started
 	ColdTime        int64   // time in which a started server warms up to its full size
 	FallMultiple    float64 // a cold server falls when it is sent this multiple of what it can carry
@@ -101,7 +101,7 @@
 	shortestMessageTarget int64
 	flowsPerServer        float64 // own flows per server: a maximum that decays with each review
 
-	watching              bool // a watch of the server list stands
+	watching              bool // a watch of the server list is open
 	watchRequested        bool
 	nextWatchAt           int64 // when the list is requested next
 	watchBeganAt          int64
--- a/citest/known_red_test.go
+++ b/citest/known_red_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The list of tests that are known to fail must not grow beyond three lines, and each line has to name an existing test with
-// a cause and an issue. Otherwise the script has to fail with a message.
+// The list of tests that are known to fail must not grow beyond three lines, and each line has to name an existing test
+// with a cause and an issue. Otherwise the script has to fail with a message.
 func TestKnownRedIsReadStrictly(t *testing.T) {
 	const good = "citest.TestKnownRedIsReadStrictly: a cause, with its figures (45)\n"
 	for text, want := range map[string]string{
--- a/cluster/faultplan/fleet.go
+++ b/cluster/faultplan/fleet.go
@@ -122,8 +122,8 @@
 	return since, m.Leases.ExpiresAt(slot), ok
 }
 
-// LikelyOwner returns the other node to ask for a key: the first that runs in the same part of the fleet, beginning with the slot's
-// first node; -1 if there is none.
+// LikelyOwner returns the other node to ask for a key: the first that runs in the same part of the fleet, beginning
+// with the slot's first node; -1 if there is none.
 func (m *Member) LikelyOwner(key uint64) int {
 	for offset := range m.fleet.Members {
 		node := (int(key%lease.Slots) + offset) % len(m.fleet.Members)
--- a/cluster/frame/frame.go
+++ b/cluster/frame/frame.go
@@ -23,7 +23,7 @@
 	NameHash    uint32 // short hash of the sender's name
 	Process     uint64 // random identifier that each process draws when it starts, so that two of one name differ
 	Seq         uint32 // number of the datagram, counted by the process for each receiver
-	EchoProcess uint64 // the receiver's process that the sender heard last; 0 for none
+	EchoProcess uint64 // the receiver's process whose datagram the sender received last; 0 for none
 	EchoSeq     uint32 // the last Seq of that process
 	Late        bool   // the sender's loop is late, so it takes no node for lost
 	Leaving     bool   // the sender is about to end
--- a/cluster/health/health.go
+++ b/cluster/health/health.go
@@ -1,12 +1,12 @@
 // Package health decides from the health reports of other nodes which hosts this node suspends for now: it sends them no
-// new flows. It has no I/O and no clock. The caller leaves out reports that are too old, so that each suspension ends by
-// itself.
+// new flows. It has no I/O and no clock. The caller leaves out reports that are too old, so that each suspension
+// ends without further action.
 //
 // Reports of other nodes may suspend a host but never rank it: only a node's own latency does that. One witness alone
-// suspends no host for others. Two that recently used it do, if they are of the own zone or of two zones: what fails over
-// one zone's network path only counts in that zone. A witness that finds most hosts failing, or that is late itself, counts
-// for itself alone, and a node in the smaller part of a partitioned fleet follows nobody's reports. Whatever is reported, at
-// most a third of the hosts are suspended.
+// suspends no host for others. Two that recently used it do, if they are of the own zone or of two zones: what fails
+// over one zone's network path only counts in that zone. A witness that finds most hosts failing, or that is late
+// itself, counts for itself alone, and a node in the smaller part of a partitioned fleet follows no reports of others.
+// Whatever is reported, at most a third of the hosts are suspended.
 package health
 
 import (
@@ -110,7 +110,7 @@
 
 // View is the position of the node that decides.
 type View struct {
-	Hosts, Linked, Others int                                // number of hosts, of other nodes that are heard, and of other nodes
+	Hosts, Linked, Others int                                // number of hosts, of other nodes that are linked, and of other nodes
 	Zone                  uint32                             // the own zone
 	OwnZone               func(host int) bool                // whether a host is in the own zone
 	Contradicts           func(host int, reason Reason) bool // whether the node's own evidence contradicts a reason
--- a/cluster/health/health_test.go
+++ b/cluster/health/health_test.go
@@ -27,9 +27,9 @@
 	seesConnects := func(_ int, of Reason) bool { return of == Down }
 	late := witness(2, 9, Down, 3)
 	late.Late = true
-	var eachSick []Witness
+	var eachFailing []Witness
 	for h := range 9 {
-		eachSick = append(eachSick, witness(uint32(h%3), 9, SetupFails, h))
+		eachFailing = append(eachFailing, witness(uint32(h%3), 9, SetupFails, h))
 	}
 	for _, c := range []struct {
 		name        string
@@ -48,7 +48,7 @@
 		{"two, and contradicted by own evidence", []Witness{witness(1, 9, Down, 3), witness(2, 9, Down, 3)}, 11, seesConnects, nil},
 		{"one of two is late", []Witness{witness(1, 9, Down, 3), late}, 11, nothing, nil},
 		{"both find most hosts failing", []Witness{witness(1, 9, Down, 1, 2, 3, 4, 5), witness(2, 9, Down, 1, 2, 3, 4, 5)}, 11, nothing, nil},
-		{"each reports another host", eachSick, 11, nothing, nil},
+		{"each reports another host", eachFailing, 11, nothing, nil},
 		{"a drain reported once", []Witness{witness(2, 9, Draining, 5)}, 11, nothing, []int{5}},
 		{"cold, by two of one zone", []Witness{witness(2, 9, Cold, 5), witness(2, 9, Cold, 5)}, 11, nothing, []int{5}},
 		{"cold, by one", []Witness{witness(2, 9, Cold, 5)}, 11, nothing, nil},
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -143,9 +143,9 @@
 	return l.slots[s].ownedSince, l.slots[s].everOwned && l.now < l.slots[s].ownedUntil
 }
 
-// VoterCount returns the number of nodes whose votes the ownership of a slot rests on, including this node; 0 if this process
-// does not own the slot. While the ownership lasts, each of these nodes votes for no other process and knows that its vote
-// is outstanding.
+// VoterCount returns the number of nodes whose votes the ownership of a slot rests on, including this node; 0 if this
+// process does not own the slot. While the ownership lasts, each of these nodes votes for no other process and knows
+// that its vote is outstanding.
 func (l *Leases) VoterCount(s int) int {
 	if _, ok := l.Owned(s); !ok {
 		return 0
@@ -153,8 +153,8 @@
 	return l.slots[s].ownerVotes.count()
 }
 
-// VoteOutstanding reports whether a vote of this node for the slot may still count, whether granted by this process or by an earlier
-// one.
+// VoteOutstanding reports whether a vote of this node for the slot may still count, whether granted by this process or
+// by an earlier one.
 func (l *Leases) VoteOutstanding(s int) bool {
 	return l.now < l.noVotesBefore || l.now < l.votes[s].expiresAt
 }
@@ -162,9 +162,9 @@
 // ExpiresAt returns when the ownership of a slot expires unless it is renewed.
 func (l *Leases) ExpiresAt(s int) int64 { return l.slots[s].ownedUntil }
 
-// RequestVotes requests votes for the wanted slots that are not owned or due for renewal. The send function transmits the payload
-// to each other node. The wanted function says whether this process should own a slot; it is only a guess, so that usually
-// one node asks rather than all.
+// RequestVotes requests votes for the wanted slots that are not owned or due for renewal. The send function transmits
+// the payload to each other node. The wanted function says whether this process should own a slot; it is only a guess,
+// so that usually one node asks rather than all.
 func (l *Leases) RequestVotes(wanted func(s int) bool, send func(payload []byte)) {
 	if l.now < l.nextRequestAt {
 		return
@@ -236,8 +236,8 @@
 	}
 }
 
-// HandleMessage handles a message of a process of another node. A vote that is granted is sent back by the answer function. It
-// returns false if the payload is neither a request nor a vote, or is malformed.
+// HandleMessage handles a message of a process of another node. A vote that is granted is sent back by the answer
+// function. It returns false if the payload is neither a request nor a vote, or is malformed.
 func (l *Leases) HandleMessage(from int, process uint64, payload []byte, answer func(payload []byte)) bool {
 	isRequest := len(payload) == requestSize && payload[0] == requestKind
 	isVote := len(payload) == voteSize && payload[0] == voteKind
--- a/cluster/limits/limit.go
+++ b/cluster/limits/limit.go
@@ -40,7 +40,8 @@
 	return max(l.Burst-l.Rate*float64(max(l.hold(), 0))/float64(second), 1)
 }
 
-// MaxAdmitted returns the largest number that all nodes together may admit within a window of the given length in microseconds.
+// MaxAdmitted returns the largest number that all nodes together may admit within a window of the given length in
+// microseconds.
 func (l Limit) MaxAdmitted(nodes int, window int64) float64 {
 	strict := l.Burst + l.Rate*float64(window)/float64(second)
 	if l.Strict {
--- a/cluster/limits/limits.go
+++ b/cluster/limits/limits.go
@@ -33,7 +33,7 @@
 
 // Requests to an owner.
 const (
-	maxAttempts  = 3                 // requests sent before the process decides by itself
+	maxAttempts  = 3                 // requests sent before the process decides locally
 	maxPending   = 4096              // keys with a pending request
 	replyTimeout = 60 * ms           // microseconds until a request is sent again
 	minRefusal   = 50 * ms           // microseconds for which a refused key is refused without a request, at least
@@ -97,8 +97,8 @@
 	}
 }
 
-// NewPerKey returns one process's state for strict limits that differ by key. The owner of a key evaluates limitOf whenever it
-// needs the key's limit.
+// NewPerKey returns one process's state for strict limits that differ by key. The owner of a key evaluates limitOf
+// whenever it needs the key's limit.
 func NewPerKey(limitOf func(key uint64) Limit, process uint64, nodes int, owner OwnerLookup) *Limits {
 	l := New(Limit{Strict: true}, process, nodes, owner)
 	l.limitOf = limitOf
--- a/cluster/limits/owner.go
+++ b/cluster/limits/owner.go
@@ -66,8 +66,8 @@
 	return count
 }
 
-// HandleRequest handles a request of another node. The reply is sent back by the answer function. It returns false if the payload
-// is not a request.
+// HandleRequest handles a request of another node. The reply is sent back by the answer function. It returns false if
+// the payload is not a request.
 func (l *Limits) HandleRequest(payload []byte, answer func(payload []byte)) bool {
 	if len(payload) != requestSize || payload[0] != requestKind {
 		return false
@@ -77,7 +77,7 @@
 	since, until, ok := l.owner.OwnedHere(key)
 	if !ok {
 		l.Discarded++
-		return true // the requester times out and asks again or decides by itself
+		return true // the requester times out and asks again or decides locally
 	}
 	count := l.handOut(key, wanted, since, until)
 	limit := l.limitAt(key)
--- a/cluster/limits/user.go
+++ b/cluster/limits/user.go
@@ -23,9 +23,9 @@
 	attempts    int
 }
 
-// Acquire takes one token of a key. If waiting is false, granted is the decision; otherwise the waiter's decision is returned
-// by a later call that advances the clock or handles a reply. The send function transmits a request to the node with the
-// given index.
+// Acquire takes one token of a key. If waiting is false, granted is the decision; otherwise the waiter's decision is
+// returned by a later call that advances the clock or handles a reply. The send function transmits a request to the
+// node with the given index.
 func (l *Limits) Acquire(key uint64, waiter any, send func(to int, p []byte)) (granted, waiting bool) {
 	if l.now < l.refusedUntil[key] {
 		l.count(false)
@@ -134,8 +134,8 @@
 	return true
 }
 
-// HandleReply handles a reply of the node with the given index and returns the decisions for waiters. A reply that does not match
-// a pending request is counted and dropped. It returns ok false if the payload is not a reply.
+// HandleReply handles a reply of the node with the given index and returns the decisions for waiters. A reply that does
+// not match a pending request is counted and dropped. It returns ok false if the payload is not a reply.
 func (l *Limits) HandleReply(from int, payload []byte, send func(to int, payload []byte)) (decided []Decision, ok bool) {
 	if len(payload) != replySize || payload[0] != replyKind {
 		return nil, false
--- a/cluster/members/members.go
+++ b/cluster/members/members.go
@@ -39,7 +39,7 @@
 
 const (
 	Unknown State = iota // no recent message since this process started
-	Linked               // it is heard, and it hears this node
+	Linked               // datagrams arrive in both directions
 	Lost                 // it was linked and is no longer
 	Left                 // it announced that it ends
 )
@@ -60,11 +60,11 @@
 	seq        uint32               // of the last datagram to it
 	sentAt     [sentTimesKept]int64 // by seq, modulo its length
 	nextSendAt int64
-	processes  []*remoteProcess // heard at this address, the latest first
+	processes  []*remoteProcess // that sent from this address, the latest first
 	state      State
 }
 
-// remoteProcess is one process heard at an address.
+// remoteProcess is one process that sent from an address.
 type remoteProcess struct {
 	Message
 	seq        uint32 // of its last datagram
@@ -115,8 +115,8 @@
 	}
 }
 
-// SetLate sets whether this node's own loop is late. While it is, the node takes no other node for lost, and its datagrams say
-// that it is late.
+// SetLate sets whether this node's own loop is late. While it is, the node takes no other node for lost, and its
+// datagrams say that it is late.
 func (m *Members) SetLate(late bool) { m.late = late }
 
 // IsLate reports whether this node's own loop is late.
@@ -137,7 +137,8 @@
 	send(to, datagram)
 }
 
-// NameHash returns the short hash of a node's name as given by its latest process; ok is false if no process of it is known.
+// NameHash returns the short hash of a node's name as given by its latest process; ok is false if no process of it is
+// known.
 func (m *Members) NameHash(node int) (name uint32, ok bool) {
 	if w := m.peers[node].processes; len(w) > 0 {
 		return w[0].nameHash, true
@@ -162,10 +163,11 @@
 	return next
 }
 
-// SendDue sends the heartbeats that are due and updates the state of each node. payload is called at most once, if anything is
-// sent.
+// SendDue sends the heartbeats that are due and updates the state of each node. payload is called at most once, if
+// anything is sent.
 func (m *Members) SendDue(now int64, payload func() []byte, send func(to int, p []byte)) {
-	// A process that was stopped, or whose clock jumped, could receive nothing meanwhile: other nodes are not lost for that.
+	// A process that was stopped, or whose clock jumped, could receive nothing meanwhile: other nodes are not lost for
+	// that.
 	if gap := now - m.lastRunAt; gap > 2*m.sendInterval || gap < 0 {
 		for _, p := range m.peers {
 			for _, r := range p.processes {
@@ -189,7 +191,7 @@
 	}
 }
 
-// updateState updates the state of a node and removes processes that have not been heard for long.
+// updateState updates the state of a node and removes processes that have sent nothing for long.
 func (m *Members) updateState(now int64, p *peer) {
 	previous := p.state
 	for i := len(p.processes) - 1; i >= 0; i-- {
@@ -215,8 +217,8 @@
 	}
 }
 
-// HandleDatagram takes a datagram from node number from; a negative number is an address that is not on the list. ok is true if its
-// message is recent and new.
+// HandleDatagram takes a datagram from node number from; a negative number is an address that is not on the list. ok is
+// true if its message is recent and new.
 func (m *Members) HandleDatagram(now int64, from int, datagram []byte) (message Message, ok bool) {
 	header, payload, fault := frame.Decode(datagram)
 	m.Received++
@@ -262,7 +264,7 @@
 // CountFault counts a fault that the caller found in the payload of a datagram.
 func (m *Members) CountFault(f frame.Fault) { m.Faults[f]++ }
 
-// findProcess returns a process heard at the address, or nil.
+// findProcess returns a process that sent from the address, or nil.
 func (p *peer) findProcess(process uint64) *remoteProcess {
 	for _, r := range p.processes {
 		if r.Process == process {
--- a/cluster/members/members_test.go
+++ b/cluster/members/members_test.go
@@ -143,15 +143,16 @@
 	t.Logf("bound %d ms; oldest %d ms", MaxMessageAge(5)/ms, worst/ms)
 }
 
-// TestStates guards against wrong membership states when a node is heard by none, when that ends, and when a node leaves.
+// TestStates guards against wrong membership states when a node's datagrams reach no other, when that ends, and when a
+// node leaves.
 func TestStates(t *testing.T) {
 	n := newTestNetwork(t, 3, 1)
 	n.run(1)
 	n.wantState(0, 1, Linked)
-	n.isCut = func(from, _ int) bool { return from == 0 } // node 0 hears all and is heard by none
+	n.isCut = func(from, _ int) bool { return from == 0 } // node 0 receives from all and reaches none
 	n.run(3)
 	n.wantState(1, 0, Lost)
-	n.wantState(0, 1, Lost) // their datagrams name no recent one of node 0, so it knows that it is not heard
+	n.wantState(0, 1, Lost) // their datagrams acknowledge no recent one of node 0, so it knows that its own do not arrive
 	n.wantState(1, 2, Linked)
 	n.isCut = func(int, int) bool { return false }
 	n.run(1)
@@ -171,7 +172,7 @@
 	changes := n.nodes[0].StateChanges
 	n.step()
 	if n.nodes[0].StateChanges != changes {
-		t.Error("after a pause the node takes others for lost before it can have heard them")
+		t.Error("after a pause the node takes others for lost before their datagrams can have arrived")
 	}
 	n.run(1)
 	n.wantState(0, 1, Linked)
--- a/cluster/overload/admission.go
+++ b/cluster/overload/admission.go
@@ -29,7 +29,7 @@
 	c.updateClientWait(demand)
 }
 
-// updateDemandShare sets this node's share of the demand, and returns the load demanded a second over all nodes heard.
+// updateDemandShare sets this node's share of the demand, and returns the load demanded a second over all reporting nodes.
 func (c *Controller) updateDemandShare() float64 {
 	totalDemand := 0.0
 	for b := range c.totalDemand {
@@ -110,8 +110,8 @@
 	return cmp.Or(f.Benefit, 1) * unitLoad / max(load, 1)
 }
 
-// AdmitProbability returns 1 if a new flow is admitted and 0 if not, by a random draw against its probability of admission. If the
-// flow's admission was already drawn ahead of a grant, that result counts.
+// AdmitProbability returns 1 if a new flow is admitted and 0 if not, by a random draw against its probability of
+// admission. If the flow's admission was already drawn ahead of a grant, that result counts.
 func (c *Controller) AdmitProbability(f *balance.Flow) float64 {
 	if admitted, ok := c.draws[f]; ok {
 		if delete(c.draws, f); admitted {
@@ -131,8 +131,8 @@
 	return 0
 }
 
-// DrawAdmission draws whether a flow is admitted, ahead of a request for a grant, and returns the result. When the decision module
-// places the flow later, the same result counts and nothing is drawn again.
+// DrawAdmission draws whether a flow is admitted, ahead of a request for a grant, and returns the result. When the
+// decision module places the flow later, the same result counts and nothing is drawn again.
 func (c *Controller) DrawAdmission(f *balance.Flow) bool {
 	admitted := c.AdmitProbability(f) == 1
 	c.draws[f] = admitted
--- a/cluster/overload/bounds.go
+++ b/cluster/overload/bounds.go
@@ -5,8 +5,9 @@
 // The decision module reads its bounds through this interface.
 var _ balance.Bounds = (*Controller)(nil)
 
-// RoomProbability returns the probability with which a server is taken to have room for a flow. During overload servers with less
-// free room than others are taken less often: this protects the server that looks emptiest to all nodes at once.
+// RoomProbability returns the probability with which a server is taken to have room for a flow. During overload servers
+// with less free room than others are taken less often: this protects the server that looks emptiest to all nodes at
+// once.
 func (c *Controller) RoomProbability(s *balance.Server, f *balance.Flow) float64 {
 	h := c.hosts[s]
 	if h == nil {
@@ -53,8 +54,8 @@
 		c.isLate(h) && !c.mostHostsLate
 }
 
-// AllowRetry reports whether a flow may have a further connect, and takes it from the budget, a tenth of the first connects.
-// Without overload it always may.
+// AllowRetry reports whether a flow may have a further connect, and takes it from the budget, a tenth of the first
+// connects. Without overload it always may.
 func (c *Controller) AllowRetry(*balance.Flow, *balance.Server) bool {
 	if !c.Overloaded() {
 		return true
@@ -86,8 +87,8 @@
 	return 0
 }
 
-// RetryDelay returns how long the client of a rejected flow is told to wait: during overload a time that is spread at random by
-// half, up to twice the usual wait; otherwise the usual wait. 0 means that nothing is told.
+// RetryDelay returns how long the client of a rejected flow has to wait: during overload a time that is spread at random by
+// half, up to twice the usual wait; otherwise the usual wait. 0 means that the answer names no wait.
 func (c *Controller) RetryDelay(_ *balance.Flow, usual int64) int64 {
 	if usual <= 0 || !c.Overloaded() {
 		return usual
--- a/cluster/overload/capacity.go
+++ b/cluster/overload/capacity.go
@@ -22,7 +22,7 @@
 	mean.mean += (load - mean.mean) / mean.samples
 }
 
-// updateTypeLoads computes the mean load of a flow of each service type over all nodes heard.
+// updateTypeLoads computes the mean load of a flow of each service type over all reporting nodes.
 func (c *Controller) updateTypeLoads() {
 	c.typeLoads = c.typeLoads[:0]
 	load, flows := 0.0, 0.0
@@ -125,7 +125,7 @@
 	return load, h.capacity > 0
 }
 
-// effectiveScale is the fill scale as far as it counts: the less, the more of the other nodes are heard and the more
+// effectiveScale is the fill scale as far as it counts: the less, the more of the other nodes are linked and the more
 // flows this node has per host.
 func (c *Controller) effectiveScale() float64 {
 	return 1 - (1-c.fillScale)*(1-c.linkedShare)*c.sparseness
--- a/cluster/overload/constants.go
+++ b/cluster/overload/constants.go
@@ -44,7 +44,7 @@
 	usualLoadGain     = 0.02      // weight of the latest mean in the usual load of a flow, each tick
 )
 
-// Scale of the fill while few of the other nodes are heard.
+// Scale of the fill while few of the other nodes are linked.
 const (
 	fewFlowsPerHost     = 4.0        // own flows per host at which the scale counts half
 	minScaleCutInterval = second / 5 // between two cuts of the scale
@@ -60,7 +60,7 @@
 	middleBucket      = 16       // the bucket of benefit 1 for unitLoad
 	unitLoad          = 1e5      // microseconds of work a second
 	admissionExponent = 3        // how steeply the probability of admission falls with benefit per load
-	minClientWait     = 250 * ms // told to clients of rejected flows
+	minClientWait     = 250 * ms // sent to clients of rejected flows
 )
 
 // Budget of further connects during overload.
@@ -84,7 +84,7 @@
 
 // Reports of other nodes.
 const (
-	reportHold        = 8 * second  // a node that is not heard is taken to hold what it last reported, and to go on placing flows
+	reportHold        = 8 * second  // a node whose reports stop is taken to hold what it last reported, and to go on placing flows
 	reportExpiry      = 30 * second // after reportHold a lost node's last report counts less and less, until this age
 	maxReportedFactor = 4.0         // times a host's capacity; no single node is believed to hold more load there
 	minWitnesses      = 2           // other nodes that have to report a host saturated
--- a/cluster/overload/controller.go
+++ b/cluster/overload/controller.go
@@ -3,10 +3,10 @@
 // and no clock, and its randomness comes from a seed. It chooses no server for a flow: the decision module takes its
 // figures as bounds.
 //
-// One rule serves a node that hears all other nodes, some of them or none. Loads are those that are known: the own load
-// and the load that the others report. The load at which a host was last seen to be saturated is learned in the same
-// units, so that a part of the fleet which hears only itself learns a smaller capacity for the same host, and all parts
-// together stay below what it can do without any message between them.
+// The same rule holds for a node that receives reports from all other nodes, from some of them or from none. Loads are
+// those that are known: the own load and the load that the others report. The load at which a host was last seen to be
+// saturated is learned in the same units, so that a part of the fleet that is cut off from the rest learns a smaller
+// capacity for the same host, and all parts together stay below what it can do without any message between them.
 //
 // All times and durations are in microseconds; loads are in microseconds of work a second.
 package overload
@@ -36,12 +36,12 @@
 	byHash      map[uint32]*host
 	hostsByName []*host
 	reports     map[uint64]*report // by process
-	processes   []uint64           // keys of reports in the order in which they were first heard, so that sums are reproducible
+	processes   []uint64           // keys of reports in the order in which they first arrived, so that sums are reproducible
 	nextHost    int                // in hostsByName, where the next report begins if one report does not hold all hosts
 
-	fillScale        float64 // factor on the hosts' fill while few of the other nodes are heard
+	fillScale        float64 // factor on the hosts' fill while few of the other nodes are linked
 	scaleCutAt       int64
-	linkedShare      float64                  // share of the other nodes that are heard
+	linkedShare      float64                  // share of the other nodes that are linked
 	loadPerSize      float64                  // known load per unit of size
 	sparseness       float64                  // near 1 while this node has a flow or two per host, less the more it has
 	mostHostsLate    bool                     // half of the hosts in use, or more
@@ -53,7 +53,7 @@
 	observationCount int
 	usualFlowLoad    float64                    // usual load of a flow on this node
 	ownDemand        [benefitBuckets]float64    // demanded load of this node, by benefit per load, summed over demandSeconds
-	totalDemand      [benefitBuckets]float64    // the same of all nodes heard
+	totalDemand      [benefitBuckets]float64    // the same of all reporting nodes
 	threshold        float64                    // benefit per load from which on all flows are admitted; 0: the fleet has room
 	ownDemandShare   float64                    // this node's part of the total demand
 	usesGrants       func(*balance.Server) bool // whether a cold server is served by grants of the fleet; nil: never
@@ -65,9 +65,9 @@
 	meanFill         float64                           // known load over the sum of the fill limits
 	meanFreeRoom     float64                           // over the hosts with free room
 	ownTypeLoads     []loadMean                        // by service type, as seen on this node
-	typeLoads        []float64                         // mean load by service type, over all nodes heard
-	meanFlowLoad     float64                           // mean load over all service types and nodes heard
-	clientWait       float64                           // microseconds, told to clients of rejected flows
+	typeLoads        []float64                         // mean load by service type, over all reporting nodes
+	meanFlowLoad     float64                           // mean load over all service types and reporting nodes
+	clientWait       float64                           // microseconds, sent to clients of rejected flows
 	retryBudget      float64                           // further connects that are left
 	admittedLoad     float64                           // admitted load, summed over demandSeconds
 	overloadedAt     int64                             // when the threshold was last above 0
@@ -81,7 +81,7 @@
 	BenefitThreshold   float64 // benefit per unit of load below which a flow may be rejected; 0: none is
 	FreeLoad           float64 // load that the known hosts have room for
 	KnownLoad          float64 // load on the known hosts
-	Demand             float64 // load demanded a second, over all nodes heard
+	Demand             float64 // load demanded a second, over all reporting nodes
 	Rejected           int64   // flows rejected by random admission
 	CapacityCuts       int64   // reductions of a host's capacity estimate
 	Retries            int64   // further connects allowed during overload
--- a/cluster/overload/encoding.go
+++ b/cluster/overload/encoding.go
@@ -50,8 +50,8 @@
 // decodeLog converts a figure from the logarithmic scale.
 func decodeLog(v uint16) float64 { return math.Expm1(float64(v) / logSteps) }
 
-// EncodeReport encodes the report to the other nodes in at most maxBytes bytes. If not all hosts fit, the next report goes on
-// with the rest.
+// EncodeReport encodes the report to the other nodes in at most maxBytes bytes. If not all hosts fit, the next report
+// goes on with the rest.
 func (c *Controller) EncodeReport(maxBytes int) []byte {
 	p := make([]byte, 0, maxBytes)
 	p = binary.LittleEndian.AppendUint32(append(p, reportKind), c.zone)
--- a/cluster/overload/hosts.go
+++ b/cluster/overload/hosts.go
@@ -61,8 +61,8 @@
 	b.samples = b.samples[:0]
 }
 
-// ObserveSetup records how long a connection set-up took, less this node's own lateness. The caller leaves out set-ups whose
-// duration is uncertain.
+// ObserveSetup records how long a connection set-up took, less this node's own lateness. The caller leaves out set-ups
+// whose duration is uncertain.
 func (c *Controller) ObserveSetup(s *balance.Server, took int64) {
 	h := c.hosts[s]
 	if h == nil || c.late {
--- a/cluster/overload/overload_test.go
+++ b/cluster/overload/overload_test.go
@@ -49,8 +49,8 @@
 }
 
 // demand places a new flow of a benefit and a load.
-func (n *testNode) demand(worth, load float64) (f *balance.Flow) {
-	f = &balance.Flow{Type: &n.settings.Types[0], Benefit: worth, LoadHint: load, Deadline: n.now + 10*second}
+func (n *testNode) demand(benefit, load float64) (f *balance.Flow) {
+	f = &balance.Flow{Type: &n.settings.Types[0], Benefit: benefit, LoadHint: load, Deadline: n.now + 10*second}
 	n.advance(ms, func() { n.balancer.PlaceFlow(f) })
 	return f
 }
--- a/cluster/overload/reports.go
+++ b/cluster/overload/reports.go
@@ -21,9 +21,10 @@
 	flags    uint8
 }
 
-// HandleReport takes a report of one process of the other node number from. The report is no older than sentAfter. It replaces
-// that process's previous report, and removes those of earlier processes of the node that are no longer heard. An
-// invalid report is dropped as a whole and false is returned; the process's previous report then counts until it is old.
+// HandleReport takes a report of one process of the other node number from. The report is no older than sentAfter. It
+// replaces that process's previous report, and removes those of earlier processes of the node that no longer report. An
+// invalid report is dropped as a whole and false is returned; the process's previous report then counts until it is
+// old.
 func (c *Controller) HandleReport(from int, process uint64, sentAfter int64, late bool, p []byte) bool {
 	r := &report{from: from, sentAfter: sentAfter, late: late}
 	if !decodeReport(p, r) {
@@ -70,7 +71,7 @@
 			expired = append(expired, process)
 			continue
 		}
-		// The flows of a node that is no longer heard stay established for a while.
+		// The flows of a node whose reports have stopped stay established for a while.
 		weight := 1.0
 		if age > max(reportHold, c.maxReportAge) {
 			weight = float64(reportExpiry-age) / float64(reportExpiry-max(reportHold, c.maxReportAge))
--- a/cluster/overload/suspension.go
+++ b/cluster/overload/suspension.go
@@ -5,8 +5,8 @@
 	"coursewinch/cluster/health"
 )
 
-// ConfigureReports sets the zone that reports name and the function that is called when a host becomes suspended because of other
-// nodes' reports. It may be nil.
+// ConfigureReports sets the zone that reports name and the function that is called when a host becomes suspended
+// because of other nodes' reports. It may be nil.
 func (c *Controller) ConfigureReports(zone uint32, onSuspend func(*balance.Server, health.Suspension)) {
 	c.zone, c.onSuspend = zone, onSuspend
 }
--- a/cluster/peers/peers.go
+++ b/cluster/peers/peers.go
@@ -32,8 +32,8 @@
 // readShortHash returns the short hash at the beginning of p.
 func readShortHash(p []byte) uint32 { return uint32(p[0]) | uint32(p[1])<<8 | uint32(p[2])<<16 }
 
-// Encode encodes the loads of servers and the preferred servers of groups into as few datagrams as hold them, and calls send
-// with each.
+// Encode encodes the loads of servers and the preferred servers of groups into as few datagrams as hold them, and calls
+// send with each.
 func Encode(servers []*balance.Server, placements []balance.GroupPlacement, send func([]byte)) {
 	for len(servers)+len(placements) > 0 {
 		loads := min(len(servers), (MaxDatagramSize-headerSize)/loadEntrySize)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Decode decodes a datagram and calls loads and homes with each entry. Loads are shares of what the host can do. It returns
-// false, without any call, for an invalid datagram.
+// Decode decodes a datagram and calls loads and placements with each entry. Loads are shares of what the host can do.
+// It returns false, without any call, for an invalid datagram.
 func Decode(p []byte, loads func(host uint32, busy float64), placements func(group, host uint32)) bool {
 	if len(p) < headerSize || len(p) > MaxDatagramSize || p[0] != version {
 		return false
--- a/cluster/permits/history_test.go
+++ b/cluster/permits/history_test.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestHistoryIsLinearizable guards a strict limit under drawn faults: what all members acquire and release is a linearizable
-// history of one semaphore, in which each operation takes effect between its call and its return. The permits of a killed
-// process are released when it ends, those of a paused process at some time before it resumes.
+// TestHistoryIsLinearizable guards a strict limit under drawn faults: what all members acquire and release is a
+// linearizable history of one semaphore, in which each operation takes effect between its call and its return. The
+// permits of a killed process are released when it ends, those of a paused process at some time before it resumes.
 func TestHistoryIsLinearizable(t *testing.T) {
 	faultplan.FixSeed()
 	runs, operations := 0, 0
--- a/cluster/permits/messages.go
+++ b/cluster/permits/messages.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// HandleRequest handles a request of a process of another node. The reply is sent back by the answer function. It returns false
-// if the payload is not a request.
+// HandleRequest handles a request of a process of another node. The reply is sent back by the answer function. It
+// returns false if the payload is not a request.
 func (p *Permits) HandleRequest(process uint64, payload []byte, answer func(payload []byte)) bool {
 	if len(payload) < headerSize+requestEntrySize || payload[0] != requestKind || (len(payload)-headerSize)%requestEntrySize != 0 {
 		return false
@@ -73,8 +73,9 @@
 	return true
 }
 
-// HandleReply handles a reply of the node with the given index and returns the decisions for waiters. Entries that do not match
-// the latest request for their key are counted and dropped. It returns ok false if the payload is not a reply.
+// HandleReply handles a reply of the node with the given index and returns the decisions for waiters. Entries that do
+// not match the latest request for their key are counted and dropped. It returns ok false if the payload is not a
+// reply.
 func (p *Permits) HandleReply(from int, payload []byte) (decided []Decision, ok bool) {
 	if len(payload) < headerSize+replyEntrySize || payload[0] != replyKind || (len(payload)-headerSize)%replyEntrySize != 0 {
 		return nil, false
--- a/cluster/permits/permits.go
+++ b/cluster/permits/permits.go
@@ -51,7 +51,7 @@
 
 // Other bounds.
 const (
-	maxAttempts  = 3         // requests without a reply before the process decides by itself
+	maxAttempts  = 3         // requests without a reply before the process decides locally
 	maxUsedKeys  = 1 << 14   // keys that one process uses
 	maxOwnedKeys = 1 << 16   // keys that an owner keeps ledgers of
 	maxCount     = 1<<16 - 1 // permits of one key; counts are 16 bits in datagrams
@@ -119,7 +119,7 @@
 	slots       [lease.Slots]slotOwnership
 
 	// Counters: decisions by outcome, requests sent, decisions granted from the local share (a part of Granted), messages
-	// dropped because they were not expected, and flows that the caller was told to end.
+	// dropped because they were not expected, and flows that the caller had to end.
 	Granted, Refused, RequestsSent, GrantedLocally, Discarded, Revoked int64
 }
 
@@ -147,8 +147,8 @@
 	return n
 }
 
-// SetLimit changes the limit. All permits are requested again; under a lower strict limit the flows beyond it are reported as
-// excess once the owners have replied.
+// SetLimit changes the limit. All permits are requested again; under a lower strict limit the flows beyond it are
+// reported as excess once the owners have replied.
 func (p *Permits) SetLimit(limit Limit) {
 	p.limit = limit
 	for _, u := range p.usages {
@@ -166,8 +166,8 @@
 	return age
 }
 
-// SweepDue reports whether a tick at this time examines all keys. Usage set just before such a tick is taken into account by
-// it.
+// SweepDue reports whether a tick at this time examines all keys. Usage set just before such a tick is taken into
+// account by it.
 func (p *Permits) SweepDue(now int64) bool { return now >= p.nextSweepAt || now < p.now }
 
 // Tick advances the clock; it is called once per loop iteration. It sends the requests that are due and returns the
--- a/cluster/permits/user.go
+++ b/cluster/permits/user.go
@@ -57,8 +57,9 @@
 	return allowed
 }
 
-// Acquire takes one permit of a key. If waiting is false, granted is the decision; otherwise the waiter's decision is returned
-// by a later call that advances the clock or handles a reply. A permit that was granted has to be released after use.
+// Acquire takes one permit of a key. If waiting is false, granted is the decision; otherwise the waiter's decision is
+// returned by a later call that advances the clock or handles a reply. A permit that was granted has to be released
+// after use.
 func (p *Permits) Acquire(key uint64, waiter any, send func(to int, p []byte)) (granted, waiting bool) {
 	u := p.usageOf(key)
 	if u == nil || p.now < u.refusedUntil || p.handingOver {
@@ -131,8 +132,8 @@
 	}
 }
 
-// SetUsage sets how many permits of a key are in use and how many more should be held in reserve. It is for users that can't
-// wait for a reply.
+// SetUsage sets how many permits of a key are in use and how many more should be held in reserve. It is for users that
+// can't wait for a reply.
 func (p *Permits) SetUsage(key uint64, inUse, reserve int) {
 	if inUse == 0 && reserve == 0 && p.usages[key] == nil {
 		return
@@ -148,8 +149,8 @@
 	u.inUse = inUse
 }
 
-// StopGranting prepares the handover to a successor process of this node. This process admits nothing new, and permits that are
-// released here are left to the successor.
+// StopGranting prepares the handover to a successor process of this node. This process admits nothing new, and permits
+// that are released here are left to the successor.
 func (p *Permits) StopGranting() { p.handingOver = true }
 
 // Remaining returns for how long the permits of a key may still be used, in microseconds.
--- a/cmd/coursewinch/bench_test.go
+++ b/cmd/coursewinch/bench_test.go
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// relay copies bytes between its clients and one host on one core, for comparison with the node. It uses one goroutine and a
-// buffer of 32 KiB for each direction.
+// relay copies bytes between its clients and one host on one core, for comparison with the node. It uses one goroutine
+// and a buffer of 32 KiB for each direction.
 func relay(to string) {
 	runtime.GOMAXPROCS(1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/coursewinch/config.go
+++ b/cmd/coursewinch/config.go
@@ -194,8 +194,8 @@
 	return all, nil
 }
 
-// checkCluster reads the fleet that this node belongs to. If the cluster is on without addresses, the node relies on its own
-// measurements.
+// checkCluster reads the fleet that this node belongs to. If the cluster is on without addresses, the node relies on
+// its own measurements.
 func (c *config) checkCluster() (err error) {
 	k := c.Cluster
 	if err := c.checkLimits(); err != nil {
--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -238,8 +238,8 @@
 	}
 }
 
-// Idle clients use all descriptors while discovery is unreachable. When discovery is back at another address, the node has to
-// read its list, and a flow has to be established with the host of that list.
+// Idle clients use all descriptors while discovery is unreachable. When discovery is back at another address, the node
+// has to read its list, and a flow has to be established with the host of that list.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	a, b := newHost(t, "UP a\r\n"), newHost(t, "UP b\r\n")
 	d := newDiscovery(t, listText(9, "ready", b))
--- a/cmd/coursewinch/handover.go
+++ b/cmd/coursewinch/handover.go
@@ -24,8 +24,8 @@
 	postedCalls          = 64 // functions posted to the loop that may wait
 )
 
-// handoverManager connects this process to the peer process of its node while a version is rolled, and moves sockets between
-// them. Its goroutines receive messages; what the messages ask for runs in the event loop.
+// handoverManager connects this process to the peer process of its node while a version is rolled, and moves sockets
+// between them. Its goroutines receive messages; what the messages ask for runs in the event loop.
 type handoverManager struct {
 	socketPath, name, listen string
 	node                     *node.Node
@@ -94,8 +94,8 @@
 	}()
 }
 
-// peerGone restores the limits of a single process after the peer process or its link has ended. If the peer process was the
-// one that accepted connections, this process accepts them now.
+// peerGone restores the limits of a single process after the peer process or its link has ended. If the peer process
+// was the one that accepted connections, this process accepts them now.
 func (h *handoverManager) peerGone() {
 	h.loop.SetMaxSockets(h.maxSockets)
 	h.setMemoryShare(1)
@@ -142,8 +142,8 @@
 // Send sends a message without waiting.
 func (p *peerProcess) Send(m *handover.Message) { p.link.Send(m) }
 
-// HandOver sends a message with the sockets of connections, which the peer process owns from then on. It returns false if they
-// cannot be sent now.
+// HandOver sends a message with the sockets of connections, which the peer process owns from then on. It returns false
+// if they cannot be sent now.
 func (p *peerProcess) HandOver(m *handover.Message, conns ...uint64) bool {
 	loop := p.manager.loop
 	fds := make([]int, len(conns))
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// listenCluster binds the address for messages of the fleet. If the fleet keeps a limit, only one process may be bound to it,
-// because two processes under one name would vote twice. A successor waits until the predecessor closes it.
+// listenCluster binds the address for messages of the fleet. If the fleet keeps a limit, only one process may be bound
+// to it, because two processes under one name would vote twice. A successor waits until the predecessor closes it.
 func (p *process) listenCluster() error {
 	address, err := p.loop.ListenDatagrams(p.config.Cluster.Listen, len(p.config.fleetLimits) > 0, func(from netip.AddrPort, datagram []byte) {
 		p.handler.ReceiveClusterDatagram(slices.Index(p.config.clusterAddresses, from), datagram)
--- a/cmd/coursewinch/main_test.go
+++ b/cmd/coursewinch/main_test.go
@@ -442,8 +442,8 @@
 	p.openFlow(t, "").wantLine(t, "UP b\r\n")
 }
 
-// Clients and operators are served although a hundred clients connect and send nothing, and a hundred operators' connections
-// send half a request.
+// Clients and operators are served although a hundred clients connect and send nothing, and a hundred operators'
+// connections send half a request.
 func TestSilentConnectionsBlockNobody(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	l := listText(5, "ready", h)
--- a/cmd/coursewinch/predecessor.go
+++ b/cmd/coursewinch/predecessor.go
@@ -28,7 +28,7 @@
 		}
 	})
 	if !ok {
-		link.SendBlocking(&handover.Message{Refused: "another new version is at it"})
+		link.SendBlocking(&handover.Message{Refused: "another successor process is taking over"})
 		return
 	}
 	defer h.post(h.peerGone)
--- a/cmd/coursewinch/successor.go
+++ b/cmd/coursewinch/successor.go
@@ -19,7 +19,8 @@
 	return errors.Is(err, unix.ENOENT) || errors.Is(err, unix.ECONNREFUSED)
 }
 
-// callPredecessor requests the state and the clients' listener of the running process. It retries while that process refuses.
+// callPredecessor requests the state and the clients' listener of the running process. It retries while that process
+// refuses.
 func (h *handoverManager) callPredecessor() (*handover.Link, *handover.State, int, error) {
 	for start := time.Now(); ; time.Sleep(refusedRetryInterval) {
 		link, err := handover.Dial(h.socketPath, connectTimeout)
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -56,8 +56,8 @@
 	return cmd
 }
 
-// The platform requires that libraries can be loaded into the node, that the run command becomes the node's process by exec,
-// and that this process stops without an error.
+// The platform requires that libraries can be loaded into the node, that the run command becomes the node's process by
+// exec, and that this process stops without an error.
 func TestBuildAndRunCommands(t *testing.T) {
 	root, f := buildFromFile(t)
 	program, ok := strings.CutPrefix(f.Run, "exec ")
--- a/epoll/close.go
+++ b/epoll/close.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// PeerClosed reports whether the other side has closed or reset a connection. It also finds a close that has not been reported
-// yet, because other events or unread bytes come before it.
+// PeerClosed reports whether the other side has closed or reset a connection. It also finds a close that has not been
+// reported yet, because other events or unread bytes come before it.
 func (l *Loop) PeerClosed(id uint64) bool {
 	s := l.lookup(id)
 	if s == nil || s.eof || s.unregistered {
@@ -43,8 +43,8 @@
 	return err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// CloseDetached closes a socket gracefully without its handler, which forgets the id: the content of the output ring is sent, and
-// input is discarded until the other side closes.
+// CloseDetached closes a socket gracefully without its handler, which forgets the id: the content of the output ring is
+// sent, and input is discarded until the other side closes.
 func (l *Loop) CloseDetached(id uint64) {
 	s := l.lookup(id)
 	if s == nil || s.fd < 0 || s.connecting || s.unregistered || s.operator {
--- a/epoll/close_test.go
+++ b/epoll/close_test.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// A client closes behind bytes that nobody has read, or without its close being reported yet. It has to be seen, so that no
-// flow is opened for it.
+// A client closes after bytes that have not been read, or without its close being reported yet. It has to be seen, so
+// that no flow is opened for it.
 func TestClosedClientsAreDetected(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){"half closed": func(c *net.TCPConn) { c.CloseWrite() },
 		"closed": func(c *net.TCPConn) { c.Close() },
--- a/epoll/datagrams.go
+++ b/epoll/datagrams.go
@@ -13,9 +13,9 @@
 
 const maxDatagrams = 64 // of one iteration; the rest waits in the socket's buffer or is lost
 
-// ListenDatagrams receives other nodes' datagrams at an address, calls onDatagram for each, and returns the address that was
-// bound. Two processes of one node may share the address while a version is rolled. If exclusive, only one process may be
-// bound to it, and ErrAddressTaken is returned if another one is.
+// ListenDatagrams receives other nodes' datagrams at an address, calls onDatagram for each, and returns the address
+// that was bound. Two processes of one node may share the address while a version is rolled. If exclusive, only one
+// process may be bound to it, and ErrAddressTaken is returned if another one is.
 func (l *Loop) ListenDatagrams(text string, exclusive bool, onDatagram func(from netip.AddrPort, p []byte)) (netip.AddrPort, error) {
 	address, family, err := parseAddress(text)
 	if err != nil {
--- a/epoll/loop.go
+++ b/epoll/loop.go
@@ -11,18 +11,21 @@
 	"coursewinch/lines"
 )
 
-// Handler receives the events of sockets, by the ids that it assigned to them. An id is never reused. Its low 32 bits are an
-// index below the highest number of sockets that were open at once.
+// Handler receives the events of sockets, by the ids that it assigned to them. An id is never reused. Its low 32 bits
+// are an index below the highest number of sockets that were open at once.
 type Handler interface {
-	// AcceptQuota returns how many new client connections this iteration may accept, and how many more it may refuse after these.
+	// AcceptQuota returns how many new client connections this iteration may accept, and how many more it may refuse
+	// after these.
 	AcceptQuota() (take, refuse int)
-	// CanAccept reports whether one more client connection can be accepted. After false, the loop asks again when a socket closes.
+	// CanAccept reports whether one more client connection can be accepted. After false, the loop asks again when a
+	// socket closes.
 	CanAccept() bool
 	// Accept receives a new client connection with its remote address. If ok is false, the loop refuses the connection.
 	Accept(from netip.AddrPort) (id uint64, in, out *lines.Ring, ok bool)
 	// CountRefused is called after the loop has refused a connection.
 	CountRefused()
-	// AcceptOperator receives a new connection on the operators' address. Operators' sockets are not counted among the others.
+	// AcceptOperator receives a new connection on the operators' address. Operators' sockets are not counted among the
+	// others.
 	AcceptOperator() (id uint64, in, out *lines.Ring, ok bool)
 	// Connected is called when a dialed connection is established.
 	Connected(id uint64)
@@ -35,8 +38,8 @@
 	Ended(id uint64, err error)
 }
 
-// Tags in the data of epoll events that belong to no socket of the handler. A socket's event carries its id instead: the low
-// half in the place of the tag, the high half as the generation.
+// Tags in the data of epoll events that belong to no socket of the handler. A socket's event carries its id instead:
+// the low half in the place of the tag, the high half as the generation.
 const (
 	clientListenerTag = -1
 	wakeTag           = -2
--- a/handover/handover.go
+++ b/handover/handover.go
@@ -39,7 +39,7 @@
 	State   *Part    `json:",omitempty"` // from the predecessor: a part of its state; the listening socket comes with the last part
 	Take    bool     `json:",omitempty"` // from the successor: it accepts new connections from now on
 	Yield   *Yield   `json:",omitempty"` // from the predecessor: it accepts no more connections
-	Leave   bool     `json:",omitempty"` // from the predecessor: it was told to stop before Take arrived; the successor has to accept connections now
+	Leave   bool     `json:",omitempty"` // from the predecessor: it had to stop before Take arrived, so the successor accepts connections now
 	Drains  []string `json:",omitempty"` // from either: UIDs of hosts that must not get new flows
 	Client  *Client  `json:",omitempty"` // from the predecessor: a client without a flow, with its socket
 	Flow    *Flow    `json:",omitempty"` // from the predecessor: an established flow, with the client's socket and the host's
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -16,8 +16,8 @@
 	"coursewinch/discovery"
 )
 
-// A message must be accepted only if it is valid and comes with exactly the sockets it needs. Anything else must not disturb
-// the start of a process.
+// A message must be accepted only if it is valid and comes with exactly the sockets it needs. Anything else must not
+// disturb the start of a process.
 func TestDecodeIsStrict(t *testing.T) {
 	host := `"Host":{"UID":"s"}`
 	for text, sockets := range map[string]int{`{"V":2,"Take":true}`: 0, `{"V":2,"Drains":["s"]}`: 0,
--- a/lines/ring.go
+++ b/lines/ring.go
@@ -108,8 +108,8 @@
 	r.block = nil
 }
 
-// WriteSpace returns free memory for the next bytes, in one piece. The caller then adds the bytes that were written there to the
-// ring. If there are none, it has to remove 0 bytes, which releases the memory of an empty ring.
+// WriteSpace returns free memory for the next bytes, in one piece. The caller then adds the bytes that were written
+// there to the ring. If there are none, it has to remove 0 bytes, which releases the memory of an empty ring.
 func (r *Ring) WriteSpace() []byte {
 	if r.block == nil {
 		r.acquire()
--- a/node/cluster.go
+++ b/node/cluster.go
@@ -12,8 +12,9 @@
 	"coursewinch/cluster/overload"
 )
 
-// Where the configuration turns it on, the node bounds its module by what all nodes of the fleet together may place on hosts.
-// The bounds follow from the node's own observations and, where it has addresses of other nodes, from their messages.
+// Where the configuration turns it on, the node bounds its module by what all nodes of the fleet together may place on
+// hosts. The bounds follow from the node's own observations and, where it has addresses of other nodes, from their
+// messages.
 
 // clusterInterval is the longest time between two runs of clusterTick.
 const clusterInterval = 50 * ms
@@ -103,8 +104,8 @@
 	}
 }
 
-// noteSetup passes the set-up time of a flow at a host to the overload control. It is left out where the node's own lateness
-// makes it uncertain.
+// noteSetup passes the set-up time of a flow at a host to the overload control. It is left out where the node's own
+// lateness makes it uncertain.
 func (n *Node) noteSetup(h *host, took int64, sure bool) {
 	if n.cluster != nil && sure {
 		n.cluster.overload.ObserveSetup(&h.Server, took)
--- a/node/cold.go
+++ b/node/cold.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// coldLimit returns the rate at which this node, as owner, grants flows to a cold host. It depends on how many nodes have lent
-// it their part.
+// coldLimit returns the rate at which this node, as owner, grants flows to a cold host. It depends on how many nodes
+// have lent it their part.
 func (n *Node) coldLimit(limit *localLimit, key uint64) limits.Limit {
 	for _, h := range limit.coldHosts {
 		if limit.nameKey(h.uid) == key {
--- a/node/conns.go
+++ b/node/conns.go
@@ -275,8 +275,8 @@
 	count int // lines not written since the last one
 }
 
-// logThrottled writes a log line that others can cause, at most one per second and kind, with a count of the lines left out.
-// This keeps the loop from blocking on its log.
+// logThrottled writes a log line that others can cause, at most one per second and kind, with a count of the lines left
+// out. This keeps the loop from blocking on its log.
 func (n *Node) logThrottled(msg, why string) {
 	kind := n.logKinds[msg+why]
 	if kind == nil {
--- a/node/crossings_test.go
+++ b/node/crossings_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// A connection that comes up late may no longer be used: its client has left, its time is over, or an earlier connect may have
-// run the flow so long ago that the host does not recognise a repeat. The host is sent no request then.
+// A connection that comes up late may no longer be used: its client has left, its time is over, or an earlier connect
+// may have run the flow so long ago that the host does not recognise a repeat. The host is sent no request then.
 func TestLateConnectsSendNothing(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -168,7 +168,8 @@
 	}
 }
 
-// A request whose write failed has not been run, so it is sent to another host, even where a repeat would not be recognised.
+// A request whose write failed has not been run, so it is sent to another host, even where a repeat would not be
+// recognised.
 func TestFailedWriteIsRetried(t *testing.T) {
 	n, net := newNode(2)
 	n.settings.Types[0].Effect = balance.OnceOnly
@@ -183,8 +184,8 @@
 	net.expect(t, c, "UP 1\r\n", "")
 }
 
-// A host's answer and the end of its connection may arrive in one loop iteration, and the answer may be cut. In each case the
-// client gets one answer and the flow the right outcome.
+// A host's answer and the end of its connection may arrive in one loop iteration, and the answer may be cut. In each
+// case the client gets one answer and the flow the right outcome.
 func TestHostAnswerAndClose(t *testing.T) {
 	for _, c := range []struct {
 		text   string
@@ -223,8 +224,8 @@
 	}
 }
 
-// A flow whose host has ended it, with the last line still unread, is not moved, neither for the module nor because the node
-// stops. At the last moment all flows are moved.
+// A flow whose host has ended it, with the last line still unread, is not moved, neither for the module nor because the
+// node stops. At the last moment all flows are moved.
 func TestNoMoveAfterHostClosed(t *testing.T) {
 	for _, stops := range []bool{false, true} {
 		n, net := newNode(1)
--- a/node/ending_test.go
+++ b/node/ending_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Flows that came before a stop and whose clients would wait for longer than the process has left get their answer before the
-// process is killed, at whatever stage their connect is.
+// Flows that came before a stop and whose clients would wait for longer than the process has left get their answer
+// before the process is killed, at whatever stage their connect is.
 func TestPendingFlowsAreAnsweredBeforeStop(t *testing.T) {
 	for name, begin := range map[string]func(net *fakeNet){
 		"not up yet": func(net *fakeNet) {}, "asked": func(net *fakeNet) { net.connectLast() },
@@ -22,8 +22,8 @@
 	}
 }
 
-// The platform kills the process 0.7 s after the longest connect timeout, which may be less than a second. The node has to be
-// done before that.
+// The platform kills the process 0.7 s after the longest connect timeout, which may be less than a second. The node has
+// to be done before that.
 func TestStopEndsBeforeKill(t *testing.T) {
 	for _, longest := range []int64{300 * ms, 800 * ms, 2 * second, 9 * second} {
 		n, net := newNode(1)
--- a/node/figures.go
+++ b/node/figures.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Where the settings say that hosts report message times, they use LOAD, the only line that carries a figure: milliseconds,
-// once a second on one connection of each node, while messages are slow and once more after. A message time that is taken for
-// a load makes an overloaded host look idle, so the two have to be told apart.
+// Where the settings say that hosts report message times, they use LOAD, the only line that carries a figure:
+// milliseconds, once a second on one connection of each node, while messages are slow and once more after. A message
+// time that is taken for a load makes an overloaded host look idle, so the two have to be distinguished.
 
 const (
 	hostReportInterval  = second                 // between two message times of one host
@@ -20,11 +20,12 @@
 	lastMessageTime int64 // when the last figure came that was taken for one; 0 for never
 }
 
-// receiveFigure handles the figure of a LOAD line on a flow's connection. It decides whether the figure is a load or a message
-// time.
+// receiveFigure handles the figure of a LOAD line on a flow's connection. It decides whether the figure is a load or a
+// message time.
 func (n *Node) receiveFigure(f *flow, figure float64) {
 	h := f.host
-	// No client waits longer than the longest connect timeout, so a larger figure is a load. So is 0: every message takes time.
+	// No client waits longer than the longest connect timeout, so a larger figure is a load. So is 0: every message
+	// takes time.
 	if !n.settings.ReportsMessageTime || figure > float64(n.settings.MaxConnectTimeout/ms) || figure == 0 {
 		n.receiveLoad(f, figure)
 		return
--- a/node/figures_test.go
+++ b/node/figures_test.go
@@ -25,12 +25,12 @@
 // An overloaded host reported message times with the line for loads and looked almost idle ("all days at size").
 func TestMessageTimesAreNotLoads(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		tells bool     // the settings say that hosts report message times
-		heard bool     // a host has reported one
-		after []int64  // times between the figures
-		told  []string // the figures
-		want  string
+		name      string
+		announced bool     // the settings say that hosts report message times
+		reported  bool     // a host has reported one
+		after     []int64  // times between the figures
+		figures   []string // values of the LOAD lines
+		want      string
 	}{
 		{"a series is message times, and so is its end", true, true, []int64{ms, 400 * ms, second + 9*ms, second - 9*ms},
 			[]string{"60000", "9000", "174.5", "9.1"}, "[load 60000 load 9000 slow 174500 slow 9100]"},
@@ -49,11 +49,11 @@
 			"[load 60000 load 600 load 500]"},
 	} {
 		n, net := newNode(1)
-		n.settings.ReportsMessageTime, n.hostsReportTimes = c.tells, c.heard
+		n.settings.ReportsMessageTime, n.hostsReportTimes = c.announced, c.reported
 		d := &figureDecider{Decider: n.decider}
 		n.decider = d
 		_, host := net.establish()
-		for i, figure := range c.told {
+		for i, figure := range c.figures {
 			net.run(c.after[i]-1, func() {})
 			net.receive(host, "LOAD "+figure+"\r\n")
 		}
--- a/node/flows.go
+++ b/node/flows.go
@@ -343,8 +343,8 @@
 		}
 		return
 	}
-	word, _ := lines.ParseAnswer(line)
-	switch word {
+	kind, _ := lines.ParseAnswer(line)
+	switch kind {
 	case lines.Up:
 	case lines.Busy:
 		n.connectFailed(f, errBusy)
@@ -457,7 +457,8 @@
 	n.endFlow(f, balance.Recalled)
 }
 
-// Connect starts a connect that the module decided. The node implements balance.Writer: its methods carry out the decisions.
+// Connect starts a connect that the module decided. The node implements balance.Writer: its methods carry out the
+// decisions.
 func (n *Node) Connect(decided *balance.Flow, server *balance.Server, timeout int64) {
 	n.dial(decided.Ref.(*flow), n.hosts[server.Name], timeout)
 }
@@ -482,7 +483,7 @@
 	n.sendFinalLine(f.client, "ERR\r\n")
 }
 
-// Move asks an established flow's client to reconnect and closes the flow. The module is told of the end in the next
+// Move asks an established flow's client to reconnect and closes the flow. The module learns of the end in the next
 // iteration.
 func (n *Node) Move(decided *balance.Flow) {
 	f := decided.Ref.(*flow)
--- a/node/handover.go
+++ b/node/handover.go
@@ -59,8 +59,8 @@
 	RestoreServer(*balance.Server, balance.ServerMemory)
 }
 
-// BeginHandover begins a handover to a successor process and returns the state to send to it. It returns false while another
-// handover is in progress.
+// BeginHandover begins a handover to a successor process and returns the state to send to it. It returns false while
+// another handover is in progress.
 func (n *Node) BeginHandover(peer PeerProcess) (*handover.State, bool) {
 	if n.handover.peer != nil {
 		return nil, false
@@ -121,8 +121,8 @@
 	return n.recentIDs.newest(min(n.recentIDs.added-state.idsAtState, maxLateIDs))
 }
 
-// PeerProcessGone is called when the peer process or the link to it has ended. It reports whether this process has to accept
-// connections from now on.
+// PeerProcessGone is called when the peer process or the link to it has ended. It reports whether this process has to
+// accept connections from now on.
 func (n *Node) PeerProcessGone() (take bool) {
 	state := &n.handover
 	take = state.yielded || state.joining
@@ -208,8 +208,8 @@
 	}
 }
 
-// ApplyPeerDrains marks hosts as draining that the peer process was told to drain. This process's own list decides when they take
-// flows again.
+// ApplyPeerDrains marks hosts as draining for which the peer process got a drain notice. This process's own list
+// decides when they take flows again.
 func (n *Node) ApplyPeerDrains(uids []string) {
 	var update discovery.List
 	for _, uid := range uids {
@@ -224,8 +224,8 @@
 	}
 }
 
-// handOverStep hands over clients without a request and established flows with few bytes in transit, up to a number per step.
-// The rest follows in a later step, or is moved.
+// handOverStep hands over clients without a request and established flows with few bytes in transit, up to a number per
+// step. The rest follows in a later step, or is moved.
 func (n *Node) handOverStep() {
 	state := &n.handover
 	if state.peer == nil || !state.yielded {
@@ -359,7 +359,7 @@
 }
 
 // AdoptFlow adds an established flow that was handed over, with its connections to the client (front) and the host (back).
-// A flow of a service type that this process's settings don't have is moved as soon as its client can be told.
+// A flow of a service type that this process's settings don't have is moved as soon as its client can be sent a line.
 func (n *Node) AdoptFlow(handed *handover.Flow, from netip.AddrPort) (front, back Adopted) {
 	h := n.hosts[handed.Host.UID]
 	if h == nil {
@@ -448,8 +448,8 @@
 	return f
 }
 
-// ResumeAdopted is called when a connection that was handed over has been added to the event loop. It processes what its rings
-// hold.
+// ResumeAdopted is called when a connection that was handed over has been added to the event loop. It processes what
+// its rings hold.
 func (n *Node) ResumeAdopted(id uint64) {
 	c := n.conns.get(id)
 	if c == nil {
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -105,8 +105,8 @@
 	predecessor.node = newTypedNode(predecessor, "chat", "toll", "gone")
 	predecessor.node.Begin(now, entries("ready", 2))
 	n := predecessor.node
-	establish := func(class string) (client, host uint64) {
-		client = predecessor.openClient("OPEN 1 2 c=" + class + ",d=2000\r\n")
+	establish := func(serviceType string) (client, host uint64) {
+		client = predecessor.openClient("OPEN 1 2 c=" + serviceType + ",d=2000\r\n")
 		host = predecessor.connectLast()
 		predecessor.receive(host, "UP 7\r\nLOAD 900\r\n")
 		return client, host
@@ -188,7 +188,7 @@
 	if peer.moved[pending] == 0 || peer.moved[late] == 0 || !n.Done() || n.Count.Moves != 0 || n.Count.HandedOver != 6 {
 		t.Fatal(peer.moved, n.flows.count, n.Count)
 	}
-	if known, strangers := successor.node.admission.AddressCounts(); known+strangers != 1 {
+	if known, unknown := successor.node.admission.AddressCounts(); known+unknown != 1 {
 		t.Fatal("connections handed over are not counted for their address")
 	}
 	successor.receive(peer.moved[c], "ne\r\n")
@@ -222,7 +222,7 @@
 	c, _ := predecessor.establish()
 	state, _ := n.BeginHandover(peer)
 	if take := n.PeerProcessGone(); take {
-		t.Fatal("told to accept connections that it had not given up")
+		t.Fatal("has to accept connections though it had not stopped accepting")
 	}
 	successor := peer.startSuccessor(state)
 	successor.run(1, func() {
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -45,9 +45,9 @@
 			requestBytes += int(unsafe.Sizeof(*entry.value.request)) + lines.MaxLineBytes/8
 		}
 	}
-	known, strangers := 0, 0
+	known, unknown := 0, 0
 	if n.admission != nil {
-		known, strangers = n.admission.AddressCounts()
+		known, unknown = n.admission.AddressCounts()
 	}
 	logs := 0
 	for key := range n.logKinds {
@@ -63,7 +63,7 @@
 		{"groups", len(n.groups), len(n.groups) * int(unsafe.Sizeof(group{})+48), n.limits.Groups},
 		{"ids", len(n.recentIDs.ring), len(n.recentIDs.ring) * 32, n.limits.IDs},
 		{"buffers", buffers, (buffers-wide)*lines.RingSize + wide*lines.WideRingSize, n.limits.Buffers},
-		{"addresses", known + strangers, (known + strangers) * 192, 0},
+		{"addresses", known + unknown, (known + unknown) * 192, 0},
 		{"logs", len(n.logKinds), logs, maxLogKinds},
 		{"deadlines", len(n.deadlines.heap), cap(n.deadlines.heap) * 8, 0},
 	}
@@ -87,8 +87,8 @@
 	return text.String()
 }
 
-// closeStalledClients moves the flows of clients that have sent or read nothing for longer than the limits allow. It runs once
-// a second.
+// closeStalledClients moves the flows of clients that have sent or read nothing for longer than the limits allow. It
+// runs once a second.
 func (n *Node) closeStalledClients() {
 	if n.limits.Idle == 0 && n.limits.Stalled == 0 {
 		return
@@ -108,8 +108,9 @@
 	}
 }
 
-// relieveBuffers closes clients until the number of buffers is within its limit: of the clients without a flow that have sent
-// part of a line, the one that has waited longest. This bounds the memory that clients can take with incomplete lines.
+// relieveBuffers closes clients until the number of buffers is within its limit: of the clients without a flow that
+// have sent part of a line, the one that has waited longest. This bounds the memory that clients can take with
+// incomplete lines.
 func (n *Node) relieveBuffers() {
 	for n.limits.Buffers > 0 {
 		if held, _ := n.ringBudget.InUse(); held <= n.limits.Buffers {
--- a/node/late.go
+++ b/node/late.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// A time that a node measures includes its own lateness: events that arrive during one loop iteration wait for the next, and
-// what an iteration sends leaves later than the iteration began. The event loop reports how long that may have been, and the
-// node subtracts it from the times that it reports to the module. Otherwise a node whose own core is saturated would find
-// every host slow.
+// A time that a node measures includes its own lateness: events that arrive during one loop iteration wait for the
+// next, and what an iteration sends leaves later than the iteration began. The event loop reports how long that may
+// have been, and the node subtracts it from the times that it reports to the module. Otherwise a node whose own core is
+// saturated would find every host slow.
 
 const (
 	keptIterations   = 1024 // loop iterations whose length is remembered
@@ -25,8 +25,8 @@
 	lengths   [keptIterations]int32 // lengths of past iterations, by number
 }
 
-// ReportLateness is called by the event loop before an iteration with how long the iteration's events may have waited and how long the
-// previous iteration took, in microseconds.
+// ReportLateness is called by the event loop before an iteration with how long the iteration's events may have waited
+// and how long the previous iteration took, in microseconds.
 func (n *Node) ReportLateness(lateness, lastLength int64) {
 	n.lateness.current = max(lateness, 0)
 	n.adjustQuota(n.lateness.current, lastLength)
@@ -46,8 +46,8 @@
 // isStarved reports whether the node has recently been too late itself to judge others. All hosts look slow to it then.
 func (n *Node) isStarved() bool { return n.lateness.recent > float64(starvedThreshold) }
 
-// span is a time measurement in progress. It consists of legs; the event that ends a leg begins the next one in the same loop
-// iteration.
+// span is a time measurement in progress. It consists of legs; the event that ends a leg begins the next one in the
+// same loop iteration.
 type span struct {
 	since     int64
 	iteration uint64 // in which the current leg began
@@ -71,14 +71,14 @@
 	return n.lateness.current // after so many iterations, the length of one hardly matters
 }
 
-// elapsed returns how long a measurement has taken, less the part that may be the node's own lateness, in microseconds. sure
-// reports whether that part is small.
+// elapsed returns how long a measurement has taken, less the part that may be the node's own lateness, in microseconds.
+// sure reports whether that part is small.
 func (n *Node) elapsed(measured span) (took int64, sure bool) {
 	own := measured.lateness + n.latenessSince(measured.iteration)
 	took = n.now - measured.since
 	return max(took-own, 1), own <= max(took/8, measurementSlack)
 }
 
-// Measuring reports whether the node waits for an answer whose time it will report to the module. The event loop then waits in
-// short steps, to notice when the process gets no processor time.
+// Measuring reports whether the node waits for an answer whose time it will report to the module. The event loop then
+// waits in short steps, to notice when the process gets no processor time.
 func (n *Node) Measuring() bool { return n.activeProbes > 0 || n.upstreamCount > n.establishedCount }
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -44,8 +44,8 @@
 	net.run(late+1, in)
 }
 
-// Probes are answered while the node itself is late. The module is told the time without the node's own lateness, and told
-// that it is uncertain where the lateness is large.
+// Probes are answered while the node itself is late. The module gets the time without the node's own lateness, and is
+// informed that it is uncertain where the lateness is large.
 func TestOwnLatenessInProbes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -70,7 +70,7 @@
 		n.ReportLateness(c.late, c.before)
 		net.run(2*ms+c.late, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
 		if len(h.probes) != 1 || h.probes[0] != c.want {
-			t.Errorf("%s: module was told %v, want %v", c.name, h.probes, c.want)
+			t.Errorf("%s: module got %v, want %v", c.name, h.probes, c.want)
 		}
 	}
 }
@@ -121,12 +121,12 @@
 	}
 	n.now += second
 	if us, sure := n.elapsed(m); us != second || !sure {
-		t.Errorf("a second over %d turns: %d us, sure %t", 2*keptIterations+3, us, sure)
+		t.Errorf("a second over %d iterations: %d us, sure %t", 2*keptIterations+3, us, sure)
 	}
 }
 
-// The clock jumps an hour ahead during a flow's set-up, and later back by a second. Every flow has its answer, nothing panics,
-// and the next flow is served.
+// The clock jumps an hour ahead during a flow's set-up, and later back by a second. Every flow has its answer, nothing
+// panics, and the next flow is served.
 func TestClockJumps(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
 	n.ReportLateness(0, 0)
--- a/node/limits.go
+++ b/node/limits.go
@@ -199,8 +199,8 @@
 // LikelyOwner returns the node to ask about a key; negative for this node.
 func (o keyOwner) LikelyOwner(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
-// believedOwner returns the node that should own a slot: of this node and the linked nodes, the one with the highest hash of
-// slot and name. It is negative for this node. Nodes may differ in it; it decides only which node is asked.
+// believedOwner returns the node that should own a slot: of this node and the linked nodes, the one with the highest
+// hash of slot and name. It is negative for this node. Nodes may differ in it; it decides only which node is asked.
 func (n *Node) believedOwner(slot int) (index int) {
 	rank := func(name uint32) uint64 {
 		x := (uint64(slot)<<32 | uint64(name)) * 0x9e3779b97f4a7c15
@@ -222,8 +222,8 @@
 	return index
 }
 
-// updateCluster advances the fleet's protocols to the current time at the start of a loop iteration. Leases and permits that
-// have expired end before anything else is done.
+// updateCluster advances the fleet's protocols to the current time at the start of a loop iteration. Leases and permits
+// that have expired end before anything else is done.
 func (n *Node) updateCluster() {
 	cluster := n.cluster
 	if cluster == nil {
@@ -532,8 +532,8 @@
 	return left
 }
 
-// yieldLimits tells the concurrent limits that the successor process takes all new flows: no flow passes them here any more,
-// and permits that are given back belong to the successor.
+// yieldLimits tells the concurrent limits that the successor process takes all new flows: no flow passes them here any
+// more, and permits that are given back belong to the successor.
 func (n *Node) yieldLimits() {
 	if n.cluster == nil {
 		return
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// newCutOffNode returns a node that can't reach the owner of any key: its flows wait for an answer, and then the node uses its
-// own part of the limit.
+// newCutOffNode returns a node that can't reach the owner of any key: its flows wait for an answer, and then the node
+// uses its own part of the limit.
 func newCutOffNode(all ...FleetLimit) (*Node, *fakeNet) {
 	n, net := newNodeWith(2, Config{Cluster: Cluster{
 		On:      true,
@@ -158,7 +158,8 @@
 	return n, net
 }
 
-// The answer that lets a flow pass comes after its client has left. The permit is given back, for each kind of concurrent limit.
+// The answer that lets a flow pass comes after its client has left. The permit is given back, for each kind of
+// concurrent limit.
 func TestPermitOfDepartedClientIsReturned(t *testing.T) {
 	for _, over := range []string{OverAddress, OverType, OverGroup} {
 		limit := concurrentLimit(over, "", 8)
--- a/node/node.go
+++ b/node/node.go
@@ -382,8 +382,8 @@
 	})
 }
 
-// RunIteration runs one loop iteration: in delivers the events that have arrived, then due deadlines run, and the module decides.
-// Consequences of its decisions reach the module in the next iteration, never within its own call.
+// RunIteration runs one loop iteration: in delivers the events that have arrived, then due deadlines run, and the
+// module decides. Consequences of its decisions reach the module in the next iteration, never within its own call.
 func (n *Node) RunIteration(now int64, in func()) {
 	n.now = now
 	defer n.recoverPanic(nil)
@@ -424,8 +424,8 @@
 	n.close(c)
 }
 
-// NextDeadline returns the time of the earliest deadline, when the next iteration must run at the latest. ok is false when there
-// is none.
+// NextDeadline returns the time of the earliest deadline, when the next iteration must run at the latest. ok is false
+// when there is none.
 func (n *Node) NextDeadline() (at int64, ok bool) { return n.deadlines.next() }
 
 // applyList updates the hosts from a list and passes it to the module.
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -27,7 +27,7 @@
 	sent        map[uint64]string
 	ended       map[uint64]string // how the node closed the connection
 	up          map[uint64]bool
-	endedUnread map[uint64]bool // the other side has closed, and the node has not been told
+	endedUnread map[uint64]bool // the other side has closed, and this has not been reported to the node
 	room        int
 	clients     int            // clients opened so far
 	from        netip.AddrPort // address of the clients
@@ -425,8 +425,8 @@
 	}
 }
 
-// When the address of discovery changes, the old watch is kept until the new address has brought a list. Versions of the old
-// address are not used at the new one.
+// When the address of discovery changes, the old watch is kept until the new address has brought a list. Versions of
+// the old address are not used at the new one.
 func TestOldWatchKeptUntilNewDiscoveryAnswers(t *testing.T) {
 	n, net := newNode(1)
 	old := net.connectLast()
@@ -663,8 +663,8 @@
 	net.receive(a, "M\r\n")
 }
 
-// A stop moves clients evenly over the time, and not at once: clients moved early might come back here or wait for a node that
-// is not back yet, and all at once would overload it.
+// A stop moves clients evenly over the time, and not at once: clients moved early might come back here or wait for a
+// node that is not back yet, and all at once would overload it.
 func TestStopSpreadsMoves(t *testing.T) {
 	n, net := newNode(1)
 	for range 20 {
--- a/node/operators.go
+++ b/node/operators.go
@@ -8,8 +8,9 @@
 	"coursewinch/lines"
 )
 
-// Operators call the node on a listener of its own. A call is answered in the loop iteration in which its request is complete,
-// so its command has taken effect before the answer is sent. Operators' connections are counted apart from clients'.
+// Operators call the node on a listener of its own. A call is answered in the loop iteration in which its request is
+// complete, so its command has taken effect before the answer is sent. Operators' connections are counted apart from
+// clients'.
 
 // MaxOperatorConns is the largest number of operators' connections at once.
 const MaxOperatorConns = 16
@@ -24,9 +25,9 @@
 	answered   list.List // with an answer, sent or not
 }
 
-// AcceptOperator adds a connection on the admin address. When all places are taken, a connection whose answer has been sent is closed,
-// otherwise the oldest one without a complete request. Callers that never complete a request so can't block others. ok is
-// false where no place could be made.
+// AcceptOperator adds a connection on the admin address. When all places are taken, a connection whose answer has been
+// sent is closed, otherwise the oldest one without a complete request. Callers that never complete a request so can't
+// block others. ok is false where no place could be made.
 func (n *Node) AcceptOperator() (id uint64, in, out *lines.Ring, ok bool) {
 	queues := &n.operatorCalls
 	for queues.count >= MaxOperatorConns {
@@ -140,9 +141,9 @@
 	return "ready"
 }
 
-// Ready reports whether this process can serve clients: it is not stopping, it accepts connections, and it has either a list
-// from discovery or a remembered list with a host that takes flows. PING is answered by the same rule, except that a process
-// that has handed over answers for its successor; see answersFront.
+// Ready reports whether this process can serve clients: it is not stopping, it accepts connections, and it has either a
+// list from discovery or a remembered list with a host that takes flows. PING is answered by the same rule, except that
+// a process that has handed over answers for its successor; see answersFront.
 func (n *Node) Ready() bool { return n.state() == "ready" }
 
 // hasList reports whether the node has a list by which it can serve.
--- a/node/operators_test.go
+++ b/node/operators_test.go
@@ -175,8 +175,8 @@
 	net.expect(t, front, "PONG\r\nNO\r\nPONG\r\n", "")
 }
 
-// A flow that is being set up has its answer before a drain ends, a resume ends the moves, and a stop of a drained node takes no
-// longer than the drain would have.
+// A flow that is being set up has its answer before a drain ends, a resume ends the moves, and a stop of a drained node
+// takes no longer than the drain would have.
 func TestDrainAnswersSetUpsAndResumeEndsMoves(t *testing.T) {
 	n, net := newNode(1)
 	slow := net.openClient("OPEN 1 2 c=chat,d=9000\r\n")
--- a/node/peers.go
+++ b/node/peers.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// peerHoldsGroup records that a host holds a group for another node. The module is told at once if this node knows the group,
-// otherwise when its first flow comes.
+// peerHoldsGroup records that a host holds a group for another node. It is reported to the module at once if this node
+// knows the group, otherwise when its first flow comes.
 func (n *Node) peerHoldsGroup(group, host uint32) {
 	h := n.hostsByShortHash[host]
 	if h == nil {
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -31,7 +31,8 @@
 
 func (h *heldCounter) PlacementReported(*balance.Group, *balance.Server) { h.held++ }
 
-// Another node's report of where it holds a group reaches the module also if it came before this node's first flow of the group.
+// Another node's report of where it holds a group reaches the module also if it came before this node's first flow of
+// the group.
 func TestPeerPlacementsKeptUntilGroupIsKnown(t *testing.T) {
 	n, net := newNode(1)
 	counter := &heldCounter{Decider: n.decider}
@@ -46,8 +47,8 @@
 	}
 }
 
-// In the first seconds after a switch to load reports, restored knowledge of hosts is used, no host counts as saturated before
-// its first report, and flows are placed.
+// In the first seconds after a switch to load reports, restored knowledge of hosts is used, no host counts as saturated
+// before its first report, and flows are placed.
 func TestStartWithRestoredMemory(t *testing.T) {
 	predecessor, net := newNode(1)
 	server := &predecessor.hosts["s-0"].Server
--- a/node/probes.go
+++ b/node/probes.go
@@ -59,23 +59,23 @@
 			}
 			return
 		}
-		word, _ := lines.ParseAnswer(line)
+		kind, _ := lines.ParseAnswer(line)
 		busy, reported := 0.0, false
 		if n.settings.HostsReportLoad {
 			if figures, ok := lines.ParseStats(line); ok {
-				word = lines.Pong // the host answered, even if its report lacks the figure
+				kind = lines.Pong // the host answered, even if its report lacks the figure
 				busy, reported = figures.Value(n.settings.LoadReportIndex)
 			}
 		}
 		c.in.Discard(len(line))
-		if h.probeSentAt == 0 || word == lines.Load {
+		if h.probeSentAt == 0 || kind == lines.Load {
 			continue
 		}
 		if reported {
 			n.noteReportedLoad(h, busy)
 			n.decider.LoadReported(&h.Server, busy, true)
 		}
-		if word != lines.Pong {
+		if kind != lines.Pong {
 			n.probeFailed(h, balance.Errored)
 			return
 		}
--- a/node/quota.go
+++ b/node/quota.go
@@ -1,8 +1,8 @@
 package node
 
-// A node whose core is saturated serves fewer clients the more connections it accepts, because clients leave before it gets to
-// them. It therefore accepts fewer connections per loop iteration when iterations grow long, and finishes the accepted ones
-// first. Connections that then wait too long at the listener are refused at the lowest cost.
+// A node whose core is saturated serves fewer clients the more connections it accepts, because clients leave before it
+// gets to them. It therefore accepts fewer connections per loop iteration when iterations grow long, and finishes the
+// accepted ones first. Connections that then wait too long at the listener are refused at the lowest cost.
 
 const (
 	maxAccepts          = 128      // connections per loop iteration
@@ -19,8 +19,8 @@
 	accepted  int   // in this iteration
 }
 
-// adjustQuota sets the quota by how late the loop is and how long the previous iteration took. The quota is halved when that
-// iteration was long and accepted connections, and grows by an eighth when it was short.
+// adjustQuota sets the quota by how late the loop is and how long the previous iteration took. The quota is halved when
+// that iteration was long and accepted connections, and grows by an eighth when it was short.
 func (n *Node) adjustQuota(lateness, lastLength int64) {
 	quota := &n.acceptQuota
 	if quota.accepts == 0 {
--- a/node/relay.go
+++ b/node/relay.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// nextChunk returns what can be passed on next: as many whole lines as are contiguous in the ring and fit into the output
-// ring, or the rest where no end of line will come. endsLine reports whether it ends with a line. The bytes stay in the ring.
+// nextChunk returns what can be passed on next: as many whole lines as are contiguous in the ring and fit into the
+// output ring, or the rest where no end of line will come. endsLine reports whether it ends with a line. The bytes stay
+// in the ring.
 func nextChunk(from, to *conn) (chunk []byte, endsLine bool) {
 	head := from.in.Contiguous()
 	if room := to.out.Free(); len(head) > room {
@@ -93,13 +94,13 @@
 		case to.midLine || !endsLine || first != 'L' && first != 'B' && first != 'M':
 			answered = true
 		default:
-			word, load := lines.ParseAnswer(rest[:end])
-			answered = answered || word != lines.Load
-			switch word {
+			kind, load := lines.ParseAnswer(rest[:end])
+			answered = answered || kind != lines.Load
+			switch kind {
 			case lines.Load:
 				n.receiveFigure(f, load)
 			case lines.Bye, lines.Move:
-				f.lastAnswer = word
+				f.lastAnswer = kind
 			}
 		}
 		rest = rest[end:]
--- a/node/tables.go
+++ b/node/tables.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// slots is a table of values by id. An id holds the slot's index in its low half and the slot's generation above it, so that
-// an id of a removed value finds nothing.
+// slots is a table of values by id. An id holds the slot's index in its low half and the slot's generation above it, so
+// that an id of a removed value finds nothing.
 type slots[T any] struct {
 	entries []slot[T]
 	free    []uint32
@@ -50,8 +50,9 @@
 	}
 }
 
-// recentIDs holds the hashes of the most recent request ids. Clients have to use a new id for every connection. A repeated id
-// is an error even after the end of its flow: the client may have been moved while the host does not know of that yet.
+// recentIDs holds the hashes of the most recent request ids. Clients have to use a new id for every connection. A
+// repeated id is an error even after the end of its flow: the client may have been moved while the host does not know
+// of that yet.
 type recentIDs struct {
 	known map[uint64]bool
 	ring  []uint64
--- a/node/watch.go
+++ b/node/watch.go
@@ -7,11 +7,11 @@
 	"coursewinch/discovery"
 )
 
-// The watch on discovery is a call whose response goes on with changes. A change takes effect here within maxChangeDelay of
-// the time when discovery has it and can be reached, even if one call fails or no call is open when it happens: the silence
-// is noticed, a call is made, and a second one where the first brings nothing. An old watch is kept until a new call has
-// brought a list, because it may only have been late. There is one call at a time, and calls don't follow each other closely
-// for long: discovery also works for calls that were given up, and it has many callers.
+// The watch on discovery is a call whose response goes on with changes. A change takes effect here within
+// maxChangeDelay of the time when discovery has it and can be reached, even if one call fails or no call is open when
+// it happens: the silence is noticed, a call is made, and a second one where the first brings nothing. An old watch is
+// kept until a new call has brought a list, because it may only have been late. There is one call at a time, and calls
+// don't follow each other closely for long: discovery also works for calls that were given up, and it has many callers.
 
 // Times of the watch.
 const (
@@ -49,14 +49,14 @@
 	c.id = n.register(c)
 	n.pendingCall = c
 	n.Count.Calls++
-	n.deadlines.set(&c.timer, n.now+n.callPatience())
+	n.deadlines.set(&c.timer, n.now+n.listTimeout())
 	n.net.Dial(c.id, c.discoveryAddr, &c.in, &c.out)
 }
 
-// callPatience returns how long a call may go without a list. It is longer where discovery has refused a call: when
+// listTimeout returns how long a call may go without a list. It is longer where discovery has refused a call: when
 // discovery has more callers than it can answer, calls that are given up sooner than its queue is served are each answered
-// when nobody waits any more.
-func (n *Node) callPatience() int64 {
+// only after this node has dropped them.
+func (n *Node) listTimeout() int64 {
 	if !n.callRefused {
 		return callTimeout
 	}
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -18,9 +18,9 @@
 	laterCallWithin   = 3800 * ms  // after many
 )
 
-// The bound on changes that operators are promised is the sum of the longest waits: a silence is noticed, a call is made and
-// lost, and the next one is answered; or a call is refused after many others, and the next one is answered, or lost and the
-// one after it answered.
+// The bound on changes that operators are promised is the sum of the longest waits: a silence is noticed, a call is
+// made and lost, and the next one is answered; or a call is refused after many others, and the next one is answered, or
+// lost and the one after it answered.
 func TestChangesApplyWithinBound(t *testing.T) {
 	if sum := watchSilenceTimeout + secondCallWithin + callTimeout + thirdCallWithin + roundTripMargin; sum > maxChangeDelay {
 		t.Error("a silent watch and a lost call:", sum)
@@ -35,8 +35,8 @@
 		n, net := newNode(1)
 		n.settings.Nodes = nodes
 		n.callRefused = true
-		if sum := n.settings.WatchBackoffLimit() + n.callPatience() + roundTripMargin; sum > maxChangeDelay || n.callPatience() < callTimeout {
-			t.Error(nodes, "nodes: many refused, then one answered at the last moment:", sum, n.callPatience())
+		if sum := n.settings.WatchBackoffLimit() + n.listTimeout() + roundTripMargin; sum > maxChangeDelay || n.listTimeout() < callTimeout {
+			t.Error(nodes, "nodes: many refused, then one answered at the last moment:", sum, n.listTimeout())
 		}
 		n.callRefused = false
 		failed := 0
@@ -100,8 +100,8 @@
 	}
 }
 
-// A change at the worst moment: the watch falls silent right before it, the next call is lost, and the one after that brings
-// the change.
+// A change at the worst moment: the watch falls silent right before it, the next call is lost, and the one after that
+// brings the change.
 func TestChangeAfterSilentWatch(t *testing.T) {
 	n, net := newNode(2)
 	first := net.connectLast()
@@ -234,8 +234,8 @@
 	return otherNet.node, otherNet
 }
 
-// Where lists are pushed, changes count as known from a process's start, also drains that happened while no process ran. Flows
-// therefore wait for the first list.
+// Where lists are pushed, changes count as known from a process's start, also drains that happened while no process
+// ran. Flows therefore wait for the first list.
 func TestFlowsWaitForFirstPushedList(t *testing.T) {
 	n, net := newPushedNode(2)
 	front := net.openClient("PING\r\n")
@@ -391,8 +391,8 @@
 	}
 }
 
-// A connect or call that fails because the system has no descriptor left is repeated after an idle client has been shed. It does
-// not count against the host or discovery.
+// A connect or call that fails because the system has no descriptor left is repeated after an idle client has been
+// shed. It does not count against the host or discovery.
 func TestNoDescriptorBlamesNobody(t *testing.T) {
 	n, net := newNode(1)
 	net.openClient("PING\r\n")
--- a/rehearsal/baseline/baseline.go
+++ b/rehearsal/baseline/baseline.go
@@ -42,8 +42,8 @@
 	alarmAt         int64
 }
 
-// New returns a function that makes deciders of the named baseline, from a node's settings and seed. It fails if there is no
-// such baseline.
+// New returns a function that makes deciders of the named baseline, from a node's settings and seed. It fails if there
+// is no such baseline.
 func New(name string) (func(*settings.Settings, int64) node.Decider, error) {
 	pick, ok := map[string]func(*decider, []*server) *server{
 		"random":            func(d *decider, candidates []*server) *server { return candidates[d.rng.Intn(len(candidates))] },
--- a/rehearsal/fleet/best.go
+++ b/rehearsal/fleet/best.go
@@ -6,10 +6,10 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// MaxBenefitRate returns an upper bound of the benefit per second that the hosts of a script can serve when wanted[t] flows of each
-// service type t want a connection. It assumes that all hosts are warm and healthy and that flows are placed with complete
-// knowledge; a flow has the load of its type, is not divided and never ends. It ignores set-ups, probes and the shared work
-// of groups, so no run reaches it.
+// MaxBenefitRate returns an upper bound of the benefit per second that the hosts of a script can serve when wanted[t]
+// flows of each service type t want a connection. It assumes that all hosts are warm and healthy and that flows are
+// placed with complete knowledge; a flow has the load of its type, is not divided and never ends. It ignores set-ups,
+// probes and the shared work of groups, so no run reaches it.
 func MaxBenefitRate(s *scenario.Script, wanted []float64) float64 {
 	type loadedHost struct {
 		rate, cores float64 // work per second of a core; number of cores
--- a/rehearsal/fleet/conn.go
+++ b/rehearsal/fleet/conn.go
@@ -338,7 +338,7 @@
 	})
 }
 
-// NodeExited reports that the process of a node has ended by itself. The reason is noted in the record unless the node was
+// NodeExited reports that the process of a node has ended on its own. The reason is noted in the record unless the node was
 // asked to stop.
 func (w *World) NodeExited(node int, reason string) {
 	n := w.nodes[node]
--- a/rehearsal/fleet/host_conn.go
+++ b/rehearsal/fleet/host_conn.go
@@ -124,7 +124,7 @@
 	hc.flow.AddEvent(record.Event{At: h.world.now, Kind: record.ConnectReceived, Host: h.index, Connect: hc.attempt})
 	if open.CurrentHost != "" {
 		if hc.client.initialHost != h {
-			h.rejectLine(hc, "it never stood here: "+open.CurrentHost)
+			h.rejectLine(hc, "the connection was never here: "+open.CurrentHost)
 			return
 		}
 		h.completeSetup(&setupJob{conn: hc})
--- a/rehearsal/fleet/node_config.go
+++ b/rehearsal/fleet/node_config.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// NodeConfig is the configuration of a node's process. JSON is the text of its configuration file, which contains the others.
+// NodeConfig is the configuration of a node's process. JSON is the text of its configuration file, which contains the
+// others.
 type NodeConfig struct {
 	Name       string
 	Listen     string // address for clients
--- a/rehearsal/live/cluster_test.go
+++ b/rehearsal/live/cluster_test.go
@@ -24,8 +24,8 @@
 	share    float64
 }
 
-// checkServed checks what a run serves. Cold hosts must get at least a quarter of the connects that the rule allows, and never
-// as many as overload one.
+// checkServed checks what a run serves. Cold hosts must get at least a quarter of the connects that the rule allows,
+// and never as many as overload one.
 func checkServed(t *testing.T, where string, s *scenario.Script, r *record.Run, want []minServed) {
 	t.Helper()
 	for _, l := range want {
@@ -47,9 +47,9 @@
 // also where the machine starves the processes, so that their run is void.
 const virtualSeeds = 3
 
-// playOverload plays ten times the usual demand against processes with links, with faults between them. The checks rely on
-// nodes taking hosts that answer a millisecond late for saturated ones. A run shows nothing if the events of the fleet are as
-// late themselves, or if nodes have no core for a tenth of their time.
+// playOverload plays ten times the usual demand against processes with links, with faults between them. The checks rely
+// on nodes taking hosts that answer a millisecond late for saturated ones. A run shows nothing if the events of the
+// fleet are as late themselves, or if nodes have no core for a tenth of their time.
 func playOverload(t *testing.T, nodes int, want []minServed, changes ...string) (*record.Run, *nodeMetrics) {
 	t.Helper()
 	s, err := scenario.LoadWithOverrides("fleet-overload", append([]string{"cluster.on=true", "demand.rate=25", "node.max_wait=\"1.5s\"",
@@ -96,8 +96,8 @@
 	return served / best
 }
 
-// eachNode calls a function for the metrics of each node in a second. Nodes that did not answer are left out; the others are
-// counted.
+// eachNode calls a function for the metrics of each node in a second. Nodes that did not answer are left out; the
+// others are counted.
 func (w *nodeMetrics) eachNode(second int64, do func(no int, m map[string]float64)) (answered int) {
 	w.Lock()
 	defer w.Unlock()
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestNodePausesAndCorruptedDatagrams plays five processes in overload. Two are paused for 3 s and resume together, one is
-// killed and restarts without state, a second process runs under the name of one, one sends false reports, and datagrams are
-// corrupted, duplicated, reordered and replayed.
+// TestNodePausesAndCorruptedDatagrams plays five processes in overload. Two are paused for 3 s and resume together, one
+// is killed and restarts without state, a second process runs under the name of one, one sends false reports, and
+// datagrams are corrupted, duplicated, reordered and replayed.
 func TestNodePausesAndCorruptedDatagrams(t *testing.T) {
 	_, w := playOverload(t, 5, []minServed{{18, 24, 0.6}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=2",
 		`faults=[{at="7s",kind="node_pause",nodes=["n-1","n-2"],for="3s"},{at="8s",kind="link_liar",nodes=["n-0"],for="5s"},
@@ -165,10 +165,12 @@
 	}
 }
 
-// TestHostLossAndMassReconnect plays six processes in overload, of which one has five times the traffic of the others. The
-// datagrams of one are lost, then a third of the hosts dies and comes back cold, then every client reconnects within a second.
+// TestHostLossAndMassReconnect plays six processes in overload, of which one has five times the traffic of the others.
+// The datagrams of one are lost, then a third of the hosts dies and comes back cold, then every client reconnects
+// within a second.
 func TestHostLossAndMassReconnect(t *testing.T) {
-	// Live runs serve 0.50 to 0.69 and 0.42 to 0.60 of the best, without grants for cold hosts 0.62 to 0.73 and 0.60 to 0.74.
+	// Live runs serve 0.50 to 0.69 and 0.42 to 0.60 of the best, without grants for cold hosts 0.62 to 0.73 and 0.60 to
+	// 0.74.
 	r, w := playOverload(t, 6, []minServed{{21, 27, 0.35}, {31, 36, 0.35}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=3", "demand.skew={north=1.0,port=0.4,town=0.6}",
 		"length=\"36s\"", `cluster.limits=[{over="cold",promise="strict"}]`, `faults=[{at="14s",kind="link_mute",nodes=["n-2"],for="5s"},{at="20s",kind="crash",count=4,for="3s"},
 		{at="28s",kind="reconnect",size=1.0,for="1s"}]`)
--- a/rehearsal/live/limits_test.go
+++ b/rehearsal/live/limits_test.go
@@ -18,10 +18,10 @@
 	maxWaitForUse  = 0.1    // share of the nodes' time spent waiting for a core, over which a fleet may not use its limits
 )
 
-// TestFleetLimitsOfProcesses lets eight processes together keep the limit of a looping address and that of a service type.
-// Their links are split in three, two are killed and restarted, two paused for longer than a lease, and a second process runs
-// under the name of one. The same is played in virtual time, where no machine lacks cores. Available limits are tested there
-// only, in package virtual.
+// TestFleetLimitsOfProcesses lets eight processes together keep the limit of a looping address and that of a service
+// type. Their links are split in three, two are killed and restarted, two paused for longer than a lease, and a second
+// process runs under the name of one. The same is played in virtual time, where no machine lacks cores. Available
+// limits are tested there only, in package virtual.
 func TestFleetLimitsOfProcesses(t *testing.T) {
 	s, err := scenario.LoadWithOverrides("one-address", []string{"length=\"22s\"", "nodes=[{count=8}]", "node.sockets=1024", "cluster.on=true",
 		fmt.Sprintf("node.admission={rate=%d.0,burst=%d.0}", addressRate, addressBurst),
--- a/rehearsal/live/links.go
+++ b/rehearsal/live/links.go
@@ -13,9 +13,9 @@
 	"coursewinch/rehearsal/fleet"
 )
 
-// relay forwards the datagrams of one node to another. The sender knows the receiver by the relay's address. The datagrams go
-// through the world, which applies the faults of the script. They are sent on from the relay of the opposite direction,
-// because the receiver knows the sender by its address.
+// relay forwards the datagrams of one node to another. The sender knows the receiver by the relay's address. The
+// datagrams go through the world, which applies the faults of the script. They are sent on from the relay of the
+// opposite direction, because the receiver knows the sender by its address.
 type relay struct {
 	player   *player
 	from, to int
--- a/rehearsal/live/live.go
+++ b/rehearsal/live/live.go
@@ -55,8 +55,8 @@
 	// MaxDelayP99 is the p99 of the delays of the fleet's events over which the run is void, in microseconds, for runs that
 	// need a stricter limit than usual. 0 stands for the usual limit.
 	MaxDelayP99 int64
-	// MaxCPUWaitShare is the share of the nodes' time spent waiting for a core over which the run is void, for runs that need
-	// a stricter limit than usual. 0 stands for the usual limit.
+	// MaxCPUWaitShare is the share of the nodes' time spent waiting for a core over which the run is void, for runs
+	// that need a stricter limit than usual. 0 stands for the usual limit.
 	MaxCPUWaitShare float64
 }
 
@@ -79,9 +79,9 @@
 	done               chan struct{}
 }
 
-// Play plays a script to its end and returns the record of the run. It fails if the script is too large or needs virtual time,
-// if an address, file or process cannot be had, or if not every node answers in time. If the machine ran late, the record says
-// that the run is void.
+// Play plays a script to its end and returns the record of the run. It fails if the script is too large or needs
+// virtual time, if an address, file or process cannot be had, or if not every node answers in time. If the machine ran
+// late, the record says that the run is void.
 func Play(s *scenario.Script, opt Options) (*record.Run, error) {
 	if n := s.NodeCount() * s.HostCount(); n > maxNodeHostPairs {
 		return nil, fmt.Errorf("%d nodes and %d hosts are too many for one machine: %d pairs at most", s.NodeCount(),
@@ -193,8 +193,8 @@
 	adminIP     = 7
 )
 
-// loopbackIP returns the IP address of a kind and number. Runs of different processes have their own blocks of addresses, so
-// that they do not take each other's ports.
+// loopbackIP returns the IP address of a kind and number. Runs of different processes have their own blocks of
+// addresses, so that they do not take each other's ports.
 func loopbackIP(kind, no int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 2+os.Getpid()%250, kind*16+no/250, no%250+1)
 }
@@ -296,7 +296,7 @@
 		r.VoidReason = fmt.Sprintf("the machine ran late: 99%% of the fleet's events within %.1f ms, worst %d ms (%.1f and %d allowed)",
 			float64(p99)/1000, highest/1000, float64(limit)/1000, maxDelay/1000)
 	} else if share := p.lateReports.share(); share > maxLateShare && !p.scriptStarves {
-		r.VoidReason = fmt.Sprintf("the machine starved the nodes: late by their own word in %.2f of their seconds (%.2f allowed)",
+		r.VoidReason = fmt.Sprintf("the machine starved the nodes: late by their own reports in %.2f of their seconds (%.2f allowed)",
 			share, maxLateShare)
 	} else if limit := cmp.Or(p.options.MaxCPUWaitShare, maxCPUWaitShare); r.CPUWaitShare > limit {
 		r.VoidReason = fmt.Sprintf("the machine starved the nodes: they waited for a core for %.2f of their time (%.2f allowed)",
@@ -304,8 +304,9 @@
 	}
 }
 
-// cpuWaitShare returns the share of all nodes' time in which they waited for a core. The delays of the fleet's events do not
-// show it: the goroutine that plays the fleet keeps its core, and is in time on a machine on which the nodes are not.
+// cpuWaitShare returns the share of all nodes' time in which they waited for a core. The delays of the fleet's events
+// do not show it: the goroutine that plays the fleet keeps its core, and is in time on a machine on which the nodes are
+// not.
 func (p *player) cpuWaitShare() float64 {
 	sum := time.Duration(0)
 	for _, n := range p.nodes {
--- a/rehearsal/live/live_test.go
+++ b/rehearsal/live/live_test.go
@@ -99,8 +99,8 @@
 	return s
 }
 
-// playLive plays a script and reports breaches of rules. If the machine ran late, the script is played once more, and the test is
-// skipped if that run is void too.
+// playLive plays a script and reports breaches of rules. If the machine ran late, the script is played once more, and
+// the test is skipped if that run is void too.
 func playLive(t *testing.T, s *scenario.Script, opt Options) *record.Run {
 	t.Helper()
 	r, err := Play(s, opt)
@@ -120,8 +120,8 @@
 	return r
 }
 
-// TestSignals plays SIGHUP, SIGKILL, SIGTERM and a host's crash with real processes. Rules must be kept, every node must serve
-// again, and the captures of all processes must be readable.
+// TestSignals plays SIGHUP, SIGKILL, SIGTERM and a host's crash with real processes. Rules must be kept, every node
+// must serve again, and the captures of all processes must be readable.
 func TestSignals(t *testing.T) {
 	dir := t.TempDir()
 	r := playLive(t, load(t, script), Options{Program: program, Capture: dir, Logs: filepath.Join(dir, "logs")})
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestLateMachineVoidsRun blocks the goroutine that plays the fleet. The run must be void, because the delay is not the fault
-// of the nodes.
+// TestLateMachineVoidsRun blocks the goroutine that plays the fleet. The run must be void, because the delay is not the
+// fault of the nodes.
 func TestLateMachineVoidsRun(t *testing.T) {
 	s := load(t, strings.Replace(script[:strings.Index(script, "[[faults]]")], "6s", "2s", 1))
 	r, err := Play(s, Options{Program: program, testHook: func(p *player) {
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestStarvedNodesVoidRun takes most of the nodes' time. The run must be void if the machine does so, and valid if the script
-// does.
+// TestStarvedNodesVoidRun takes most of the nodes' time. The run must be void if the machine does so, and valid if the
+// script does.
 func TestStarvedNodesVoidRun(t *testing.T) {
 	text := "[cluster]\non = true\n" + script[strings.Index(script, "[clients]"):strings.Index(script, "[[faults]]")]
 	text = script[:strings.Index(script, "[clients]")] + text
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// socket is one connection to a node. The fields below the mutex, and connected, are guarded by it. The others belong to the
-// goroutine that plays the world.
+// socket is one connection to a node. The fields below the mutex, and connected, are guarded by it. The others belong
+// to the goroutine that plays the world.
 type socket struct {
 	player     *player
 	conn       *fleet.Conn
@@ -237,7 +237,8 @@
 	}
 }
 
-// PeerClosed closes the sending side of the world's side of a connection, and the connection if the node's side is closed too.
+// PeerClosed closes the sending side of the world's side of a connection, and the connection if the node's side is
+// closed too.
 func (p *player) PeerClosed(c *fleet.Conn) {
 	s, ok := c.PlayerState.(*socket)
 	if !ok || s.closed || s.writeEnded {
--- a/rehearsal/live/watch.go
+++ b/rehearsal/live/watch.go
@@ -12,8 +12,8 @@
 // metricsTimeout is the longest wait for a node's metrics.
 const metricsTimeout = 400 * time.Millisecond
 
-// lateCounter counts how often nodes with overload control reported that their own loop was late. Late nodes judge no hosts, so
-// what the fleet serves then is the fault of the machine and not of the nodes.
+// lateCounter counts how often nodes with overload control reported that their own loop was late. Late nodes judge no
+// hosts, so what the fleet serves then is the fault of the machine and not of the nodes.
 type lateCounter struct{ samples, late atomic.Int64 }
 
 // add adds one report of a node.
--- a/rehearsal/record/held.go
+++ b/rehearsal/record/held.go
@@ -27,8 +27,8 @@
 	return from, to
 }
 
-// PeakConcurrent returns, by key, the highest number of flows that were established at the same time. A client may see the end of
-// its flow up to late microseconds after its node.
+// PeakConcurrent returns, by key, the highest number of flows that were established at the same time. A client may see
+// the end of its flow up to late microseconds after its node.
 func (r *Run) PeakConcurrent(late int64, key func(f *Flow) string) map[string]int {
 	type change struct {
 		at  int64
@@ -53,8 +53,8 @@
 	return highest
 }
 
-// ColdTotals returns the connects that all hosts that came back got while they were cold, the connects that the rule would have
-// allowed, and the load of the worst interval as a share of what overloads a cold host.
+// ColdTotals returns the connects that all hosts that came back got while they were cold, the connects that the rule
+// would have allowed, and the load of the worst interval as a share of what overloads a cold host.
 func (r *Run) ColdTotals() (sent int, allowed, worst float64) {
 	for _, h := range r.Hosts {
 		if h.ColdAllowed > 0 {
--- a/rehearsal/replay/clients.go
+++ b/rehearsal/replay/clients.go
@@ -1,5 +1,5 @@
-// Package replay turns captures of nodes into the demand of a script. It combines the flows of each client over its retries,
-// disconnects and moves.
+// Package replay turns captures of nodes into the demand of a script. It combines the flows of each client over its
+// retries, disconnects and moves.
 package replay
 
 import (
@@ -36,8 +36,9 @@
 	done  bool  // the client closed it, or the host said BYE
 }
 
-// Clients returns the clients of captures, whose flows are combined by key, in the order of their starts. A client that was
-// never established gets the mean life of its service type. A client whose end is not in the captures stays until their end.
+// Clients returns the clients of captures, whose flows are combined by key, in the order of their starts. A client that
+// was never established gets the mean life of its service type. A client whose end is not in the captures stays until
+// their end.
 func Clients(all []*capture.Capture) []Client {
 	if len(all) == 0 {
 		return nil
--- a/rehearsal/replay/replay_test.go
+++ b/rehearsal/replay/replay_test.go
@@ -6,8 +6,9 @@
 	"coursewinch/capture"
 )
 
-// TestClients combines the flows of a client that was rejected, then established, lost its connection, reconnected to another
-// node and left. It also checks clients whose end is unknown, that were never established, or that return much later.
+// TestClients combines the flows of a client that was rejected, then established, lost its connection, reconnected to
+// another node and left. It also checks clients whose end is unknown, that were never established, or that return much
+// later.
 func TestClients(t *testing.T) {
 	const s = 1_000_000
 	one := &capture.Capture{Start: capture.Start{Node: "n-0", At: 100 * s}, LastRecordAt: 60 * s,
--- a/rehearsal/replay/script.go
+++ b/rehearsal/replay/script.go
@@ -8,9 +8,9 @@
 	"coursewinch/rehearsal/scenario"
 )
 
-// RecordedDemand turns captures into the demand of a script, whose fleet, client behaviour and faults stay. The demand begins at a
-// time of the captures, in microseconds after the start of the first one. It also returns what was omitted and why, one
-// line each.
+// RecordedDemand turns captures into the demand of a script, whose fleet, client behaviour and faults stay. The demand
+// begins at a time of the captures, in microseconds after the start of the first one. It also returns what was omitted
+// and why, one line each.
 func RecordedDemand(all []*capture.Capture, s *scenario.Script, begin int64) (recorded []scenario.RecordedClient, omitted []string) {
 	loadUnit := 1e6 / s.Fleet.FlowsPerCore // reported load of one usual flow
 	unknown := map[string]int{}            // flows by service types that the script does not have
--- a/rehearsal/report/text.go
+++ b/rehearsal/report/text.go
@@ -164,7 +164,7 @@
 	if !anyRejected || len(cells) > maxListedNodes {
 		return
 	}
-	fmt.Fprintf(w, "\n  %-10s", "turned away")
+	fmt.Fprintf(w, "\n  %-10s", "rejected")
 	for _, t := range r.Types {
 		fmt.Fprintf(w, " %24s", t.Name)
 	}
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -106,15 +106,16 @@
 	c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf(format, args...), f})
 }
 
-// wasPaused tells whether a node's process was stopped at some time in an interval. A stopped process can do nothing in time.
+// wasPaused tells whether a node's process was stopped at some time in an interval. A stopped process can do nothing in
+// time.
 func (c *checker) wasPaused(node int, from, to int64) bool {
 	return slices.ContainsFunc(c.run.Pauses, func(s record.NodePause) bool {
 		return s.Node == node && s.From <= to && (s.To == 0 || s.To+TimeTolerance >= from)
 	})
 }
 
-// checkAnswer checks that a flow has exactly one answer, in time. A flow is excused if its client left first, or if its node
-// was killed or stopped meanwhile.
+// checkAnswer checks that a flow has exactly one answer, in time. A flow is excused if its client left first, or if its
+// node was killed or stopped meanwhile.
 func (c *checker) checkAnswer(f *record.Flow) {
 	asked := f.FirstEvent(record.RequestSent)
 	if asked == nil {
@@ -216,9 +217,9 @@
 		c.add(SingleEffect, f, "ran at %s and again at %s", c.run.Hosts[first.host].Name, c.run.Hosts[second.host].Name)
 	case "referenced":
 		if t.Scope == "zone" && c.run.Hosts[first.host].Zone != c.run.Hosts[second.host].Zone {
-			c.add(SingleEffect, f, "ran again in another zone than that which knows it")
+			c.add(SingleEffect, f, "ran again in another zone, where the repeat is not recognised")
 		} else if second.ran-first.ran > t.Window+TimeTolerance {
-			c.add(SingleEffect, f, "ran again %d ms after, when nobody remembers", (second.ran-first.ran)/1000)
+			c.add(SingleEffect, f, "ran again %d ms later, after the repeat window", (second.ran-first.ran)/1000)
 		}
 	}
 }
@@ -245,7 +246,7 @@
 			}
 		}
 		if since >= 0 && e.At-since > c.run.DrainGrace+TimeTolerance {
-			c.add(DrainObserved, f, "connect %d goes to %s %d ms after the node was told that it leaves", e.Connect,
+			c.add(DrainObserved, f, "connect %d goes to %s %d ms after the node learned that the host leaves", e.Connect,
 				c.run.Hosts[e.Host].Name, (e.At-since)/1000)
 		}
 	}
@@ -263,7 +264,7 @@
 			ended = true
 		case record.Disconnected:
 			if established && !ended {
-				c.add(NoDisconnect, f, "cut off while its host still stood")
+				c.add(NoDisconnect, f, "closed without a MOVE while its host still served it")
 			}
 		case record.LineDelayed:
 			if c.wasPaused(f.Node, e.At-e.Value, e.At) {
--- a/rehearsal/scenario/override.go
+++ b/rehearsal/scenario/override.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// LoadWithOverrides reads a script as Load does and changes some of its values. Each change is KEY=VALUE with a value as in TOML,
-// such as fleet.buffer="2s" or types.0.benefit=3. Members of lists are counted from 0.
+// LoadWithOverrides reads a script as Load does and changes some of its values. Each change is KEY=VALUE with a value
+// as in TOML, such as fleet.buffer="2s" or types.0.benefit=3. Members of lists are counted from 0.
 func LoadWithOverrides(name string, changes []string) (*Script, error) {
 	if len(changes) == 0 {
 		return Load(name)
--- a/rehearsal/trial/trial.go
+++ b/rehearsal/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial runs experiments. It plays scripts over many seeds with several builds, settings or baselines, compares them
-// seed by seed, and computes how much they differ, with confidence intervals.
+// Package trial runs experiments. It plays scripts over many seeds with several builds, settings or baselines, compares
+// them seed by seed, and computes how much they differ, with confidence intervals.
 package trial
 
 import (
@@ -33,7 +33,8 @@
 	Changes  []string // of the script, KEY=VALUE
 }
 
-// ParseVariant parses module, baseline:NAME, build:PROGRAM or set:KEY=VALUE[;KEY=VALUE], with an optional name and @ in front.
+// ParseVariant parses module, baseline:NAME, build:PROGRAM or set:KEY=VALUE[;KEY=VALUE], with an optional name and @ in
+// front.
 func ParseVariant(text string) (Variant, error) {
 	v := Variant{Name: text}
 	if name, rest, ok := strings.Cut(text, "@"); ok && name != "" && !strings.ContainsAny(name, ":=/") {
@@ -133,8 +134,8 @@
 		"rejected": float64(s.Answers["rejected"]+s.Answers["aborted"]) / n}
 }
 
-// Run plays the experiment with several workers. The result does not depend on their number. It fails with the first error of
-// a run.
+// Run plays the experiment with several workers. The result does not depend on their number. It fails with the first
+// error of a run.
 func (p Experiment) Run() ([]Result, error) {
 	results := make([]Result, 0, len(p.Scripts)*len(p.Variants))
 	for _, s := range p.Scripts {
@@ -224,8 +225,8 @@
 
 const bootstrapResamples = 2000
 
-// Bootstrap returns the mean of values and its 95 % confidence interval. Its random source has a fixed seed, so that the same
-// values give the same interval.
+// Bootstrap returns the mean of values and its 95 % confidence interval. Its random source has a fixed seed, so that
+// the same values give the same interval.
 func Bootstrap(values []float64) Interval {
 	rng := rand.New(rand.NewPCG(1, uint64(len(values))))
 	means := make([]float64, bootstrapResamples)
--- a/rehearsal/virtual/cluster.go
+++ b/rehearsal/virtual/cluster.go
@@ -101,7 +101,8 @@
 	return other
 }
 
-// ReceiveDatagram delivers a datagram of another node. Of two processes of one name the first has the address until it ends.
+// ReceiveDatagram delivers a datagram of another node. Of two processes of one name the first has the address until it
+// ends.
 func (p *player) ReceiveDatagram(no, from int, d []byte) {
 	v := p.nodes[no]
 	if v.core == nil {
--- a/rehearsal/virtual/net.go
+++ b/rehearsal/virtual/net.go
@@ -53,7 +53,8 @@
 // Reset resets a connection.
 func (v *emulatedNode) Reset(id uint64) { v.closeSocket(id, v.player.world.Reset) }
 
-// CloseDetached sends what is left and closes a connection. The emulated network loses nothing that was written before a close.
+// CloseDetached sends what is left and closes a connection. The emulated network loses nothing that was written before
+// a close.
 func (v *emulatedNode) CloseDetached(id uint64) {
 	v.RingsChanged(id)
 	v.Close(id)
--- a/rehearsal/virtual/suspensions_test.go
+++ b/rehearsal/virtual/suspensions_test.go
@@ -66,7 +66,7 @@
 	t.Logf("%d of %d suspensions: p50 %d ms, p99 %d ms, worst %d ms after a host died", len(took), 8*2*12, took[len(took)/2]/1000, took[len(took)*99/100]/1000, took[len(took)-1]/1000)
 }
 
-// TestNoFalseSuspensions checks that nobody suspends a host that is healthy for it because one node or a third of them is
+// TestNoFalseSuspensions checks that no node suspends a host that is healthy for it because one node or a third of them is
 // starved, or because one zone's network is bad. A starved node of this rehearsal finds no host down even where it does
 // judge them, so what it may report is tested in package overload.
 func TestNoFalseSuspensions(t *testing.T) {
--- a/rehearsal/virtual/virtual_test.go
+++ b/rehearsal/virtual/virtual_test.go
@@ -25,7 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// TestRunsAreDeterministic plays every shipped script on one core and on all cores. The answers must be equal byte for byte.
+// TestRunsAreDeterministic plays every shipped script on one core and on all cores. The answers must be equal byte for
+// byte.
 func TestRunsAreDeterministic(t *testing.T) {
 	for _, name := range scenario.ShippedNames() {
 		if name == "full-size" || name == "full-core" { // too long for a test; they are measured with the command
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -118,8 +118,8 @@
 	NinesWanted        float64        // availability that the goal wants, in nines
 	ListsPushed        bool           // lists of hosts are pushed: what they say counts as known at once
 	DrainGrace         int64          // time after a drain notice in which new flows may still go to a host; 0 if none is set
-	// Only a drain notice obliges nodes to stop using a host. A host that the list calls gone, or leaves out, without having
-	// been drained obliges nobody, so the successor process of a node does not treat it as a drain.
+	// Only a drain notice obliges nodes to stop using a host. A host that the list calls gone, or leaves out, without
+	// having been drained does not, so the successor process of a node does not treat it as a drain.
 	DrainBindsAlone bool
 }
 
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Settings that newer deployments have may be missing. Behaviour is then as it was before they were added.
+// Settings that newer deployments have may be missing. The node then behaves as before they were added.
 func TestOptionalSettings(t *testing.T) {
 	with := func(more ...string) (*Settings, error) {
 		var parts [][]byte
@@ -89,7 +89,8 @@
 			t.Errorf("%s: %+v", bad, s)
 		}
 	}
-	// Load reports and messages between nodes are off where the settings do not mention them, as in the kingston deployment.
+	// Load reports and messages between nodes are off where the settings do not mention them, as in the kingston
+	// deployment.
 	for more, want := range map[string]string{"": "-1 false", "LoadReport.How=silent Limits.Peers=false": "-1 false",
 		"LoadReport.How=pull LoadReport.Names=cpu,waiting,x0 Limits.Peers=true": "2 true", "LoadReport.How=often": "LoadReport.How",
 		"LoadReport.How=piggyback LoadReport.Names=waiting,cpu": "1 false", "Limits.Peers=perhaps": "Limits.Peers"} {
--- a/simwire/adapter.go
+++ b/simwire/adapter.go
@@ -198,8 +198,8 @@
 	return string(d.line.name) == "at" || string(d.line.name) == "over_to_you"
 }
 
-// runRound runs a round of the Balancer with the events that follow. A panic is reported to the simulator with its cause, and
-// the rest of the events is skipped.
+// runRound runs a round of the Balancer with the events that follow. A panic is reported to the simulator with its
+// cause, and the rest of the events is skipped.
 func (d *Adapter) runRound() {
 	defer func() {
 		if p := recover(); p != nil {
--- a/simwire/adapter_test.go
+++ b/simwire/adapter_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// Invalid load reports and peer messages are ignored and are not fatal. Only a saturated host is reported to the other nodes.
+// Invalid load reports and peer messages are ignored and are not fatal. Only a saturated host is reported to the other
+// nodes.
 func TestInvalidReportsAndMessagesAreIgnored(t *testing.T) {
 	peerMessages := strings.Replace(configuredBatch, "UnheardOf=1", "LoadReport.How=pull\tLoadReport.Names=waiting,x0\tLimits.Peers=true", 1)
 	for usage, published := range map[string]bool{"3,.95": true, "3,1e9": true, "3,.5": false, "3": false, "-": false, "3,-2": false, "3,NaN": false} {
--- a/simwire/line.go
+++ b/simwire/line.go
@@ -112,8 +112,8 @@
 	return n
 }
 
-// takeMicros takes a time in milliseconds and returns whole microseconds. An absent one is 0. Times of digits with up to three
-// decimals are parsed without floating point.
+// takeMicros takes a time in milliseconds and returns whole microseconds. An absent one is 0. Times of digits with up
+// to three decimals are parsed without floating point.
 func (l *line) takeMicros(field string) int64 {
 	p := l.takeAny(field)
 	if len(p) == 1 && p[0] == '-' {
