--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -639,7 +639,8 @@
 			}
 		}
 	}
-	if got := decisions.count("move"); got != 6 { // with four left there and two elsewhere, the load without any one flow is under 1.5 times the mean
+	// With four left there and two elsewhere, the load without any one flow is under 1.5 times the mean.
+	if got := decisions.count("move"); got != 6 {
 		t.Fatalf("%d moves", got)
 	}
 	b.addOpenFlows(b.servers[0], 10, 30_000)
@@ -981,7 +982,8 @@
 	b, _ := newReportingBalancer(0.4)
 	cold, own, full := b.servers[0], b.servers[1], b.servers[2]
 	cold.Started, own.loadInReport = b.now, own.loadInReport-1e6 // own placements since
-	if b.LoadReported(full, 0.9, true); b.hasSpareCapacity(cold) || b.hasSpareCapacity(full) || !b.isSaturated(own) || !b.hasSpareCapacity(own) {
+	if b.LoadReported(full, 0.9, true); b.hasSpareCapacity(cold) || b.hasSpareCapacity(full) || !b.isSaturated(own) ||
+		!b.hasSpareCapacity(own) {
 		t.Fatal("only a warm server that is saturated by own placements alone has spare capacity")
 	}
 }
--- a/capture/capture.go
+++ b/capture/capture.go
@@ -90,7 +90,8 @@
 	if f.Returning {
 		again = 1
 	}
-	return withChecksum(fmt.Sprintf("F %d %d %s %s %s %d %d %c %d %s %d", f.Number, f.At, f.Type, f.Key, emptyToDash(f.Group), again, f.ConnectTimeout,
+	return withChecksum(fmt.Sprintf("F %d %d %s %s %s %d %d %c %d %s %d", f.Number, f.At, f.Type, f.Key,
+		emptyToDash(f.Group), again, f.ConnectTimeout,
 		f.Answer, f.AnswerTime, emptyToDash(f.Host), f.Connects))
 }
 
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -34,7 +34,8 @@
 func writeFlows(w *Writer, flows int) {
 	for i := range flows {
 		no := uint64(i + 1)
-		w.Flow(Flow{Number: no, At: startedAt + int64(i)*1000, Type: "t", Key: "k", Group: "g", ConnectTimeout: 5, Answer: Established, AnswerTime: 7,
+		w.Flow(Flow{Number: no, At: startedAt + int64(i)*1000, Type: "t", Key: "k", Group: "g", ConnectTimeout: 5,
+			Answer: Established, AnswerTime: 7,
 			Host: "h-1", Connects: 1})
 		w.Load(Load{Number: no, At: startedAt + int64(i)*1000 + 10, Load: 500})
 		w.End(End{Number: no, At: startedAt + int64(i)*1000 + 900, Outcome: ClientClosed, LinesUp: 3, LinesDown: 4})
--- a/citest/known_red_test.go
+++ b/citest/known_red_test.go
@@ -38,7 +38,8 @@
 		c := exec.Command("../known-red.sh", list, "..")
 		c.Stderr = &stderr
 		out, err := c.Output()
-		if got := string(out); want == "fails" && (err == nil || !strings.Contains(stderr.String(), "\n")) || want != "fails" && (err != nil || got != want) {
+		if got := string(out); want == "fails" && (err == nil || !strings.Contains(stderr.String(), "\n")) ||
+			want != "fails" && (err != nil || got != want) {
 			t.Errorf("%q: got %q, %v, error output %q", text, got, err, stderr.String())
 		}
 	}
--- a/cluster/frame/frame.go
+++ b/cluster/frame/frame.go
@@ -14,7 +14,7 @@
 	headerSize   = 33   // bytes before the payload
 	checksumSize = 4    // bytes after it
 
-	MaxDatagramSize = 1200                                        // maximum size of a datagram in bytes; it fits any path without fragmentation
+	MaxDatagramSize = 1200                                        // bytes; fits any path without fragmentation
 	MaxPayloadSize  = MaxDatagramSize - headerSize - checksumSize // maximum size of a payload in bytes
 )
 
--- a/cluster/frame/frame_test.go
+++ b/cluster/frame/frame_test.go
@@ -23,7 +23,8 @@
 	for _, c := range []struct {
 		p    []byte
 		want Fault
-	}{{nil, Truncated}, {good[:1], Truncated}, {good[:20], Truncated}, {good[:len(good)-1], Truncated}, {append(bytes.Clone(good), 0), Corrupted},
+	}{{nil, Truncated}, {good[:1], Truncated}, {good[:20], Truncated}, {good[:len(good)-1], Truncated},
+		{append(bytes.Clone(good), 0), Corrupted},
 		{make([]byte, MaxDatagramSize+1), Oversized}, {[]byte("GET / HTTP/1.1\r\n"), BadMagic}, {change(1, version+1), WrongVersion},
 		{change(2, 0x80), Corrupted}, {change(len(good)-6, 'X'), Corrupted}, {Encode(h, make([]byte, 2*MaxDatagramSize)), NoFault}} {
 		if _, _, fault := Decode(c.p); fault != c.want {
--- a/cluster/limits/user.go
+++ b/cluster/limits/user.go
@@ -147,7 +147,8 @@
 	hold := int64(binary.LittleEndian.Uint32(payload[23:]))
 	retryAfter := int64(binary.LittleEndian.Uint32(payload[27:]))
 	request := l.pending[key]
-	if request == nil || request.round != round || process != l.process || request.askedNode != from || count > request.wanted || hold > maxHold {
+	if request == nil || request.round != round || process != l.process || request.askedNode != from ||
+		count > request.wanted || hold > maxHold {
 		l.Discarded++
 		return nil, true
 	}
--- a/cluster/members/members_test.go
+++ b/cluster/members/members_test.go
@@ -34,7 +34,8 @@
 
 // newTestNetwork starts so many nodes that all hear each other.
 func newTestNetwork(t *testing.T, nodes int, seed int64) *testNetwork {
-	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, nodes), isCut: func(int, int) bool { return false }}
+	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, nodes),
+		isCut: func(int, int) bool { return false }}
 	for i := range nodes {
 		w.nodes = append(w.nodes, nil)
 		w.starts = append(w.starts, 0)
@@ -197,7 +198,8 @@
 		from int
 		p    []byte
 		want frame.Fault
-	}{{-1, p, frame.UnknownSender}, {1, p, frame.UnknownSender}, {0, p[:30], frame.Truncated}, {0, nil, frame.Truncated}, {0, []byte{1, 2}, frame.BadMagic}} {
+	}{{-1, p, frame.UnknownSender}, {1, p, frame.UnknownSender}, {0, p[:30], frame.Truncated},
+		{0, nil, frame.Truncated}, {0, []byte{1, 2}, frame.BadMagic}} {
 		before := m.Faults[c.want]
 		if _, ok := m.HandleDatagram(n.now, c.from, c.p); ok || m.Faults[c.want] != before+1 {
 			t.Errorf("the fault %v is not counted, or the datagram was taken", c.want)
--- a/cluster/overload/coldstart.go
+++ b/cluster/overload/coldstart.go
@@ -30,7 +30,8 @@
 	if c.usesGrants != nil {
 		share = 1 / float64(max(c.nodes, 1)) // the grants that other nodes may get leave room for no more
 	}
-	rate := coldRateShare * c.settings.FallMultiple * capacity / c.usualFlowLoad / (float64(max(c.settings.ColdTime, second)) / float64(second)) * share
+	rate := coldRateShare * c.settings.FallMultiple * capacity / c.usualFlowLoad /
+		(float64(max(c.settings.ColdTime, second)) / float64(second)) * share
 	return c.now + int64(min(c.rng.ExpFloat64()/max(rate, 1e-6), 1e4)*float64(second))
 }
 
--- a/cluster/overload/constants.go
+++ b/cluster/overload/constants.go
@@ -7,7 +7,9 @@
 
 // Fill of hosts.
 const (
-	targetFill      = 0.60        // of the capacity; nearer the knee messages wait although cores are not yet idle, see docs/design/overload.md
+	// Of the capacity. Nearer the knee messages wait although cores are not yet idle, see docs/design/overload.md.
+	targetFill = 0.60
+
 	lateHostFill    = 0.7         // of the usual fill limit while a host is late: the remaining capacity works off its backlog
 	maxRelativeFill = 1.1         // times the mean fill; fuller hosts get no new flows during overload
 	maxRelativeLoad = 1.25        // times the mean known load per unit of size; the decision module uses the same limit for own load
--- a/cluster/overload/overload_test.go
+++ b/cluster/overload/overload_test.go
@@ -65,8 +65,9 @@
 
 // newTestNode makes one of so many nodes, with so many servers of equal size.
 func newTestNode(nodes, servers int) *testNode {
-	n := &testNode{now: 1000 * second, placed: map[*balance.Server]int{}, settings: &balance.Settings{Types: []balance.ServiceType{{SetupTarget: second, MessageTarget: second}},
-		Nodes: 1, MaxConnects: 20, MaxRetryAfter: 4 * second, ColdFrom: 0.12, ColdTime: 22 * second, FallMultiple: 3}}
+	n := &testNode{now: 1000 * second, placed: map[*balance.Server]int{},
+		settings: &balance.Settings{Types: []balance.ServiceType{{SetupTarget: second, MessageTarget: second}},
+			Nodes: 1, MaxConnects: 20, MaxRetryAfter: 4 * second, ColdFrom: 0.12, ColdTime: 22 * second, FallMultiple: 3}}
 	n.control = New(n.settings, nodes, 2*second, 1)
 	n.settings.Bounds = n.control
 	n.balancer = balance.New(n.settings, 1)
--- a/cluster/permits/permits_test.go
+++ b/cluster/permits/permits_test.go
@@ -141,7 +141,9 @@
 		if excess := p.tick(now); excess != nil {
 			t.Fatalf("permits were revoked: %v", excess)
 		}
-		if granted, _ := p.second.Acquire(9, "more", func(_ int, payload []byte) { p.deliver(p.second, payload) }); granted || p.second.InUse() > 4 {
+		if granted, _ := p.second.Acquire(9, "more", func(_ int, payload []byte) {
+			p.deliver(p.second, payload)
+		}); granted || p.second.InUse() > 4 {
 			t.Fatalf("%d permits in use beside one of the predecessor, want at most 4", p.second.InUse())
 		}
 	}
@@ -268,7 +270,9 @@
 	if p.first.Discarded != 2 {
 		t.Errorf("%d replies counted as dropped, want 2", p.first.Discarded)
 	}
-	if p.owner.HandleRequest(7, request, func([]byte) { t.Error("a request in the name of another process is answered") }); p.owner.Discarded != 1 {
+	if p.owner.HandleRequest(7, request, func([]byte) {
+		t.Error("a request in the name of another process is answered")
+	}); p.owner.Discarded != 1 {
 		t.Errorf("%d requests counted as dropped, want 1", p.owner.Discarded)
 	}
 	p.first.HandleReply(0, reply)
--- a/cmd/coursewinch/config.go
+++ b/cmd/coursewinch/config.go
@@ -155,7 +155,8 @@
 	if c.Capture.MB < 0 || c.Capture.MB > maxCaptureMB {
 		return fmt.Errorf("capture of %d MB: want 0 (for %d) to %d", c.Capture.MB, defaultCaptureMB, maxCaptureMB)
 	}
-	if a := c.Admission; a.PerAddress < 0 || a.Rate < 0 || a.Burst < 0 || a.Reserve < 0 || a.Reserve > max(c.Limits.Sockets, defaultSockets)/2 {
+	if a := c.Admission; a.PerAddress < 0 || a.Rate < 0 || a.Burst < 0 || a.Reserve < 0 ||
+		a.Reserve > max(c.Limits.Sockets, defaultSockets)/2 {
 		return fmt.Errorf("admission %+v: values must not be negative, and the reserve at most half of the sockets", a)
 	}
 	return nil
@@ -261,7 +262,8 @@
 		{"admin", c.Admin == old.Admin},
 		{"limits", c.Limits == old.Limits},
 		{"peers", slices.Equal(c.peerAddresses, old.peerAddresses) && c.Peers.Listen == old.Peers.Listen},
-		{"cluster", c.Cluster.On == old.Cluster.On && c.Cluster.Listen == old.Cluster.Listen && slices.Equal(c.clusterAddresses, old.clusterAddresses) && n.SetLimits(c.fleetLimits)},
+		{"cluster", c.Cluster.On == old.Cluster.On && c.Cluster.Listen == old.Cluster.Listen &&
+			slices.Equal(c.clusterAddresses, old.clusterAddresses) && n.SetLimits(c.fleetLimits)},
 		{"settings", bytes.Equal(c.Settings, old.Settings)},
 	} {
 		if !part.same {
--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -45,7 +45,8 @@
 	n.addr = at.String()
 	var known discovery.List
 	for i, h := range hosts {
-		known.Entries = append(known.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i), Endpoint: h.listener.Addr().String(), Zone: "a", State: "ready", Size: 1})
+		known.Entries = append(known.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i),
+			Endpoint: h.listener.Addr().String(), Zone: "a", State: "ready", Size: 1})
 	}
 	n.Begin(n.now, known)
 	return n
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -115,7 +115,8 @@
 		return err
 	}
 	p.handler.Begin(p.now(), c.knownList)
-	log.Printf("msg=started name=%s listen=%s discovery=%s hosts=%d sockets=%d peers=%s cluster=%s admin=%s", c.Name, p.clientAddress, c.Discovery,
+	log.Printf("msg=started name=%s listen=%s discovery=%s hosts=%d sockets=%d peers=%s cluster=%s admin=%s", c.Name,
+		p.clientAddress, c.Discovery,
 		len(c.knownList.Entries), p.maxSockets, p.peerAddress, p.clusterState, p.adminAddress)
 	return p.serve()
 }
@@ -199,7 +200,8 @@
 		}
 	}
 	if c.Cluster.On {
-		nodeConfig.Cluster = node.Cluster{On: true, Name: c.Name, Process: randomProcessID(), Others: len(c.clusterAddresses), Limits: c.fleetLimits,
+		nodeConfig.Cluster = node.Cluster{On: true, Name: c.Name, Process: randomProcessID(),
+			Others: len(c.clusterAddresses), Limits: c.fleetLimits,
 			Send: func(to int, datagram []byte) { p.loop.SendDatagram(p.config.clusterAddresses[to], datagram) }}
 	}
 	return nodeConfig
--- a/cmd/coursewinch/roll_test.go
+++ b/cmd/coursewinch/roll_test.go
@@ -242,13 +242,15 @@
 	old := begin().waitReady(t)
 	old.waitFor(t, "cluster="+at)
 	unrelated := prepareProgram(t, config)
-	if err := unrelated.cmd.Run(); err == nil || strings.Count(unrelated.output.String(), "\n") != 1 || !strings.Contains(unrelated.output.String(), "another process has it") {
+	if err := unrelated.cmd.Run(); err == nil || strings.Count(unrelated.output.String(), "\n") != 1 ||
+		!strings.Contains(unrelated.output.String(), "another process has it") {
 		t.Errorf("a second process at %s: %v, %q", at, err, unrelated.output.String())
 	}
 	next := begin()
 	next.waitFor(t, "msg=cluster listen="+at)
 	next.waitReady(t).openFlow(t, "").wantLine(t, "UP 1\r\n") // the other node is unreachable, so this node grants its own share
-	if _, body := next.callAdmin(t, "GET", "/-/metrics"); metricValue(t, body, "limit.address.rate.alone") != 1 || metricValue(t, body, "cluster_linked") != 0 {
+	if _, body := next.callAdmin(t, "GET", "/-/metrics"); metricValue(t, body, "limit.address.rate.alone") != 1 ||
+		metricValue(t, body, "cluster_linked") != 0 {
 		t.Error(body)
 	}
 	old.stop(t)
--- a/cmd/rehearse/sweep.go
+++ b/cmd/rehearse/sweep.go
@@ -25,7 +25,8 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			plan.Script = args[0]
 			if plan.Seeds < 1 || len(plan.DemandFactors) == 0 || len(plan.Nodes) == 0 {
-				return fmt.Errorf("%d seeds, %d multiples and %d sizes: at least one of each is required", plan.Seeds, len(plan.DemandFactors), len(plan.Nodes))
+				return fmt.Errorf("%d seeds, %d multiples and %d sizes: at least one of each is required", plan.Seeds,
+					len(plan.DemandFactors), len(plan.Nodes))
 			}
 			for _, n := range plan.Nodes {
 				if n < 1 {
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -81,7 +81,8 @@
 		}
 	}
 	var r Reader
-	if err := r.Feed([]byte(head+indented[:13]+"\n\n\n"), func(List) { t.Error("an incomplete list was passed on") }); err != nil || r.CompleteLines != 0 {
+	if err := r.Feed([]byte(head+indented[:13]+"\n\n\n"),
+		func(List) { t.Error("an incomplete list was passed on") }); err != nil || r.CompleteLines != 0 {
 		t.Fatal("a line within an incomplete list was counted as whole", r.CompleteLines, err)
 	}
 	for _, bad := range []string{"{\"rev\": 9, \"all\n", "no list\n", "{\"rev\":9}}\n", "{\"rev\":9,\n{\"rev\":10}\n}\n"} {
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -373,7 +373,8 @@
 		t.Error("a node changed the settings given to it:", *shared)
 	}
 	other.Begin(startTime, discovery.List{})
-	if n.settings.ListsPushed || !other.settings.ListsPushed || n.config.Discovery == other.config.Discovery || len(n.hosts) == len(other.hosts) {
+	if n.settings.ListsPushed || !other.settings.ListsPushed || n.config.Discovery == other.config.Discovery ||
+		len(n.hosts) == len(other.hosts) {
 		t.Fatal("the nodes share settings or hosts")
 	}
 	c := net.openClient("OPEN 1 2 c=toll,d=2000\r\n")
--- a/rehearsal/fleet/bad_clients.go
+++ b/rehearsal/fleet/bad_clients.go
@@ -37,7 +37,8 @@
 			zone = w.zoneIndex(group.Zone)
 		}
 		if n := w.pickNode(zone, w.badClientRand); n != nil {
-			w.run.BadClients = append(w.run.BadClients, record.BadClient{Kind: group.Kind, Node: n.index, At: w.now, AnswerWithin: badClientAnswerTime})
+			w.run.BadClients = append(w.run.BadClients, record.BadClient{Kind: group.Kind, Node: n.index, At: w.now,
+				AnswerWithin: badClientAnswerTime})
 			w.openToNode(&badClient{w, group.Kind, len(w.run.BadClients) - 1}, n.index, clientAddress(firstBadClient+uint64(len(w.run.BadClients))))
 		}
 		w.after(int64(w.badClientRand.ExpFloat64()/group.Rate*1e6), next)
--- a/rehearsal/fleet/client.go
+++ b/rehearsal/fleet/client.go
@@ -190,8 +190,10 @@
 		return
 	}
 	w.flowCount++
-	flow := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, ServiceType: cl.serviceType, Group: cl.group, Node: node.index,
-		Zone: cl.zone, Timeout: w.run.Types[cl.serviceType].ConnectTimeout, Returning: cl.returning, Host: -1, Load: cl.load, RemainingLife: cl.endsAt - w.now}
+	flow := &record.Flow{ID: fmt.Sprintf("%016x", mixID(w.seed, w.flowCount)), Key: cl.key, ServiceType: cl.serviceType,
+		Group: cl.group, Node: node.index,
+		Zone: cl.zone, Timeout: w.run.Types[cl.serviceType].ConnectTimeout, Returning: cl.returning,
+		Host: -1, Load: cl.load, RemainingLife: cl.endsAt - w.now}
 	w.run.Flows = append(w.run.Flows, flow)
 	w.run.Counts.Flows++
 	w.flowByID[flow.ID], w.clientByFlowID[flow.ID] = flow, cl
@@ -378,7 +380,8 @@
 		}
 		if cl.unansweredSince > 0 && cl.world.now-cl.unansweredSince > maxEchoDelay+4*interval && !cl.silenceRecorded {
 			cl.silenceRecorded = true
-			cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.CloseDelayed, Host: -1, Text: "silent", Value: cl.world.now - cl.unansweredSince})
+			cl.flow.AddEvent(record.Event{At: cl.world.now, Kind: record.CloseDelayed, Host: -1, Text: "silent",
+				Value: cl.world.now - cl.unansweredSince})
 		}
 		if cl.unansweredSince == 0 {
 			cl.unansweredSince = cl.world.now
--- a/rehearsal/fleet/conn.go
+++ b/rehearsal/fleet/conn.go
@@ -105,7 +105,8 @@
 
 // openToNode opens a connection from a peer to a node. The peer is notified through connected or closed.
 func (w *World) openToNode(p peer, node int, address netip.Addr) *Conn {
-	c := &Conn{Node: node, Host: -1, FromClient: true, peer: p, ClientAddress: netip.AddrPortFrom(address, 0), path: path{node, noZone}, nodeStarts: w.nodes[node].starts}
+	c := &Conn{Node: node, Host: -1, FromClient: true, peer: p, ClientAddress: netip.AddrPortFrom(address, 0),
+		path: path{node, noZone}, nodeStarts: w.nodes[node].starts}
 	w.requestConnection(c, p)
 	return c
 }
--- a/rehearsal/fleet/discovery.go
+++ b/rehearsal/fleet/discovery.go
@@ -164,7 +164,8 @@
 	sub.sentRevision, sub.lastSentAt = int64(len(d.journal)), d.world.now
 	text := d.world.listJSON(sub.conn.Node, sub.sentRevision, entries, all) + "\n"
 	revision := sub.sentRevision
-	d.world.sendToNode(sub.conn, fmt.Sprintf("%x\r\n%s\r\n", len(text), text), func() { d.world.applyList(sub.conn.Node, revision, entries, all) })
+	d.world.sendToNode(sub.conn, fmt.Sprintf("%x\r\n%s\r\n", len(text), text),
+		func() { d.world.applyList(sub.conn.Node, revision, entries, all) })
 }
 
 // sendUpdates sends changes, or a heartbeat, to all subscribers.
--- a/rehearsal/fleet/host_conn.go
+++ b/rehearsal/fleet/host_conn.go
@@ -56,7 +56,8 @@
 		h.echo(hc, text)
 	case text == "PING", text == "STATS" && h.world.script.Node.HostsReportLoad:
 		h.world.run.Counts.Probes++
-		h.pushJob(&setupJob{conn: hc, receivedAt: h.world.now, work: float64(h.world.script.Fleet.ProbeWork), isProbe: true, wantsReport: text == "STATS"})
+		h.pushJob(&setupJob{conn: hc, receivedAt: h.world.now, work: float64(h.world.script.Fleet.ProbeWork),
+			isProbe: true, wantsReport: text == "STATS"})
 	case strings.HasPrefix(text, "OPEN ") && hc.flow != nil && hc.job == nil:
 		h.receiveOpen(hc, line)
 	default:
--- a/rehearsal/fleet/node_config.go
+++ b/rehearsal/fleet/node_config.go
@@ -38,7 +38,8 @@
 		admission.Rate, admission.Burst = 0, 0
 	}
 	c.JSON = fmt.Sprintf(`{"name":%q,%s"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"admission":{"per_address":%d,"rate":%g,"burst":%g,"reserve":%d},"holding":{"buffers":%d,"idle_ms":%d,"stalled_ms":%d},"known":%s,"settings":%s}`,
-		c.Name, w.adminJSON(n.index)+w.clusterJSON(n.index), c.Listen, c.Discovery, c.Seed>>1, w.script.Node.MemoryMB, w.script.Node.Sockets, admission.PerAddress, admission.Rate, admission.Burst, admission.Reserve,
+		c.Name, w.adminJSON(n.index)+w.clusterJSON(n.index), c.Listen, c.Discovery, c.Seed>>1, w.script.Node.MemoryMB,
+		w.script.Node.Sockets, admission.PerAddress, admission.Rate, admission.Burst, admission.Reserve,
 		w.script.Node.Holding.Buffers, w.script.Node.Holding.Idle/1000, w.script.Node.Holding.Stalled/1000,
 		c.KnownHosts, c.Settings)
 	return c
@@ -69,7 +70,8 @@
 func (w *World) limitsJSON() string {
 	var all []string
 	for _, l := range w.script.FleetLimits() {
-		all = append(all, fmt.Sprintf(`{"over":%q,"of":%q,"rate":%g,"burst":%g,"at_once":%d,"promise":%q}`, l.Over, l.Of, l.Rate, l.Burst, l.AtOnce, l.Promise))
+		all = append(all, fmt.Sprintf(`{"over":%q,"of":%q,"rate":%g,"burst":%g,"at_once":%d,"promise":%q}`, l.Over,
+			l.Of, l.Rate, l.Burst, l.AtOnce, l.Promise))
 	}
 	if all == nil {
 		return ""
@@ -102,6 +104,8 @@
 		`"Obligations":{"AskWithinMs":%d,"ColdFrom":%g,"ColdMs":%g,"FallMs":%g,"FallMultiple":%g},"ServiceTypes":[%s],"LoadReport":{"How":%q,"Names":["waiting","x0"]},`+
 		`"Specifics":{"Groups":%t,"Mode":"proxy","MessageAimMs":[%s],"TellsDelay":false}}`,
 		len(w.nodes), n.index, n.zone, strings.Join(zones, ","), s.Node.MaxConnects, float64(s.Node.MaxRetryAfter)/1000, s.Node.Probing,
-		s.Node.MaxRetryAfter > 0, float64(s.Node.DialTimeout)/1000, askDiscoveryWithin/1000, s.Fleet.ColdFrom, float64(s.Fleet.ColdTime)/1000, float64(s.Fleet.FallAfter)/1000, s.Fleet.FallMultiple,
-		strings.Join(types, ","), map[bool]string{false: "silent", true: "pull"}[s.Node.HostsReportLoad], s.Fleet.Groups > 0, strings.Join(messageAims, ","))
+		s.Node.MaxRetryAfter > 0, float64(s.Node.DialTimeout)/1000, askDiscoveryWithin/1000, s.Fleet.ColdFrom,
+		float64(s.Fleet.ColdTime)/1000, float64(s.Fleet.FallAfter)/1000, s.Fleet.FallMultiple,
+		strings.Join(types, ","), map[bool]string{false: "silent", true: "pull"}[s.Node.HostsReportLoad],
+		s.Fleet.Groups > 0, strings.Join(messageAims, ","))
 }
--- a/rehearsal/fleet/world.go
+++ b/rehearsal/fleet/world.go
@@ -22,7 +22,7 @@
 	ClusterLinks func(node int) (listen string, others []string) // addresses of a node's links with the other nodes; nil if they have none
 	Discovery    func(node, which int) string                    // the two addresses of discovery; a reload switches between them
 	Epoch        int64                                           // time of day at the start, in microseconds since 1970
-	LeadTime     int64                                           // time for the nodes to start before the run, in microseconds; a multiple of 100 ms
+	LeadTime     int64                                           // microseconds that nodes get to start before the run; a multiple of 100 ms
 }
 
 // World is one rehearsal with everything around its nodes.
@@ -68,13 +68,17 @@
 func New(s *scenario.Script, seed uint64, player NodePlayer, environment Environment) *World {
 	w := &World{script: s, player: player, environment: environment, seed: seed, epoch: environment.Epoch, hostByAddress: map[string]*host{},
 		flowByID: map[string]*record.Flow{}, clientByFlowID: map[string]*client{}, zoneLinks: make([]zoneLink, len(s.Zones)),
-		now: -environment.LeadTime, nodesByZone: make([][]*nodeState, len(s.Zones)), demandByType: make([]float64, len(s.Types)), storeSlowdown: 1}
+		now: -environment.LeadTime, nodesByZone: make([][]*nodeState, len(s.Zones)),
+		demandByType: make([]float64, len(s.Types)), storeSlowdown: 1}
 	w.networkRand, w.badClientRand, w.demandRand = w.newRand(randNetwork), w.newRand(randBadClients), w.newRand(randDemand)
 	w.linkRand = w.newRand(randLinks)
-	w.run = &record.Run{Script: s.Name, Seed: seed, Length: s.Length.Microseconds(), DrainGrace: s.Node.DrainGrace.Microseconds(), CollapseMultiple: s.Fleet.FallMultiple}
+	w.run = &record.Run{Script: s.Name, Seed: seed, Length: s.Length.Microseconds(),
+		DrainGrace: s.Node.DrainGrace.Microseconds(), CollapseMultiple: s.Fleet.FallMultiple}
 	for _, t := range s.Types {
-		w.run.Types = append(w.run.Types, record.ServiceType{Name: t.Name, SetupTarget: t.SetupTarget.Microseconds(), ConnectTimeout: t.ConnectTimeout.Microseconds(),
-			MessageTarget: t.MessageTarget.Microseconds(), Benefit: t.Benefit, Effect: t.Effect, Scope: t.Scope, Window: t.Window.Microseconds()})
+		w.run.Types = append(w.run.Types, record.ServiceType{Name: t.Name, SetupTarget: t.SetupTarget.Microseconds(),
+			ConnectTimeout: t.ConnectTimeout.Microseconds(),
+			MessageTarget:  t.MessageTarget.Microseconds(), Benefit: t.Benefit, Effect: t.Effect,
+			Scope: t.Scope, Window: t.Window.Microseconds()})
 	}
 	shares := 0.0
 	for _, t := range s.Types {
@@ -84,7 +88,8 @@
 	w.meanLoad /= shares
 	w.makeHosts()
 	w.makeNodes()
-	w.discovery = &discovery{world: w, random: w.newRand(randDiscovery), entries: make([]hostEntry, len(w.hosts)), addresses: map[string]bool{}}
+	w.discovery = &discovery{world: w, random: w.newRand(randDiscovery), entries: make([]hostEntry, len(w.hosts)),
+		addresses: map[string]bool{}}
 	for n := range w.nodes {
 		w.discovery.addresses[environment.Discovery(n, 0)], w.discovery.addresses[environment.Discovery(n, 1)] = true, true
 	}
@@ -197,7 +202,8 @@
 		w.currentSecond.Requested[t] += w.demandByType[t] * serviceType.Benefit * tickSeconds
 		for _, h := range w.hosts {
 			if h.clientsByType[t] > 0 {
-				w.currentSecond.Served[t] += h.clientsByType[t] * serviceType.Benefit * tickSeconds * h.messageQuality(serviceType.MessageTarget.Microseconds())
+				w.currentSecond.Served[t] += h.clientsByType[t] * serviceType.Benefit * tickSeconds *
+					h.messageQuality(serviceType.MessageTarget.Microseconds())
 			}
 		}
 	}
--- a/rehearsal/live/cluster_test.go
+++ b/rehearsal/live/cluster_test.go
@@ -157,7 +157,8 @@
 		if m["cluster_linked"] != 4 {
 			t.Errorf("n-%d is linked with %v other nodes at the end", no, m["cluster_linked"])
 		}
-		if m["cluster_dropped.bent"]+m["cluster_dropped.short"]+m["cluster_dropped.foreign"]+m["cluster_dropped.version"] == 0 || m["cluster_dropped.replayed"] == 0 {
+		corrupted := m["cluster_dropped.bent"] + m["cluster_dropped.short"] + m["cluster_dropped.foreign"]
+		if corrupted+m["cluster_dropped.version"] == 0 || m["cluster_dropped.replayed"] == 0 {
 			t.Errorf("n-%d dropped no datagrams as corrupted or replayed: %v", no, m)
 		}
 	}); n < 5 {
@@ -171,7 +172,8 @@
 func TestHostLossAndMassReconnect(t *testing.T) {
 	// Live runs serve 0.50 to 0.69 and 0.42 to 0.60 of the best, without grants for cold hosts 0.62 to 0.73 and 0.60 to
 	// 0.74.
-	r, w := playOverload(t, 6, []minServed{{21, 27, 0.35}, {31, 36, 0.35}}, "nodes.0.count=1", "nodes.1.count=2", "nodes.2.count=3", "demand.skew={north=1.0,port=0.4,town=0.6}",
+	r, w := playOverload(t, 6, []minServed{{21, 27, 0.35}, {31, 36, 0.35}}, "nodes.0.count=1", "nodes.1.count=2",
+		"nodes.2.count=3", "demand.skew={north=1.0,port=0.4,town=0.6}",
 		"length=\"36s\"", `cluster.limits=[{over="cold",promise="strict"}]`, `faults=[{at="14s",kind="link_mute",nodes=["n-2"],for="5s"},{at="20s",kind="crash",count=4,for="3s"},
 		{at="28s",kind="reconnect",size=1.0,for="1s"}]`)
 	if n := w.eachNode(18, func(no int, m map[string]float64) {
--- a/rehearsal/live/limits_test.go
+++ b/rehearsal/live/limits_test.go
@@ -68,5 +68,6 @@
 	if most > 0 || used && len(all) < 150 {
 		t.Errorf("%s: %d flows admitted, excess %.1f", where, len(all), most)
 	}
-	t.Logf("%s: %d concurrent flows of a type of %d; %d admitted in 20 s, excess %.1f in the worst interval", where, views, viewLimit, len(all), most)
+	t.Logf("%s: %d concurrent flows of a type of %d; %d admitted in 20 s, excess %.1f in the worst interval", where,
+		views, viewLimit, len(all), most)
 }
--- a/rehearsal/live/live_test.go
+++ b/rehearsal/live/live_test.go
@@ -257,7 +257,8 @@
 		})
 		both[i] = &process{cmd: spins}
 	}
-	for end := time.Now().Add(10 * time.Second); both[0].cpuWait() < 50*time.Millisecond || both[1].cpuWait() < 50*time.Millisecond; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); both[0].cpuWait() < 50*time.Millisecond ||
+		both[1].cpuWait() < 50*time.Millisecond; time.Sleep(time.Millisecond) {
 		for _, p := range both { // in each iteration: a thread may be created just while the others are set
 			threads, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", p.cmd.Process.Pid))
 			for _, thread := range threads {
--- a/rehearsal/scenario/fault_kinds.go
+++ b/rehearsal/scenario/fault_kinds.go
@@ -30,7 +30,7 @@
 	"silent":    {targetsHosts, "", 0, 0, true},  // the machine does not respond for the duration, then restarts cold
 	"pause":     {targetsHosts, "", 0, 0, true},  // does no work for the duration
 	"slow":      {targetsHosts, "factor of the slowdown", 1, 1000, true},
-	"neighbour": {targetsHosts, "share of the machine taken", 0.01, 0.99, true}, // another program uses the machine, alternating if Fault.Interval is set
+	"neighbour": {targetsHosts, "share of the machine taken", 0.01, 0.99, true}, // by another program; alternates if Fault.Interval is set
 	"errors":    {targetsHosts, "share of set-ups answered ERR", 0.001, 1, true},
 	"drain":     {targetsHosts, "", 0, 0, true},  // drains for the duration, then stops
 	"restart":   {targetsHosts, "", 0, 0, true},  // drains for the duration, then restarts cold; one host after another, Fault.Step apart
@@ -42,8 +42,8 @@
 	"node_stop":   {targetsNodes, "", 0, 0, true},  // asked to stop by SIGTERM, and restarted the duration after its end
 	"node_reload": {targetsNodes, "", 0, 0, false}, // reads its configuration again
 	"node_starve": {targetsNodes, "share of its core taken", 0.01, 0.999, true},
-	"node_pause":  {targetsNodes, "", 0, 0, true},                                          // suspended for the duration, then continues with its old state
-	"node_twin":   {targetsNodes, "", 0, 0, true},                                          // a second process under the same name runs for the duration; it serves no clients
+	"node_pause":  {targetsNodes, "", 0, 0, true},                                          // suspended, then continues with its old state
+	"node_twin":   {targetsNodes, "", 0, 0, true},                                          // a second process of the same name, without clients
 	"node_clock":  {targetsNodes, "seconds that its clock jumps by", -86400, 86400, false}, // in virtual time only
 	"node_rate":   {targetsNodes, "factor of the speed of its clock", 0.5, 2, true},        // in virtual time only
 
--- a/rehearsal/scenario/flows.go
+++ b/rehearsal/scenario/flows.go
@@ -20,7 +20,8 @@
 	fmt.Fprintln(w, flowsHeader)
 	for _, client := range all {
 		group := cmp.Or(client.Group, "-")
-		fmt.Fprintf(w, "%d %s %s %s %s %s %d\n", client.At, s.Types[client.Type].Name, s.Zones[client.Zone], group, client.Key, formatLoads(client.Loads), client.Life)
+		fmt.Fprintf(w, "%d %s %s %s %s %s %d\n", client.At, s.Types[client.Type].Name, s.Zones[client.Zone], group,
+			client.Key, formatLoads(client.Loads), client.Life)
 	}
 	return w.Flush()
 }
--- a/rehearsal/scenario/scenario_test.go
+++ b/rehearsal/scenario/scenario_test.go
@@ -111,7 +111,8 @@
 		return Parse(filepath.Join(dir, "s.toml"), []byte(text))
 	}
 	got, err := write(b.String())
-	if err != nil || len(got.RecordedClients) != 2 || got.RecordedClients[0].Loads[1] != all[0].Loads[1] || got.RecordedClients[1].Group != "g1" {
+	if err != nil || len(got.RecordedClients) != 2 || got.RecordedClients[0].Loads[1] != all[0].Loads[1] ||
+		got.RecordedClients[1].Group != "g1" {
 		t.Fatalf("error %v, script %+v: the flows are not those written", err, got)
 	}
 	for _, bad := range []string{"1 t a - k 1", "x t a - k 1 1", "1 u a - k 1 1", "1 t z - k 1 1", "1 t a - k 0 1",
--- a/rehearsal/trial/sweep_test.go
+++ b/rehearsal/trial/sweep_test.go
@@ -23,10 +23,13 @@
 	for i, share := range []float64{0, 0.85, 0.85} {
 		factor := linked[i].DemandFactor
 		if linked[i].Goodput < min(share*peak, 0.9*factor) || alone[i].Goodput < min(0.6*peak, 0.8*factor) {
-			t.Errorf("%g times the demand: goodput %.2f with links, %.2f without, of a peak of %.2f", factor, linked[i].Goodput, alone[i].Goodput, peak)
+			t.Errorf("%g times the demand: goodput %.2f with links, %.2f without, of a peak of %.2f", factor,
+				linked[i].Goodput, alone[i].Goodput, peak)
 		}
-		if calm := linked[0].ProbesPerSecond; linked[i].ProbesPerSecond > min(1.1*calm, maxProbes) || linked[i].ConnectsPerFlow > 1.1 || linked[i].Breaches+alone[i].Breaches > 0 {
-			t.Errorf("%g times the demand: %.1f probes a second (%.1f at twice), %.2f connects a flow, %d rules broken", factor, linked[i].ProbesPerSecond, calm,
+		if calm := linked[0].ProbesPerSecond; linked[i].ProbesPerSecond > min(1.1*calm, maxProbes) ||
+			linked[i].ConnectsPerFlow > 1.1 || linked[i].Breaches+alone[i].Breaches > 0 {
+			t.Errorf("%g times the demand: %.1f probes a second (%.1f at twice), %.2f connects a flow, %d rules broken",
+				factor, linked[i].ProbesPerSecond, calm,
 				linked[i].ConnectsPerFlow, linked[i].Breaches+alone[i].Breaches)
 		}
 	}
--- a/rehearsal/virtual/bytes_test.go
+++ b/rehearsal/virtual/bytes_test.go
@@ -31,7 +31,8 @@
 	for _, n := range []int{12, 60} {
 		var got [2]float64
 		for i, limits := range []string{"", tenLimits} {
-			s, err := scenario.LoadWithOverrides("fleet-overload", []string{"cluster.on=true", fmt.Sprintf("length=\"%ds\"", seconds), "demand.rate=5",
+			s, err := scenario.LoadWithOverrides("fleet-overload", []string{"cluster.on=true",
+				fmt.Sprintf("length=\"%ds\"", seconds), "demand.rate=5",
 				fmt.Sprintf(`nodes=[{count=%d,zone="port"}]`, n), "cluster.limits=[" + limits + "]"})
 			if err != nil {
 				t.Fatal(err)
--- a/rehearsal/virtual/cluster_test.go
+++ b/rehearsal/virtual/cluster_test.go
@@ -81,7 +81,8 @@
 	}
 	best, got := 0.0, 0.0
 	for seed := range 3 {
-		r := playOverload(t, fmt.Sprintf("seed=%d", seed+1), "demand.rate=7.5", `faults=[{at="30s",kind="crash",hosts=["h-8","h-9","h-10","h-11"]}]`)
+		r := playOverload(t, fmt.Sprintf("seed=%d", seed+1), "demand.rate=7.5",
+			`faults=[{at="30s",kind="crash",hosts=["h-8","h-9","h-10","h-11"]}]`)
 		for _, sec := range r.Seconds[40:60] {
 			wanted := make([]float64, len(s.Types))
 			for i, k := range s.Types {
--- a/rehearsal/virtual/limits_test.go
+++ b/rehearsal/virtual/limits_test.go
@@ -99,7 +99,8 @@
 func TestLateListCostsLess(t *testing.T) {
 	failedConnects := func(changes ...string) (n int) {
 		for seed := range 16 {
-			n += playChecked(t, "fleet-overload", append([]string{"discovery.notice=\"8s\"", "demand.rate=20", "demand.life=\"3s\"", "length=\"40s\"",
+			n += playChecked(t, "fleet-overload", append([]string{"discovery.notice=\"8s\"", "demand.rate=20",
+				"demand.life=\"3s\"", "length=\"40s\"",
 				fmt.Sprintf("seed=%d", seed+1), `faults=[{at="20s",kind="crash",hosts=["h-0","h-4"]}]`}, changes...)...).Counts.FailedConnects
 		}
 		return n
@@ -115,7 +116,8 @@
 // also while their links are split in three.
 func TestStrictLimitWithManyNodes(t *testing.T) {
 	const nodes = 70
-	all := establishedTimes(playLoop(t, nodes, "cluster.strict=true", "length=\"13s\"", `demand.loops=[{at="5s",for="8s",count=16,one_address=true}]`,
+	all := establishedTimes(playLoop(t, nodes, "cluster.strict=true", "length=\"13s\"",
+		`demand.loops=[{at="5s",for="8s",count=16,one_address=true}]`,
 		`faults=[{at="8s",kind="link_split",parts=3,for="2s"}]`))
 	l := limits.Limit{Rate: 20, Burst: 10, Strict: true}
 	if most := maxExcess(all, l, nodes, 60_000); most > 0 {
--- a/rehearsal/virtual/suspensions_test.go
+++ b/rehearsal/virtual/suspensions_test.go
@@ -23,7 +23,8 @@
 // playSuspensions plays twelve nodes in three zones, with hosts that have capacity to spare, and returns the suspensions.
 func playSuspensions(t *testing.T, seed int, changes ...string) (r *record.Run, all []suspension) {
 	t.Helper()
-	s, err := scenario.LoadWithOverrides("fleet-overload", append([]string{"cluster.on=true", "demand.rate=20", "demand.life=\"3s\"", "length=\"45s\"",
+	s, err := scenario.LoadWithOverrides("fleet-overload", append([]string{"cluster.on=true", "demand.rate=20",
+		"demand.life=\"3s\"", "length=\"45s\"",
 		fmt.Sprintf("seed=%d", seed)}, changes...))
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +64,8 @@
 	if len(took) < 8*2*6 || took[len(took)-1] > bound {
 		t.Errorf("%d suspensions, the last not within %d ms of the failure", len(took), bound/1000)
 	}
-	t.Logf("%d of %d suspensions: p50 %d ms, p99 %d ms, worst %d ms after a host died", len(took), 8*2*12, took[len(took)/2]/1000, took[len(took)*99/100]/1000, took[len(took)-1]/1000)
+	t.Logf("%d of %d suspensions: p50 %d ms, p99 %d ms, worst %d ms after a host died", len(took), 8*2*12,
+		took[len(took)/2]/1000, took[len(took)*99/100]/1000, took[len(took)-1]/1000)
 }
 
 // TestNoFalseSuspensions checks that no node suspends a host that is healthy for it because one node or a third of them is
@@ -81,7 +83,8 @@
 			for _, v := range all {
 				host, zone := 0, v.node/4
 				fmt.Sscanf(v.host, "h-%d", &host)
-				if near := r.Hosts[host].Zone == zone; c.name != "one zone cut off" && c.name != "one zone's network slow" || near || zone != 0 && r.Hosts[host].Zone != 0 {
+				if near := r.Hosts[host].Zone == zone; c.name != "one zone cut off" &&
+					c.name != "one zone's network slow" || near || zone != 0 && r.Hosts[host].Zone != 0 {
 					t.Errorf("%s, seed %d: n-%d suspended %s as %s at %.2f s", c.name, seed+1, v.node, v.host, v.reasons, float64(v.at)/1e6)
 				}
 			}
--- a/rehearsal/virtual/virtual_test.go
+++ b/rehearsal/virtual/virtual_test.go
@@ -225,7 +225,8 @@
 func TestPerAddressLimits(t *testing.T) {
 	limited := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`)
 	unlimited := playChecked(t, "one-address", `demand.loops=[{at="3s",for="2s",count=120,one_address=true}]`, "node.admission={}")
-	if c, o := limited.Summarize(), unlimited.Summarize(); c.Service < 0.99 || c.LateShare[0] > 0.01 || c.Answers["none"] > 0 || o.Service > c.Service {
+	if c, o := limited.Summarize(), unlimited.Summarize(); c.Service < 0.99 || c.LateShare[0] > 0.01 ||
+		c.Answers["none"] > 0 || o.Service > c.Service {
 		t.Errorf("service %.3f with limits, %.3f without; late %.3f; answers %v", c.Service, o.Service, c.LateShare[0], c.Answers)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -104,7 +104,7 @@
 type Settings struct {
 	balance.Settings
 	HostsReportLoad    bool           // hosts report their load, at least in answers to probes
-	LoadReportIndex    int            // index of the value in a load report that is used: load over capacity, or how busy the cores are; -1 for none
+	LoadReportIndex    int            // index of the value used of a load report: load over capacity, or core usage; -1 for none
 	PassThrough        bool           // packets pass through and connections do not end at the node
 	ServiceTypeIndex   map[string]int // index of each service type by its name
 	ZoneIndex          map[string]int // index of each zone by its name
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -37,7 +37,8 @@
 	if err != nil || !reflect.DeepEqual(a, b) {
 		t.Fatalf("%+v\n%+v\n%v", a, b, err)
 	}
-	if b.MaxConnectTimeout != 3_200_000 || b.Types[1].MessageTarget != 50_500 || b.ZoneIndex["b_c"] != 1 || b.MaxRetryAfter != 0 || b.FallTime != 2_500_000 {
+	if b.MaxConnectTimeout != 3_200_000 || b.Types[1].MessageTarget != 50_500 || b.ZoneIndex["b_c"] != 1 ||
+		b.MaxRetryAfter != 0 || b.FallTime != 2_500_000 {
 		t.Fatalf("%+v", b)
 	}
 }
--- a/simwire/adapter_test.go
+++ b/simwire/adapter_test.go
@@ -72,7 +72,8 @@
 // nodes.
 func TestInvalidReportsAndMessagesAreIgnored(t *testing.T) {
 	peerMessages := strings.Replace(configuredBatch, "UnheardOf=1", "LoadReport.How=pull\tLoadReport.Names=waiting,x0\tLimits.Peers=true", 1)
-	for usage, published := range map[string]bool{"3,.95": true, "3,1e9": true, "3,.5": false, "3": false, "-": false, "3,-2": false, "3,NaN": false} {
+	for usage, published := range map[string]bool{"3,.95": true, "3,1e9": true, "3,.5": false, "3": false, "-": false,
+		"3,-2": false, "3,NaN": false} {
 		in := peerMessages + "mark\t1200\nat\t2\nprobed\t10.0.0.1:70\tcompleted\t1\t" + usage + "\n"
 		for _, memo := range []string{"-", "!", "AQ==", "/////w==", strings.Repeat("AQEB", 100), strings.Repeat("AQEB", 4)} {
 			in += "whisper\t99\t" + memo + "\n"
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -275,7 +275,8 @@
 // newFlow returns a flow of a service type, which is limited to the configured types.
 func (d *Adapter) newFlow(id string, serviceType int) *balance.Flow {
 	serviceType = min(max(serviceType, 0), len(d.current.settings.Types)-1)
-	return &balance.Flow{Type: &d.current.settings.Types[serviceType], TypeIndex: serviceType, Passthrough: d.current.settings.PassThrough, Ref: &flowState{id: id}}
+	return &balance.Flow{Type: &d.current.settings.Types[serviceType], TypeIndex: serviceType,
+		Passthrough: d.current.settings.PassThrough, Ref: &flowState{id: id}}
 }
 
 // groupByShortHash returns the group with the hash that peer messages use, and creates it on first use.
