--- a/cluster/members/members_test.go
+++ b/cluster/members/members_test.go
@@ -32,7 +32,7 @@
 	p        []byte
 }
 
-// newTestNetwork starts so many nodes that all hear each other.
+// newTestNetwork starts so many nodes that all reach each other.
 func newTestNetwork(t *testing.T, nodes int, seed int64) *testNetwork {
 	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, nodes),
 		isCut: func(int, int) bool { return false }}
@@ -163,9 +163,9 @@
 	n.wantState(0, 2, Left)
 }
 
-// TestPausedOrLateNodeMarksNobodyLost guards against a node that was stopped, or is late, taking the others for lost for
+// TestPausedOrLateNodeMarksNoNodeLost guards against a node that was stopped, or is late, taking the others for lost for
 // that reason.
-func TestPausedOrLateNodeMarksNobodyLost(t *testing.T) {
+func TestPausedOrLateNodeMarksNoNodeLost(t *testing.T) {
 	n := newTestNetwork(t, 3, 1)
 	n.run(1)
 	n.run(5, 0)
--- a/cluster/overload/overload_test.go
+++ b/cluster/overload/overload_test.go
@@ -189,9 +189,9 @@
 	}
 }
 
-// TestLateNodeLearnsAndTellsNothing guards against a node whose own loop is late taking its lateness for that of hosts, or
+// TestLateNodeLearnsAndReportsNothing guards against a node whose own loop is late taking its lateness for that of hosts, or
 // reporting it to other nodes.
-func TestLateNodeLearnsAndTellsNothing(t *testing.T) {
+func TestLateNodeLearnsAndReportsNothing(t *testing.T) {
 	n := newTestNode(2, 2)
 	n.control.SetLate(true)
 	for range 50 {
--- a/cmd/coursewinch/main_test.go
+++ b/cmd/coursewinch/main_test.go
@@ -444,7 +444,7 @@
 
 // Clients and operators are served although a hundred clients connect and send nothing, and a hundred operators'
 // connections send half a request.
-func TestSilentConnectionsBlockNobody(t *testing.T) {
+func TestSilentConnectionsBlockNoOtherClients(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	l := listText(5, "ready", h)
 	p := startNodeWithAdmin(t, newDiscovery(t, l), l, 104, "")
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -178,7 +178,7 @@
 }
 
 // While a node gets little processor time, slow set-ups take no host out of use. Once it gets its core back, they do.
-func TestStarvedNodeBlamesNoHost(t *testing.T) {
+func TestStarvedNodeChargesNoHost(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
 	number := 0
 	serve := func(flows int, late, took int64) {
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -182,7 +182,7 @@
 	}
 }
 
-// A flow whose time is over before the limit's answer comes has not reached a host, so its client is told to retry.
+// A flow whose time is over before the limit's answer comes has not reached a host, so its client is asked to retry.
 func TestNoLimitAnswerInTime(t *testing.T) {
 	n, net := newCutOffNode(concurrentLimit(OverType, "", 8))
 	id := net.openClient("OPEN 1 2 c=chat,d=100\r\n")
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -542,7 +542,7 @@
 }
 
 // A node without descriptors sends nothing, and what it did not send must not count against hosts.
-func TestNoDescriptorSaysNothingAboutHosts(t *testing.T) {
+func TestFailureForWantOfDescriptorsDoesNotCountAgainstHosts(t *testing.T) {
 	n, net := newNode(2)
 	c := net.openClient(openLine)
 	net.room = 0
--- a/node/watch_test.go
+++ b/node/watch_test.go
@@ -394,7 +394,7 @@
 
 // A connect or call that fails because the system has no descriptor left is repeated after an idle client has been
 // shed. It does not count against the host or discovery.
-func TestNoDescriptorBlamesNobody(t *testing.T) {
+func TestFailureForWantOfDescriptorsIsRetried(t *testing.T) {
 	n, net := newNode(1)
 	net.openClient("PING\r\n")
 	idle := net.openClient("PING\r\n")
--- a/rehearsal/scenario/fault_kinds.go
+++ b/rehearsal/scenario/fault_kinds.go
@@ -43,7 +43,7 @@
 	"node_reload": {targetsNodes, "", 0, 0, false}, // reads its configuration again
 	"node_starve": {targetsNodes, "share of its core taken", 0.01, 0.999, true},
 	"node_pause":  {targetsNodes, "", 0, 0, true},                                          // suspended, then continues with its old state
-	"node_twin":   {targetsNodes, "", 0, 0, true},                                          // a second process of the same name, without clients
+	"node_twin":   {targetsNodes, "", 0, 0, true},                                          // a second process of the name, without clients
 	"node_clock":  {targetsNodes, "seconds that its clock jumps by", -86400, 86400, false}, // in virtual time only
 	"node_rate":   {targetsNodes, "factor of the speed of its clock", 0.5, 2, true},        // in virtual time only
 
--- a/rehearsal/scenario/scenario.go
+++ b/rehearsal/scenario/scenario.go
@@ -63,7 +63,7 @@
 	QueuePerCore       float64  `toml:"queue_per_core"` // set-ups that wait
 	ColdFrom           float64  `toml:"cold_from"`      // share of its capacity that a host has at its start
 	ColdTime           Duration `toml:"cold_time"`      // time from its start until it has its whole capacity
-	FallMultiple       float64  `toml:"fall_multiple"`  // a cold host that is sent more than this multiple of what it can handle falls over and stays down
+	FallMultiple       float64  `toml:"fall_multiple"`  // times what a cold host can handle: sent more, it falls over and stays down
 	FallAfter          Duration `toml:"fall_after"`     // time over which that is counted
 	FallRoots          float64  `toml:"fall_roots"`     // times the square root of the limit: allowed in addition, for random variation
 	GroupCost          float64  `toml:"group_cost"`     // load that a group costs each host with any of its flows
