--- a/node/capture.go
+++ b/node/capture.go
@@ -46,7 +46,9 @@
 		return
 	}
 	record.answered = true
-	record.flow.Answer, record.flow.AnswerTime, record.flow.Connects = answer, n.now-record.flow.At, f.Connects
+	record.flow.Answer = answer
+	record.flow.AnswerTime = n.now - record.flow.At
+	record.flow.Connects = f.Connects
 	if f.host != nil {
 		record.flow.Host = f.host.uid
 	}
@@ -68,14 +70,15 @@
 }
 
 // countLines counts the lines of a chunk passed up to the host or down to the client.
-func (s *captureRecord) countLines(up bool, chunk []byte) {
-	if s == nil {
+func (r *captureRecord) countLines(up bool, chunk []byte) {
+	if r == nil {
 		return
 	}
-	if n := bytes.Count(chunk, []byte("\n")); up {
-		s.end.LinesUp += n
+	count := bytes.Count(chunk, []byte("\n"))
+	if up {
+		r.end.LinesUp += count
 	} else {
-		s.end.LinesDown += n
+		r.end.LinesDown += count
 	}
 }
 
@@ -87,8 +90,8 @@
 }
 
 // setEnd sets how the flow ended.
-func (s *captureRecord) setEnd(how byte) {
-	if s != nil {
-		s.end.Outcome = how
+func (r *captureRecord) setEnd(how byte) {
+	if r != nil {
+		r.end.Outcome = how
 	}
 }
--- a/node/cold.go
+++ b/node/cold.go
@@ -13,7 +13,7 @@
 // So a part is used either by the owner or by the node, never by both at once.
 const (
 	coldBaseShare   = 0.50
-	coldLentShare   = 0.35 // the share by which package overload estimates where a node has no messages
+	coldLentShare   = 0.35 // the share that a node sends by its own estimate: coldRateShare of package overload
 	coldBurst       = 2    // flows
 	maxColdRequests = 3    // hosts for which one flow requests a grant
 )
@@ -51,8 +51,8 @@
 	return limits.Limit{Strict: true}
 }
 
-// awaitsColdGrant requests a grant for a cold host for which this node has none, and reports whether the flow waits for it.
-func (n *Node) awaitsColdGrant(f *flow, limit *localLimit) bool {
+// requestColdGrant requests a grant for a cold host for which this node has none, and reports whether the flow waits for it.
+func (n *Node) requestColdGrant(f *flow, limit *localLimit) bool {
 	if len(limit.coldHosts) == 0 {
 		return false
 	}
--- a/node/conns.go
+++ b/node/conns.go
@@ -179,13 +179,15 @@
 }
 
 // redial repeats a dial that failed for want of a descriptor, of the system or of the process, after shedding a connection.
-// When it gives up, neither the host nor discovery is charged with the failure. It reports whether it handled the failure.
+// When it gives up on a connect or a probe, the failure does not count against the host. It reports whether it has handled
+// the failure; otherwise, for a call to discovery that it gives up on, the caller has to.
 func (n *Node) redial(c *conn) bool {
 	to := c.discoveryAddr
 	if c.host != nil {
 		to = c.host.addr
 	}
-	if c.redials++; c.redials > maxRedials || !n.shedOne() {
+	c.redials++
+	if c.redials > maxRedials || !n.shedOne() {
 		if c.role == roleUpstream {
 			n.connectFailed(c.flow, errNoDescriptor)
 			return true
@@ -276,7 +278,7 @@
 }
 
 // logThrottled writes a log line that others can cause, at most one per second and kind, with a count of the lines left
-// out. This keeps the loop from blocking on its log.
+// out. Lines of further kinds than maxLogKinds are dropped. This keeps the loop from blocking on its log.
 func (n *Node) logThrottled(msg, why string) {
 	kind := n.logKinds[msg+why]
 	if kind == nil {
--- a/node/counts.go
+++ b/node/counts.go
@@ -10,30 +10,30 @@
 
 // Counters count what a node has done since its start. Answers are counted apart from them, by service type; see Tally.
 type Counters struct {
-	Accepted       int   // clients' connections
-	Requests       int   // requests parsed
-	Rejoined       int   // flows that rejoined the host of their earlier connection
+	Accepted       int   // clients' connections accepted
+	Requests       int   // valid requests for a known service type
+	Rejoined       int   // requests to go back to the host of an earlier connection
 	Connects       int   // connects dialled
 	RequestsSent   int   // requests sent to hosts in full
 	ClientsLeft    int   // clients that left before their answer
-	BadLines       int   // clients' lines rejected, and clients that sent none in time
+	BadLines       int   // clients' lines rejected, and clients that sent no whole line in time
 	NoDescriptor   int   // requests answered BUSY for want of descriptors
-	Shed           int   // idle clients closed to free descriptors or buffers
+	Shed           int   // connections without a flow closed to free descriptors or buffers
 	Completed      int   // flows that their host ended with BYE
-	Severed        int   // flows that broke
+	Severed        int   // flows whose host went silent, or closed or broke the connection without BYE or MOVE
 	Moves          int   // clients asked to reconnect
 	SilentHosts    int   // flows whose host answered a line with nothing for too long
-	Probes         int   // probes sent
+	Probes         int   // probes that the decider requested, sent or not
 	ProbesFailed   int   // probes without a good answer
 	Calls          int   // calls to discovery
 	CallsFailed    int   // calls and watches that failed
-	Lists          int   // lists received
+	Lists          int   // complete lists and changes received
 	Reloads        int   // reloads of the configuration
-	Panics         int   // panics confined to a connection
+	Panics         int   // panics from which the node recovered
 	Vanished       int   // clients that sent or read nothing for too long
 	Refused        int   // connections refused by admission control or the event loop
 	AdminCalls     int   // operators' calls answered
-	AdminShed      int   // operators' connections closed without a complete request
+	AdminShed      int   // operators' connections without a complete request closed to make room for another
 	HandedOver     int   // clients and flows handed over to the successor process
 	TakenOver      int   // clients and flows taken over from the predecessor process
 	LateIterations int64 // loop iterations that ran late
@@ -44,11 +44,11 @@
 type Tally struct {
 	Success int // established flows
 	Busy    int // flows rejected
-	Failure int // flows aborted, and invalid requests
+	Failure int // flows aborted, and requests rejected with ERR
 }
 
-// countAnswer counts and captures a flow's answer. All answers are counted here, except ERR to an invalid request, which is
-// counted where the request is rejected.
+// countAnswer counts and captures a flow's answer. All answers are counted here, except ERR to an invalid request or to data
+// before the answer, which is counted where the request is rejected if its service type is known.
 func (n *Node) countAnswer(f *flow, answer byte) {
 	t := &n.Answers[f.TypeIndex]
 	switch answer {
--- a/node/ending.go
+++ b/node/ending.go
@@ -170,7 +170,7 @@
 // moveDueFlows moves this step's share of the established flows, spread evenly over the time left. So no flow is cut off
 // when the process is killed, and clients don't all reconnect at once. The moves begin late, because clients moved at once
 // may come back here or have to wait for a node that was stopped before and is not back yet. A flow whose host has ended it
-// is not moved, even if that end has not been read yet.
+// is not moved, even if that end has not been read yet; in the last step all flows are moved.
 func (n *Node) moveDueFlows() {
 	established := int64(0)
 	for _, entry := range n.flows.entries {
--- a/node/figures.go
+++ b/node/figures.go
@@ -9,7 +9,7 @@
 const (
 	hostReportInterval  = second                 // between two message times of one host
 	hostReportTolerance = 25 * ms                // by which that interval may be missed
-	maxLoadDrop         = 20                     // a flow's load does not fall to less than one over this at once
+	maxLoadDrop         = 20                     // a flow's load does not fall to less than 1/maxLoadDrop at once
 	firstLoadWithin     = 50 * ms                // a flow's first load comes this soon after it is established
 	hostReportValidity  = 2 * hostReportInterval // for this long a host's report takes precedence over the node's own measurements
 )
@@ -58,7 +58,8 @@
 
 // reportMessageTimes reports to the module how long messages take at each host, while that is over a third of the shortest
 // target and once more after. The figure is the median of the times measured since the last report, together with the ages
-// of unanswered lines that are older than that median.
+// of unanswered lines that are older than the median of these times. Nothing is reported for a host that reports its message
+// times itself. This runs once a second and first moves clients that have sent or read nothing for too long.
 func (n *Node) reportMessageTimes() {
 	n.closeStalledClients()
 	n.deadlines.set(&n.messageTimeTimer, n.now+messageTimeInterval)
--- a/node/flows.go
+++ b/node/flows.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// newFlow returns the flow of a request; wait is its connect timeout.
+// newFlow returns the flow of a request and begins its capture. wait is its connect timeout.
 func (n *Node) newFlow(c *conn, request *lines.Open, typeIndex int, wait int64) *flow {
 	f := &flow{request: request, client: c}
 	n.startCapture(f)
@@ -177,7 +177,8 @@
 	}
 }
 
-// rejoin connects a flow to the host that had its connection before. While that host is not listed it retries.
+// rejoin connects a flow to the host that had its connection before. While that host is not listed it retries, and once the
+// flow's time is over it rejects the flow.
 func (n *Node) rejoin(f *flow) {
 	if f.Deadline+answerMargin <= n.now {
 		n.countAnswer(f, capture.Rejected)
@@ -318,7 +319,7 @@
 	n.decider.Ended(&f.Flow, &h.Server, end.Outcome(), took, false)
 }
 
-// detachHost removes the flow's connect from the counts and cancels the flow's timer.
+// detachHost clears the flow's host and upstream connection, which it does not close, and cancels the flow's timer.
 func (n *Node) detachHost(f *flow) {
 	if f.host != nil {
 		f.host.flowCount--
@@ -327,7 +328,9 @@
 			n.establishedCount--
 		}
 	}
-	f.upstream, f.host, f.stage = nil, nil, Waiting
+	f.upstream = nil
+	f.host = nil
+	f.stage = Waiting
 	n.deadlines.cancel(&f.timer)
 }
 
@@ -364,7 +367,9 @@
 	f.client.out.Put(line)
 	c.in.Discard(len(line))
 	n.countAnswer(f, capture.Established)
-	f.stage, f.request, f.establishedAt = Established, nil, n.now
+	f.stage = Established
+	f.request = nil
+	f.establishedAt = n.now
 	n.establishedCount++
 	f.client.receivedAt = n.now
 	if f.group != nil {
@@ -422,7 +427,8 @@
 	n.captureEnd(f)
 	n.detachHost(f)
 	if g := f.group; g != nil {
-		if g.flowCount--; g.flowCount == 0 && !g.established {
+		g.flowCount--
+		if g.flowCount == 0 && !g.established {
 			delete(n.groups, g.Hash) // bounds memory against group names that never led to a connection
 		}
 		f.group = nil
@@ -444,7 +450,7 @@
 	n.withdraw(f)
 }
 
-// withdraw ends a flow that is not established.
+// withdraw ends a flow that is not established and closes its connect. The client has left or is answered by the caller.
 func (n *Node) withdraw(f *flow) {
 	if f.upstream != nil {
 		n.close(f.upstream)
--- a/node/handover.go
+++ b/node/handover.go
@@ -122,19 +122,25 @@
 }
 
 // PeerProcessGone is called when the peer process or the link to it has ended. It reports whether this process has to
-// accept connections from now on.
-func (n *Node) PeerProcessGone() (take bool) {
+// accept connections from now on: a predecessor again, a successor for the first time.
+func (n *Node) PeerProcessGone() (accept bool) {
 	state := &n.handover
-	take = state.yielded || state.joining
+	accept = state.yielded || state.joining
 	log.Printf("msg=other_process_gone yielded=%t joining=%t", state.yielded, state.joining)
 	n.deadlines.cancel(&state.timer)
-	state.peer, state.joining, state.stateSent, state.yielded = nil, false, false, false
-	return take
+	state.peer = nil
+	state.joining = false
+	state.stateSent = false
+	state.yielded = false
+	return accept
 }
 
 // InheritState is called at a successor before Begin, with the state that its predecessor sent.
 func (n *Node) InheritState(peer PeerProcess, state *handover.State) {
-	n.handover.peer, n.handover.inherited, n.handover.joining, n.handover.isSuccessor = peer, state, true, true
+	n.handover.peer = peer
+	n.handover.inherited = state
+	n.handover.joining = true
+	n.handover.isSuccessor = true
 }
 
 // restoreState applies the state handed over, in the first loop iteration.
@@ -208,8 +214,8 @@
 	}
 }
 
-// ApplyPeerDrains marks hosts as draining for which the peer process got a drain notice. This process's own list
-// decides when they take flows again.
+// ApplyPeerDrains marks hosts as draining that take no new flows according to the peer process's list. This process's own
+// list decides when they take flows again.
 func (n *Node) ApplyPeerDrains(uids []string) {
 	var update discovery.List
 	for _, uid := range uids {
@@ -275,7 +281,7 @@
 }
 
 // handOverFlow hands over an established flow and reports whether it did. Flows with an ended side, or whose host has sent
-// its last line, end here.
+// its last line, end here; those with more bytes than a ring holds are tried again in the next step.
 func (n *Node) handOverFlow(f *flow) bool {
 	client, upstream := f.client, f.upstream
 	if f.ended || f.stage != Established || client.inputEnded || upstream.inputEnded || f.lastAnswer != lines.Other ||
@@ -420,7 +426,8 @@
 	return h
 }
 
-// handedFlow returns the established flow described by a handover message.
+// handedFlow returns the established flow described by a handover message. A flow of an unknown service type counts for the
+// first one until it is moved.
 func (n *Node) handedFlow(handed *handover.Flow, client, upstream *conn) *flow {
 	typeIndex, known := n.settings.ServiceTypeIndex[handed.Type]
 	f := &flow{
@@ -465,7 +472,8 @@
 	}
 }
 
-// answersFront reports whether PING is answered PONG: while this process can serve, or while its successor has taken over.
+// answersFront reports whether PING is answered PONG: while this process can serve, or while its successor has taken over
+// and this process is not drained.
 // A process that has been without a list for long answers PONG as well. It rejects the flows that it can't serve, whereas a
 // front-end load balancer that found no node ready while discovery is down would have no node at all.
 func (n *Node) answersFront() bool {
--- a/node/holdings.go
+++ b/node/holdings.go
@@ -12,10 +12,10 @@
 // Limits bound what a node holds besides descriptors. A zero value selects the default.
 type Limits struct {
 	Hosts   int   // host records; further entries of a list are left out. Default 20,000
-	Groups  int   // groups remembered without flows; further ones start anew. Default 4,096
+	Groups  int   // groups above which those without flows are forgotten; they start anew. Default 4,096
 	IDs     int   // request ids remembered; older ones are accepted again. Default 8,192
 	Wide    int   // rings that may be wide at once. Default 32
-	Buffers int   // rings that hold bytes; above it, the client longest without a whole line is closed. Default: no limit
+	Buffers int   // rings that hold bytes; above it, clients that have sent part of a line are closed. Default: no limit
 	Idle    int64 // microseconds that an established client may send nothing. Default: no limit
 	Stalled int64 // microseconds that an established client may read nothing while bytes wait for it. Default: no limit
 }
@@ -26,7 +26,7 @@
 type Holding struct {
 	Purpose string
 	Count   int
-	Bytes   int
+	Bytes   int // estimated memory; 0 where it is not estimated
 	Cap     int // limit of Count; 0 for none
 }
 
@@ -109,7 +109,7 @@
 }
 
 // relieveBuffers closes clients until the number of buffers is within its limit: of the clients without a flow that
-// have sent part of a line, the one that has waited longest. This bounds the memory that clients can take with
+// have sent part of a line, the one that has sent nothing more for longest. This bounds the memory that clients can take with
 // incomplete lines.
 func (n *Node) relieveBuffers() {
 	for n.limits.Buffers > 0 {
@@ -127,6 +127,6 @@
 			return
 		}
 		n.Count.Shed++
-		n.detach(oldest)
+		n.closeDetached(oldest)
 	}
 }
--- a/node/late.go
+++ b/node/late.go
@@ -9,7 +9,7 @@
 
 const (
 	keptIterations   = 1024 // loop iterations whose length is remembered
-	measurementSlack = 300  // microseconds of own lateness up to which a measurement is certain
+	measurementSlack = 300  // microseconds of own lateness up to which any measurement is certain
 )
 
 // starvedThreshold is the own lateness within about a second from which on a node can't judge others by times. On a machine
--- a/node/late_test.go
+++ b/node/late_test.go
@@ -19,23 +19,23 @@
 	took int64
 }
 
-func (h *recordingDecider) Probed(s *balance.Server, end balance.Outcome, took int64) {
-	h.probes = append(h.probes, probeResult{end, took})
-	h.module.Probed(s, end, took)
+func (d *recordingDecider) Probed(s *balance.Server, end balance.Outcome, took int64) {
+	d.probes = append(d.probes, probeResult{end, took})
+	d.module.Probed(s, end, took)
 }
 
-func (h *recordingDecider) Established(f *balance.Flow, took int64) {
-	h.setups = append(h.setups, took)
-	h.module.Established(f, took)
+func (d *recordingDecider) Established(f *balance.Flow, took int64) {
+	d.setups = append(d.setups, took)
+	d.module.Established(f, took)
 }
 
 // newRecordingNode returns a node with a recording decider.
 func newRecordingNode(t *testing.T) (*Node, *fakeNet, *recordingDecider) {
 	t.Helper()
 	n, net := newNode(2)
-	h := &recordingDecider{module: n.decider.(module)}
-	n.decider = h
-	return n, net, h
+	d := &recordingDecider{module: n.decider.(module)}
+	n.decider = d
+	return n, net, d
 }
 
 // runLate runs a loop iteration whose events have waited for late, after an iteration that took before.
@@ -57,7 +57,7 @@
 		{"PING left late", 20 * ms, 0, probeResult{balance.Recalled, 1}},
 		{"PONG was read late", 0, 20 * ms, probeResult{balance.Recalled, 2 * ms}},
 	} {
-		n, net, h := newRecordingNode(t)
+		n, net, d := newRecordingNode(t)
 		s := n.hostList[0]
 		net.runLate(0, 0, func() { n.Probe(&s.Server) })
 		id := net.lastConn()
@@ -65,19 +65,19 @@
 		net.runLate(0, 0, func() { n.Connected(id) })
 		n.ReportLateness(0, 0)
 		net.run(1, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
-		h.probes = nil
+		d.probes = nil
 		net.runLate(0, 0, func() { n.Probe(&s.Server) })
 		n.ReportLateness(c.late, c.before)
 		net.run(2*ms+c.late, func() { net.in[id].Put([]byte("PONG\r\n")); n.Received(id) })
-		if len(h.probes) != 1 || h.probes[0] != c.want {
-			t.Errorf("%s: module got %v, want %v", c.name, h.probes, c.want)
+		if len(d.probes) != 1 || d.probes[0] != c.want {
+			t.Errorf("%s: module got %v, want %v", c.name, d.probes, c.want)
 		}
 	}
 }
 
 // The set-up time reported to the module contains the node's own lateness in neither of its two legs.
 func TestOwnLatenessInSetUps(t *testing.T) {
-	n, net, h := newRecordingNode(t)
+	n, net, d := newRecordingNode(t)
 	n.ReportLateness(0, 0)
 	net.openClient(openLine)
 	id := net.lastConn()
@@ -86,11 +86,12 @@
 	net.run(41*ms, func() { n.Connected(id) })
 	n.ReportLateness(5*ms, 2*ms)
 	net.run(8*ms, func() { net.in[id].Put([]byte("UP 7\r\n")); n.Received(id) })
-	if len(h.setups) != 1 || h.setups[0] > 3*ms {
-		t.Errorf("a set-up of 2 ms with 47 ms of own lateness was reported as %v us", h.setups)
+	if len(d.setups) != 1 || d.setups[0] > 3*ms {
+		t.Errorf("a set-up of 2 ms with 47 ms of own lateness was reported as %v us", d.setups)
 	}
 }
 
+// The event loop waits in short steps exactly while a connect or a probe is outstanding.
 func TestMeasuring(t *testing.T) {
 	n, net, _ := newRecordingNode(t)
 	want := func(on bool, when string) {
--- a/node/limits.go
+++ b/node/limits.go
@@ -107,14 +107,15 @@
 				return n.cluster.leases.VoteOutstanding(int(local.nameKey(server.Name) % lease.Slots))
 			})
 		} else if limit.AtOnce.Max > 0 {
-			local.concurrent, local.exhaustedAt = permits.New(limit.AtOnce, process, nodes, keyOwner{n}), map[*host]int64{}
+			local.concurrent = permits.New(limit.AtOnce, process, nodes, keyOwner{n})
+			local.exhaustedAt = map[*host]int64{}
 		} else {
 			local.rate = limits.New(limit.Rate, process, nodes, keyOwner{n})
 		}
 		all = append(all, local)
 	}
-	// Permits can be given back, so their limits come first: a flow that is refused later has not used up a rate. Limits
-	// over cold hosts come last, so that a refused flow takes no grant.
+	// Permits can be given back and a rate can't, so limits with permits come first: a flow that one of them refuses has not
+	// used up a rate. Limits over cold hosts come last, so that a refused flow takes no grant.
 	rank := func(limit *localLimit) int {
 		return map[bool]int{true: 2}[limit.Over == OverCold] + map[bool]int{true: 1}[limit.AtOnce.Max == 0]
 	}
@@ -136,7 +137,8 @@
 			continue
 		}
 		local := n.cluster.limits[i]
-		if local.FleetLimit = limit; local.concurrent != nil {
+		local.FleetLimit = limit
+		if local.concurrent != nil {
 			local.concurrent.SetLimit(limit.AtOnce)
 		} else {
 			local.rate.SetLimit(limit.Rate)
@@ -200,7 +202,8 @@
 func (o keyOwner) LikelyOwner(key uint64) int { return o.n.believedOwner(int(key % lease.Slots)) }
 
 // believedOwner returns the node that should own a slot: of this node and the linked nodes, the one with the highest
-// hash of slot and name. It is negative for this node. Nodes may differ in it; it decides only which node is asked.
+// hash of slot and name. It is negative for this node. Nodes may differ in it; it decides only which node requests the
+// slot's lease and which node is asked about its keys.
 func (n *Node) believedOwner(slot int) (index int) {
 	rank := func(name uint32) uint64 {
 		x := (uint64(slot)<<32 | uint64(name)) * 0x9e3779b97f4a7c15
@@ -293,8 +296,8 @@
 	return func(to int, payload []byte) { n.sendToNode(to, limit.encode(payload)) }
 }
 
-// blockedByLimit takes a flow through the fleet limits that it has not passed yet. It reports whether the flow has to wait
-// for an answer or has been refused; otherwise the flow has passed all limits.
+// blockedByLimit takes a flow through the fleet limits that it has not passed yet, and refuses it where one does not let it
+// pass. It reports whether the flow has to wait for an answer or has been refused; otherwise it has passed all limits.
 func (n *Node) blockedByLimit(f *flow) bool {
 	cluster := n.cluster
 	if cluster == nil || f.rejoins {
@@ -303,7 +306,7 @@
 	for f.nextLimit < len(cluster.limits) {
 		limit := cluster.limits[f.nextLimit]
 		if limit.Over == OverCold {
-			if n.awaitsColdGrant(f, limit) {
+			if n.requestColdGrant(f, limit) {
 				return true
 			}
 			f.nextLimit++
--- a/node/node.go
+++ b/node/node.go
@@ -54,22 +54,22 @@
 	firstLineTimeout    = 2500 * ms   // for a new client to send its first line, and for a started line to be completed
 	lingerTimeout       = 2 * second  // for the other side to read the last bytes
 	hostSilenceTimeout  = 5 * second  // a host that answers a line with nothing for this long has lost its flow
-	defaultAskWithin    = 10 * second // used where the settings give no polling period for discovery
+	defaultAskWithin    = 10 * second // Settings.AskWithin where lists are pushed, for which the settings give none
 	messageTimeInterval = second      // between two reports of message times to the decision module
 	rejoinInterval      = 300 * ms    // between two connects of a rejoining flow
-	shedAfterSilence    = 100 * ms    // a client that has sent no whole line may be shed after this time
+	shedAfterSilence    = 100 * ms    // a client that has sent no whole line, or been sent its last one, may be shed after this time
 	shedAfterPing       = second      // a client that has sent nothing since its PING may be shed after this time
 )
 
 // Limits and defaults of counts.
 const (
 	maxPingsPerRead     = 16       // PING lines answered in one read
-	maxDrainedBytes     = 64 << 10 // bytes discarded from a connection that has been sent its last line
+	maxDrainedBytes     = 64 << 10 // bytes discarded from a connection that has been sent its last line; with more it is closed
 	reservedDescriptors = 8        // descriptors kept free besides those owed to flows and probes
 	defaultMaxGroups    = 4096     // where Limits.Groups is 0
 	defaultMaxIDs       = 8192     // where Limits.IDs is 0
 	maxLogKinds         = 64       // kinds of throttled log lines
-	maxRedials          = 3        // shedding frees no descriptors that other processes of the machine hold
+	maxRedials          = 3        // of one connection; shedding does not help where other processes hold all descriptors
 )
 
 // Config configures a node besides its settings.
@@ -94,33 +94,37 @@
 // Decider receives what happens at the node and writes its decisions to a balance.Writer, as package balance does. Other
 // implementations exist only for comparison in rehearsals.
 type Decider interface {
-	// Round runs in, which reports the events of a loop iteration, and then writes the decisions to out.
+	// Round runs in, which reports the events of a loop iteration by the other methods. Decisions are written to out while
+	// in runs and after it.
 	Round(now int64, in func(), out balance.Writer)
-	// BeginList begins a list of servers.
+	// BeginList begins a report about the list of servers. Its kind may also be that a call for the list has failed.
 	BeginList(balance.ListKind)
-	// ListEntry reports a server of the list. started is when the server started.
+	// ListEntry reports a server of the list. started is when the server started; 0 if that is not known.
 	ListEntry(s *balance.Server, state balance.State, size float64, started int64)
-	// EndList ends a list.
+	// EndList ends the report that BeginList began. Servers that a complete list does not name are removed.
 	EndList(balance.ListKind)
-	// PlaceFlow reports a flow that needs a connection.
+	// PlaceFlow reports a new flow, which needs a connection.
 	PlaceFlow(*balance.Flow)
-	// AdoptFlow reports a flow whose connection to a server was open before.
+	// AdoptFlow reports an established flow that this decider has not placed: it has rejoined its server, or the
+	// predecessor process has handed it over.
 	AdoptFlow(*balance.Flow, *balance.Server)
 	// Established reports that a flow's connect has succeeded.
 	Established(f *balance.Flow, took int64)
 	// Ended reports the end of a connect, or of an established flow. over is true if the flow has ended with it.
 	Ended(f *balance.Flow, s *balance.Server, end balance.Outcome, took int64, over bool)
-	// Expired reports that a flow without a connection has ended: its client has left or its time is over.
+	// Expired reports that the node has ended a flow before it was established: its client has left or broken the
+	// protocol, its time is over, or its permit has expired. The flow may not have been placed yet. Where a connect is in
+	// progress Ended follows, otherwise Expired may be called again.
 	Expired(*balance.Flow)
-	// LoadReported reports a server's load. own is false if another node has passed the report on.
+	// LoadReported reports a server's load over its capacity. own is false if another node has passed the report on.
 	LoadReported(s *balance.Server, busy float64, own bool)
 	// PlacementReported reports that another node holds flows of a group at a server.
 	PlacementReported(*balance.Group, *balance.Server)
 	// LoadMeasured reports a flow's load in microseconds of work per second.
 	LoadMeasured(f *balance.Flow, perSecond float64)
-	// DelayMeasured reports how long messages take at a server.
+	// DelayMeasured reports how long messages take at a server, in microseconds.
 	DelayMeasured(s *balance.Server, us int64)
-	// Probed reports the end of a probe.
+	// Probed reports the end of a probe and how long it took.
 	Probed(s *balance.Server, end balance.Outcome, took int64)
 	// AlarmFired reports that the time has come that was set with the writer's SetAlarm.
 	AlarmFired()
@@ -182,7 +186,7 @@
 	in, out         lines.Ring
 	flow            *flow
 	host            *host
-	up              bool
+	up              bool // the connection is open; false while it is being dialled
 	midLine         bool // the last byte put into out does not end a line
 	inputEnded      bool // the other side sends no more; its last bytes may still be in the ring
 	err             error
@@ -254,7 +258,7 @@
 	upstreamCount    int // connections of flows to hosts
 	deadlines        deadlines
 	dueNow           []*deadline
-	tickAlarm        deadline
+	alarm            deadline
 	messageTimeTimer deadline
 
 	frontConn        *conn     // of the open connections, the first that sent PING
@@ -284,7 +288,7 @@
 	hostsReportTimes bool  // a host has reported a message time
 
 	stopAt          int64 // when Stop was called; 0 before
-	stopDeadline    int64
+	stopDeadline    int64 // when a stopping node is done at the latest
 	drainAt         int64 // when Drain was called; 0 while not drained
 	moveTimer       deadline
 	stopAcceptTimer deadline // next check whether accepting can stop
@@ -324,14 +328,15 @@
 		n.admission = admission.New(conf.Admission)
 	}
 	n.newCluster()
-	if n.decider = (module{balance.New(&nodeSettings.Settings, conf.Seed)}); conf.NewDecider != nil {
+	n.decider = module{balance.New(&nodeSettings.Settings, conf.Seed)}
+	if conf.NewDecider != nil {
 		n.decider = conf.NewDecider(nodeSettings, conf.Seed)
 	}
 	n.slowMessageTime = nodeSettings.Types[0].MessageTarget / 3
 	for _, t := range nodeSettings.Types {
 		n.slowMessageTime = min(n.slowMessageTime, t.MessageTarget/3)
 	}
-	n.tickAlarm.run = n.decider.AlarmFired
+	n.alarm.run = n.decider.AlarmFired
 	n.messageTimeTimer.run = n.reportMessageTimes
 	n.moveTimer.run = n.moveDueFlows
 	n.stopAcceptTimer.run = n.stopAccepting
@@ -444,7 +449,9 @@
 			h.addr = entry.Endpoint
 			n.closeProbe(h)
 		}
-		h.zoneName, h.Zone, h.Cell = entry.Zone, n.zoneNumber(entry.Zone), entry.Cell
+		h.zoneName = entry.Zone
+		h.Zone = n.zoneNumber(entry.Zone)
+		h.Cell = entry.Cell
 		size := entry.Size
 		if size <= 0 {
 			size = 1
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -155,6 +155,7 @@
 	}
 }
 
+// Lines may arrive in parts, or together with the answer. Each is passed on once it is whole, in order and only once.
 func TestAnswerAndLinesInOneRead(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(openLine)
@@ -188,6 +189,8 @@
 	})
 }
 
+// A move closes both connections at once, but the module learns of the flow's end in the next iteration only. A second move
+// of the same flow does nothing.
 func TestMoveIsReportedInNextIteration(t *testing.T) {
 	n, net := newNode(1)
 	c, h := net.establish()
@@ -207,6 +210,8 @@
 	}
 }
 
+// A connect that failed before its request was sent has to be told from one that the host may have run: the module
+// retries the first for any flow.
 func TestConnectErrorOutcome(t *testing.T) {
 	for _, c := range []struct {
 		stage Stage
@@ -228,6 +233,8 @@
 	}
 }
 
+// A flow whose connect failed gets another one at another host, with the first connection closed before it. When all
+// hosts have failed the client gets one answer.
 func TestConnectsRunOneAfterAnother(t *testing.T) {
 	n, net := newNode(2)
 	c := net.openClient(openLine)
@@ -244,6 +251,8 @@
 	}
 }
 
+// A connection that does not come up within the dial timeout leads to a further connect. A host that does not answer costs
+// the flow the rest of its time, and then its client gets an answer.
 func TestDialsAndAnswersTimeOut(t *testing.T) {
 	n, net := newNode(2)
 	c := net.openClient(openLine)
@@ -260,6 +269,7 @@
 	}
 }
 
+// A client that leaves before its answer leaves no flow and no connection to the host behind.
 func TestClientLeavesBeforeAnswer(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(openLine)
@@ -270,6 +280,8 @@
 	}
 }
 
+// When a host ends its connection, its last bytes, even part of a line, reach the client, and the client's connection ends in
+// the same way: in order, or with a reset.
 func TestCloseReachesOtherSide(t *testing.T) {
 	for _, c := range []struct {
 		last string
@@ -312,6 +324,7 @@
 	}
 }
 
+// A move that comes within a line of the host waits for the end of that line.
 func TestMoveNeverSplitsALine(t *testing.T) {
 	n, net := newNode(1)
 	c, h := net.establish()
@@ -370,6 +383,7 @@
 	net.expect(t, c, "UP 7\r\n"+strings.Repeat(line, 4), "")
 }
 
+// A host that begins to drain while a connect to it is being dialled gets no request.
 func TestNoRequestToDrainingHost(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(openLine)
@@ -379,6 +393,7 @@
 	net.expect(t, c, "BUSY\r\n", "shut")
 }
 
+// A list changes the hosts that are known already, and a complete list removes those that it does not name.
 func TestListUpdatesHosts(t *testing.T) {
 	n, net := newNode(2)
 	h := n.hosts["s-1"]
@@ -455,6 +470,7 @@
 	}
 }
 
+// A rejoining flow whose connect fails tries the same host again, and no other.
 func TestRejoiningFlowRetries(t *testing.T) {
 	n, net := newNode(2)
 	c := net.openClient("OPEN 1 2 c=chat,d=2000,at=s-1\r\n")
@@ -469,6 +485,7 @@
 	net.expect(t, c, "UP 3\r\n", "")
 }
 
+// Probes of a host use one connection. It is closed when a probe gets no answer in time.
 func TestProbes(t *testing.T) {
 	n, net := newNode(1)
 	n.settings.Probing = true
@@ -592,6 +609,7 @@
 	}
 }
 
+// Many PING lines in one read don't keep the loop busy, and a PING line that finds no room for its answer is answered later.
 func TestManyPingsAtOnce(t *testing.T) {
 	n, net := newNode(1)
 	c := net.openClient(strings.Repeat("PING\r\n", maxPingsPerRead+1))
@@ -639,6 +657,7 @@
 	}
 }
 
+// While fewer descriptors are free than the reserve, a request is answered BUSY at once.
 func TestBusyWithoutDescriptors(t *testing.T) {
 	n, net := newNode(1)
 	net.room = reservedDescriptors - 1
@@ -709,6 +728,7 @@
 	net.expect(t, c, "BUSY\r\n", "shut")
 }
 
+// The id of a removed value does not find the value that uses its slot next.
 func TestStaleSlotIDs(t *testing.T) {
 	var s slots[int]
 	a := s.add(new(int))
@@ -719,6 +739,7 @@
 	}
 }
 
+// Due deadlines are taken in the order of their times, without those that were cancelled or set to a later time.
 func TestDeadlinesInOrder(t *testing.T) {
 	var h deadlines
 	var all [50]deadline
--- a/node/operators.go
+++ b/node/operators.go
@@ -9,8 +9,8 @@
 )
 
 // Operators call the node on a listener of its own. A call is answered in the loop iteration in which its request is
-// complete, so its command has taken effect before the answer is sent. Operators' connections are counted apart from
-// clients'.
+// complete, so its command has taken effect before the answer is sent. Operators and clients have places of their own,
+// so that neither can use up those of the other.
 
 // MaxOperatorConns is the largest number of operators' connections at once.
 const MaxOperatorConns = 16
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,7 +5,8 @@
 	"coursewinch/cluster/peers"
 )
 
-const maxPeerHeldGroups = 4096 // groups known only from messages of other nodes
+// maxPeerHeldGroups bounds the groups of which it is remembered where other nodes hold them.
+const maxPeerHeldGroups = 4096
 
 // Publish sends what the module reports to the other nodes. Where no way to send is configured, it does nothing.
 func (n *Node) Publish(servers []*balance.Server, holders []balance.GroupPlacement) {
--- a/node/peers_test.go
+++ b/node/peers_test.go
@@ -29,7 +29,7 @@
 	held int
 }
 
-func (h *heldCounter) PlacementReported(*balance.Group, *balance.Server) { h.held++ }
+func (c *heldCounter) PlacementReported(*balance.Group, *balance.Server) { c.held++ }
 
 // Another node's report of where it holds a group reaches the module also if it came before this node's first flow of
 // the group.
--- a/node/probes.go
+++ b/node/probes.go
@@ -38,8 +38,8 @@
 	return []byte("PING\r\n")
 }
 
-// probeTimeout returns the shortest setup target of all service types: a host that takes longer for a probe can't serve
-// any flow in time.
+// probeTimeout returns the shortest setup target of all service types, but at least 50 ms: a host that takes longer for a
+// probe can't serve a flow of that type in time.
 func (n *Node) probeTimeout() int64 {
 	wait := n.settings.Types[0].SetupTarget
 	for _, t := range n.settings.Types {
--- a/node/quota.go
+++ b/node/quota.go
@@ -19,8 +19,8 @@
 	accepted  int   // in this iteration
 }
 
-// adjustQuota sets the quota by how late the loop is and how long the previous iteration took. The quota is halved when
-// that iteration was long and accepted connections, and grows by an eighth when it was short.
+// adjustQuota sets the quota by how late the loop is and how long the previous iteration took. After a long iteration that
+// accepted connections it becomes half of their number; after a short one it grows by an eighth and one.
 func (n *Node) adjustQuota(lateness, lastLength int64) {
 	quota := &n.acceptQuota
 	if quota.accepts == 0 {
@@ -41,7 +41,7 @@
 }
 
 // AcceptQuota returns how many connections this loop iteration may accept, and how many further ones it may refuse.
-func (n *Node) AcceptQuota() (take, refuse int) {
+func (n *Node) AcceptQuota() (accept, refuse int) {
 	quota := &n.acceptQuota
 	if n.acceptStoppedAt > 0 {
 		return 0, maxAccepts
--- a/node/relay.go
+++ b/node/relay.go
@@ -26,7 +26,8 @@
 	}
 	n.net.RingsChanged(f.client.id)
 	n.net.RingsChanged(f.upstream.id)
-	if n.finishIfEnded(f); f.movePending && !f.ended && n.canMove(f) {
+	n.finishIfEnded(f)
+	if f.movePending && !f.ended && n.canMove(f) {
 		n.moveClient(f)
 		n.endFlow(f, balance.Recalled)
 	}
@@ -71,12 +72,12 @@
 func (n *Node) relayToHost(f *flow, chunk []byte, endsLine bool) {
 	to := f.upstream
 	// Whether the chunk holds a complete line of which no part was sent before.
-	startsLine := endsLine && (!to.midLine || bytes.IndexByte(chunk, '\n') < len(chunk)-1)
+	hasWholeLine := endsLine && (!to.midLine || bytes.IndexByte(chunk, '\n') < len(chunk)-1)
 	f.record.countLines(true, chunk)
 	enqueue(to, chunk)
 	to.midLine = !endsLine
 	f.client.in.Discard(len(chunk))
-	if startsLine && f.unansweredSince == 0 {
+	if hasWholeLine && f.unansweredSince == 0 {
 		f.unansweredSince, f.unansweredSpan = n.now, n.startSpan()
 		n.deadlines.set(&f.timer, n.now+hostSilenceTimeout)
 	}
@@ -145,7 +146,8 @@
 	}
 }
 
-// closeLikeOtherSide closes a connection as the flow's other connection ended: in order, or with a reset.
+// closeLikeOtherSide closes a connection as the flow's other connection ended: in order, or with a reset where that one broke
+// and nothing is left to send.
 func (n *Node) closeLikeOtherSide(c *conn, err error) {
 	if err != nil && c.out.Len() == 0 {
 		n.net.Reset(c.id)
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -50,10 +50,10 @@
 }
 
 // shedOne closes the connection that is needed least and reports whether there was one. The order is: connections that
-// have been sent their last line, oldest first; clients idle since their PING; the client that has owed its first line for
-// longest; the latest of the clients that sent PING. Clients that take seconds over their first line so outlast a crowd
-// that sends one PING and stays. The front-end load balancer outlasts it too: it is the first that sent PING, or sends
-// PING repeatedly.
+// have been sent their last line, oldest first; clients idle since their PING, oldest first; of the clients that owe a
+// whole line, the one that has sent nothing for longest; the latest of the clients that sent PING. This way clients that
+// take seconds over their first line outlast a crowd that sends one PING and stays. The front-end load balancer outlasts
+// it too: it is the first that sent PING, or sends PING repeatedly.
 func (n *Node) shedOne() bool {
 	if n.shedOldest(&n.closingConns, shedAfterSilence) ||
 		n.shedOldest(&n.pingedConns, shedAfterPing) ||
@@ -85,15 +85,15 @@
 	return true
 }
 
-// shedConn counts and closes a client's connection.
+// shedConn counts and closes a connection.
 func (n *Node) shedConn(c *conn) {
 	n.Count.Shed++
-	n.detach(c)
+	n.closeDetached(c)
 }
 
-// detach closes a client's connection in order without waiting for it. A client without a flow is sent BUSY, because its
+// closeDetached closes a connection in order without waiting for it. A client without a flow is sent BUSY, because its
 // request may be on its way and then needs an answer.
-func (n *Node) detach(c *conn) {
+func (n *Node) closeDetached(c *conn) {
 	if c.role == roleNew {
 		c.out.Put([]byte(busyLine))
 	}
--- a/node/tables.go
+++ b/node/tables.go
@@ -70,7 +70,8 @@
 		r.known = map[uint64]bool{}
 	}
 	r.added++
-	if r.known[id] = true; len(r.ring) < r.limit {
+	r.known[id] = true
+	if len(r.ring) < r.limit {
 		r.ring = append(r.ring, id)
 		return true
 	}
--- a/node/watch.go
+++ b/node/watch.go
@@ -104,7 +104,9 @@
 		if n.watch != nil {
 			n.close(n.watch)
 		}
-		n.pendingCall, n.watch, n.callRefused = nil, c, false
+		n.pendingCall = nil
+		n.watch = c
+		n.callRefused = false
 		c.timer.run = func() { n.watchSilent(c) }
 		n.deadlines.set(&c.timer, n.now+watchSilenceTimeout)
 		log.Printf("msg=watching discovery=%s rev=%d all=%t hosts=%d", c.discoveryAddr, update.Rev, update.All, len(update.Entries))
