--- a/node/limits.go
+++ b/node/limits.go
@@ -411,8 +411,8 @@
 	}
 }
 
-// endExcessFlows ends flows whose permits have expired: first those that wait, then established ones, newest first, then
-// those that are being set up.
+// endExcessFlows ends flows that have no permit any more, because it has expired or the limit was lowered: first those that
+// wait, then established ones, newest first, then those that are being set up.
 func (n *Node) endExcessFlows(limit *localLimit, excess permits.Excess) {
 	var flows []*flow
 	for _, entry := range n.flows.entries {
--- a/node/node.go
+++ b/node/node.go
@@ -113,7 +113,7 @@
 	// Ended reports the end of a connect, or of an established flow. over is true if the flow has ended with it.
 	Ended(f *balance.Flow, s *balance.Server, end balance.Outcome, took int64, over bool)
 	// Expired reports that the node has ended a flow before it was established: its client has left or broken the
-	// protocol, its time is over, or its permit has expired. The flow may not have been placed yet. Where a connect is in
+	// protocol, its time is over, or it has no permit any more. The flow may not have been placed yet. Where a connect is in
 	// progress Ended follows, otherwise Expired may be called again.
 	Expired(*balance.Flow)
 	// LoadReported reports a server's load over its capacity. own is false if another node has passed the report on.
