--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// A flow that has used all its connects must get one answer and no further connect.
 func TestExhaustedFlowIsRejectedOnce(t *testing.T) {
 	b, decisions := newTestBalancer(1, Repeatable, ScopeAll)
 	f := b.newTestFlow()
@@ -15,6 +16,7 @@
 	decisions.want(t, "reject")
 }
 
+// A flow whose deadline has passed must be answered and not tried again.
 func TestExpiredFlowIsRejected(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	f := b.newTestFlow()
@@ -24,6 +26,7 @@
 	decisions.want(t, "reject")
 }
 
+// A client that has its answer must not get a second one, nor its flow a further connect.
 func TestNoDecisionAfterTheAnswer(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	f := b.newTestFlow()
@@ -33,6 +36,7 @@
 	decisions.want(t)
 }
 
+// A flow that may have run must not take effect twice: it is tried again only where its type and the servers allow that.
 func TestRetryFollowsEffectAndScope(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -60,6 +64,7 @@
 	}
 }
 
+// Servers of another zone would not recognise the repeat and would run the flow again.
 func TestReferencedFlowRetriesInItsZone(t *testing.T) {
 	b, decisions := newTestBalancer(3, Referenced, ScopeZone)
 	b.servers[2].Zone = b.servers[0].Zone
@@ -69,6 +74,7 @@
 	decisions.want(t, "connect c")
 }
 
+// No further connect may follow, so a shorter timeout would only take time from a flow that is still being set up.
 func TestOnceOnlyConnectTimeoutIsTheDeadline(t *testing.T) {
 	b, _ := newTestBalancer(2, OnceOnly, ScopeAll)
 	for range 20 {
@@ -79,6 +85,7 @@
 	}
 }
 
+// New flows on a server that leaves would soon be cut off.
 func TestDrainingAndRemovedServersGetNoNewFlows(t *testing.T) {
 	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
 	b.ListEntry(b.servers[0], Draining, 1, 0)
@@ -154,6 +161,7 @@
 	}
 }
 
+// Differences in latency that are small in time or in proportion must not reorder the ranking.
 func TestOutranksNeedsBothMargins(t *testing.T) {
 	for _, c := range []struct {
 		challenger, leader int64
@@ -179,6 +187,7 @@
 	}
 }
 
+// With a latency of 0 a server without samples would be ranked first.
 func TestNewServerGetsTheMeanRank(t *testing.T) {
 	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	b.ListEntry(&Server{Name: "x"}, Up, 1, 0)
@@ -221,6 +230,7 @@
 	decisions.want(t, "connect a")
 }
 
+// Each server that holds any of a group does the work that the group shares.
 func TestGroupFlowsShareAServer(t *testing.T) {
 	b, decisions := newTestBalancer(4, Repeatable, ScopeAll)
 	g := &Group{Hash: 7, flowsOn: map[*Server]int{b.servers[2]: 1}}
@@ -281,6 +291,7 @@
 	}
 }
 
+// A server that turns flows away because it is full is healthy and must not be skipped.
 func TestSaturatedIsNotAFailedSetup(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	b.addOpenFlows(b.servers[0], 1, initialFlowLoad)
@@ -317,6 +328,7 @@
 	}
 }
 
+// Servers whose messages were slow must not be loaded beyond their limits, not even if no other server is left.
 func TestFlowIsRejectedWhenAllServersAreAtTheirLimit(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	for _, s := range b.servers {
@@ -327,6 +339,7 @@
 	decisions.want(t, "reject")
 }
 
+// A connect that gets no answer must leave time for a second one.
 func TestConnectTimeoutFollowsSetupTimes(t *testing.T) {
 	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	for range 20 {
@@ -337,6 +350,7 @@
 	}
 }
 
+// A refused call has to be repeated, and a call that was answered must not be.
 func TestWatchIsRequestedAgainAfterARefusal(t *testing.T) {
 	b, decisions := newTestBalancer(0, Repeatable, ScopeAll)
 	b.settings.OnRequest = true
@@ -484,6 +498,7 @@
 	}
 }
 
+// Packets of a passthrough flow may reach another node, which has to find the flow's server by the key alone.
 func TestPassthroughFlowsHashToTheSameServer(t *testing.T) {
 	b, decisions := newLargeFleetBalancer()
 	for i := range 2 { // nodes with different subsets
@@ -1040,6 +1055,7 @@
 	}
 }
 
+// Crossings between zones are to be avoided while the fleet has room.
 func TestOwnZoneIsPreferredWhileThereIsRoom(t *testing.T) {
 	for _, reportedLoad := range []float64{0.2, 0.55} {
 		b, _ := newReportingBalancer(reportedLoad)
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -25,7 +25,7 @@
 	Loads  [][2]float64       // sum and number of measured loads, by service type
 	Held   float64            // own flows per server
 	Known  map[uint64]float64 // loads of keys that may return
-	Fresh  float64            // written by versions that paced set-ups; it has to be readable and is not used
+	Fresh  float64            // written by versions that paced set-ups; not used, but the strict decoder has to accept it
 }
 
 // Memory returns what the balancer has learned.
--- a/balance/sparse_test.go
+++ b/balance/sparse_test.go
@@ -36,7 +36,8 @@
 		for _, s := range b.servers[:30] {
 			s.State = Draining
 		}
-		b.servers[30+i%3].avoidedUntil, b.servers[40].messageDelay = b.now+second, 60_000 // the healthy preferred servers differ between nodes
+		// Which preferred servers are healthy differs between nodes.
+		b.servers[30+i%3].avoidedUntil, b.servers[40].messageDelay = b.now+second, 60_000
 		if b.chooseServer(f); f.server != nil {
 			used[f.server.Name], placed = true, placed+1
 		}
@@ -97,6 +98,8 @@
 func (c *returningCrowd) countColdConnect(t *testing.T, s *Server, at int64) {
 	times := append(c.connectTimes[s.Name], at)
 	past, _ := slices.BinarySearch(times, at-3*second)
+	// FallTime in seconds times FallMultiple times what a server can carry, which is twice the 300 * 6 flows that 60
+	// servers hold, over ColdTime in seconds, times the warm share at the start of the three seconds.
 	capacity := 3 * 3 * 2 * 300 * 6 / 60.0 / 20 * (0.2 + 0.8*max(float64(at-3*second-c.startedAt), 0)/float64(20*second))
 	if c.connectTimes[s.Name], c.total = times, c.total+1; float64(len(times)-past) > capacity+2*math.Sqrt(capacity)+2 {
 		t.Fatalf("%s got %d in 3 s, more than its capacity of %.1f", s.Name, len(times)-past, capacity)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -28,13 +28,14 @@
 	err       error
 }
 
+// fail records an error about a setting unless there is one already.
 func (d *decoder) fail(key, problem string) {
 	if d.err == nil {
 		d.err = fmt.Errorf("setting %s %s", key, problem)
 	}
 }
 
-// number reads a number of at least minimum.
+// number reads a number of at least minimum and below maxNumber. The setting must not be missing.
 func (d *decoder) number(key string, minimum float64) float64 {
 	v, ok := d.values[key]
 	if !ok {
@@ -69,6 +70,7 @@
 	return 0
 }
 
+// boolean reads true or false.
 func (d *decoder) boolean(key string) bool { return d.choice(key, "false", "true") == 1 }
 
 // optionalNumber reads a number that may be missing, and is 0 then.
@@ -181,6 +183,7 @@
 	}
 }
 
+// scalarText is the text of a single JSON value; null gives an empty text.
 func scalarText(v any) string {
 	switch v := v.(type) {
 	case nil:
@@ -195,6 +198,7 @@
 	return fmt.Sprint(v)
 }
 
+// decode decodes settings given by their paths. The separator stands between the values of a list.
 func decode(values map[string]string, separator string) (*Settings, error) {
 	d := &decoder{values: values, separator: separator}
 	s := &Settings{
