--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// A flow that has used all its connects must get one answer and no further connect.
 func TestExhaustedFlowIsRejectedOnce(t *testing.T) {
 	b, decisions := newTestBalancer(1, Repeatable, ScopeAll)
 	f := b.newTestFlow()
@@ -15,6 +16,7 @@
 	decisions.want(t, "reject")
 }
 
+// A flow whose deadline has passed must be answered and not tried again.
 func TestExpiredFlowIsRejected(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	f := b.newTestFlow()
@@ -24,6 +26,7 @@
 	decisions.want(t, "reject")
 }
 
+// A client that has its answer must not get a second one, nor its flow a further connect.
 func TestNoDecisionAfterTheAnswer(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	f := b.newTestFlow()
@@ -33,6 +36,7 @@
 	decisions.want(t)
 }
 
+// A flow that may have run must not take effect twice: it is tried again only where its type and the servers allow that.
 func TestRetryFollowsEffectAndScope(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -60,6 +64,7 @@
 	}
 }
 
+// Servers of another zone would not recognise the repeat and would run the flow again.
 func TestReferencedFlowRetriesInItsZone(t *testing.T) {
 	b, decisions := newTestBalancer(3, Referenced, ScopeZone)
 	b.servers[2].Zone = b.servers[0].Zone
@@ -69,6 +74,7 @@
 	decisions.want(t, "connect c")
 }
 
+// No further connect may follow, so a shorter timeout would only take time from a flow that is still being set up.
 func TestOnceOnlyConnectTimeoutIsTheDeadline(t *testing.T) {
 	b, _ := newTestBalancer(2, OnceOnly, ScopeAll)
 	for range 20 {
@@ -79,6 +85,7 @@
 	}
 }
 
+// New flows on a server that leaves would soon be cut off.
 func TestDrainingAndRemovedServersGetNoNewFlows(t *testing.T) {
 	b, decisions := newTestBalancer(3, Repeatable, ScopeAll)
 	b.ListEntry(b.servers[0], Draining, 1, 0)
@@ -125,8 +132,9 @@
 			}
 			burst += decisions.count("connect a")
 		}
-		// 200 flows in 20 s, times 3, times 3, times a warm share of 0.2 to 0.32: 29 a second at the most, of which random
-		// draws take two thirds. Five seconds later there is what six seconds at half of that add up to.
+		// 200 flows in 20 s, times 2.5 (coldBudgetFactor), times 3 (FallMultiple), times a warm share of 0.2 to 0.32: 24 a
+		// second at the most, of which about two thirds are used, since slots come at random moments. Five seconds later
+		// the warm share is 0.52, and six seconds' budget at that share is 234 flows.
 		if steady < 5 || steady > 90 || burst > 250 {
 			t.Fatalf("%d nodes: %d connects to a cold server in its first 3 s, %d in one instant", nodes, steady, burst)
 		}
@@ -153,6 +161,7 @@
 	}
 }
 
+// Differences in latency that are small in time or in proportion must not reorder the ranking.
 func TestOutranksNeedsBothMargins(t *testing.T) {
 	for _, c := range []struct {
 		challenger, leader int64
@@ -178,6 +187,7 @@
 	}
 }
 
+// With a latency of 0 a server without samples would be ranked first.
 func TestNewServerGetsTheMeanRank(t *testing.T) {
 	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	b.ListEntry(&Server{Name: "x"}, Up, 1, 0)
@@ -220,6 +230,7 @@
 	decisions.want(t, "connect a")
 }
 
+// Each server that holds any of a group does the work that the group shares.
 func TestGroupFlowsShareAServer(t *testing.T) {
 	b, decisions := newTestBalancer(4, Repeatable, ScopeAll)
 	g := &Group{Hash: 7, flowsOn: map[*Server]int{b.servers[2]: 1}}
@@ -280,6 +291,7 @@
 	}
 }
 
+// A server that turns flows away because it is full is healthy and must not be skipped.
 func TestSaturatedIsNotAFailedSetup(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	b.addOpenFlows(b.servers[0], 1, initialFlowLoad)
@@ -316,6 +328,7 @@
 	}
 }
 
+// Servers whose messages were slow must not be loaded beyond their limits, not even if no other server is left.
 func TestFlowIsRejectedWhenAllServersAreAtTheirLimit(t *testing.T) {
 	b, decisions := newTestBalancer(2, Repeatable, ScopeAll)
 	for _, s := range b.servers {
@@ -326,6 +339,7 @@
 	decisions.want(t, "reject")
 }
 
+// A connect that gets no answer must leave time for a second one.
 func TestConnectTimeoutFollowsSetupTimes(t *testing.T) {
 	b, _ := newTestBalancer(2, Repeatable, ScopeAll)
 	for range 20 {
@@ -336,6 +350,7 @@
 	}
 }
 
+// A refused call has to be repeated, and a call that was answered must not be.
 func TestWatchIsRequestedAgainAfterARefusal(t *testing.T) {
 	b, decisions := newTestBalancer(0, Repeatable, ScopeAll)
 	b.settings.OnRequest = true
@@ -483,6 +498,7 @@
 	}
 }
 
+// Packets of a passthrough flow may reach another node, which has to find the flow's server by the key alone.
 func TestPassthroughFlowsHashToTheSameServer(t *testing.T) {
 	b, decisions := newLargeFleetBalancer()
 	for i := range 2 { // nodes with different subsets
@@ -556,12 +572,12 @@
 func TestUnusedServersAreAssumedAsHealthyAsUsedOnes(t *testing.T) {
 	b, decisions := newLargeFleetBalancer()
 	fewHealthy := b.groupRangeOf(&Flow{Group: &Group{}}).fewHealthy // false for a node that uses no server yet
-	notPreferred := slices.Clone(b.servers)                         // besides the preferred servers of the group
-	slices.SortFunc(notPreferred, func(x, y *Server) int {
+	byAffinity := slices.Clone(b.servers)                           // preferred servers of the group last
+	slices.SortFunc(byAffinity, func(x, y *Server) int {
 		f := &Flow{Group: &Group{Hash: 5}}
 		return cmp.Compare(f.affinity(x, false), f.affinity(y, false))
 	})
-	for _, s := range notPreferred[:8] {
+	for _, s := range byAffinity[:8] {
 		s.messageDelay, s.setupTriedAt = 60_000, b.now
 	}
 	for range 100 {
@@ -882,7 +898,7 @@
 			moves += decisions.count("move")
 		}
 		if displaced && moves != 50 || !displaced && (moves < 1 || moves > 20) {
-			t.Errorf("away %t: %d of 50 moved", displaced, moves)
+			t.Errorf("displaced %t: %d of 50 moved", displaced, moves)
 		}
 	}
 }
@@ -964,12 +980,12 @@
 
 // newReportingBalancer returns the balancer of one of four nodes that exchange messages, with six servers that reported
 // this load.
-func newReportingBalancer(busy float64) (*Balancer, *recorder) {
+func newReportingBalancer(reportedLoad float64) (*Balancer, *recorder) {
 	b, w := newTestBalancer(6, Repeatable, ScopeAll)
 	b.settings.Nodes, b.settings.PeerMessages, b.settings.Zone = 4, true, 5
 	for _, s := range b.servers {
 		b.addOpenFlows(s, 10, initialFlowLoad)
-		b.LoadReported(s, busy, false)
+		b.LoadReported(s, reportedLoad, false)
 	}
 	b.nextReviewAt = 0
 	b.review()
@@ -980,9 +996,9 @@
 // rules-4).
 func TestColdServerIsNoFallbackForSaturatedOnes(t *testing.T) {
 	b, _ := newReportingBalancer(0.4)
-	cold, own, full := b.servers[0], b.servers[1], b.servers[2]
+	cold, own, saturated := b.servers[0], b.servers[1], b.servers[2]
 	cold.Started, own.loadInReport = b.now, own.loadInReport-1e6 // own placements since
-	if b.LoadReported(full, 0.9, true); b.hasSpareCapacity(cold) || b.hasSpareCapacity(full) || !b.isSaturated(own) ||
+	if b.LoadReported(saturated, 0.9, true); b.hasSpareCapacity(cold) || b.hasSpareCapacity(saturated) || !b.isSaturated(own) ||
 		!b.hasSpareCapacity(own) {
 		t.Fatal("only a warm server that is saturated by own placements alone has spare capacity")
 	}
@@ -990,16 +1006,16 @@
 
 // Nine in ten attempts were rejected while servers reported 0.5 to 0.75 (bilbao-norte, overload).
 func TestLoadLimitsRecoverWhereServersReportRoom(t *testing.T) {
-	for _, busy := range []float64{0.4, 0.8} {
-		b, _ := newReportingBalancer(busy)
+	for _, reportedLoad := range []float64{0.4, 0.8} {
+		b, _ := newReportingBalancer(reportedLoad)
 		s := b.servers[0]
 		s.messageDelay = 60_000
 		for b.DelayMeasured(s, 60_000); b.now < 64*second; {
 			b.now, b.nextReviewAt = b.now+second+1, 0
 			b.review()
 		}
-		if (s.loadLimit >= s.load) != (busy < busyFleetReport) {
-			t.Fatalf("reported load %g: limit %g with own load %g", busy, s.loadLimit, s.load)
+		if (s.loadLimit >= s.load) != (reportedLoad < busyFleetReport) {
+			t.Fatalf("reported load %g: limit %g with own load %g", reportedLoad, s.loadLimit, s.load)
 		}
 	}
 }
@@ -1039,15 +1055,16 @@
 	}
 }
 
+// Crossings between zones are to be avoided while the fleet has room.
 func TestOwnZoneIsPreferredWhileThereIsRoom(t *testing.T) {
-	for _, busy := range []float64{0.2, 0.55} {
-		b, _ := newReportingBalancer(busy)
+	for _, reportedLoad := range []float64{0.2, 0.55} {
+		b, _ := newReportingBalancer(reportedLoad)
 		b.sameGroupFlows.Add(30, serverSamples)
 		b.nextReviewAt = 0
 		b.review()
 		f := &Flow{Type: &b.settings.Types[0], Group: &Group{Hash: 5}} // its first preferred server is in another zone
-		if b.chooseServer(f); (f.server == b.servers[5]) != (busy < roomyFleetReport) {
-			t.Fatalf("reported load %g: placed on %s", busy, f.server.Name)
+		if b.chooseServer(f); (f.server == b.servers[5]) != (reportedLoad < roomyFleetReport) {
+			t.Fatalf("reported load %g: placed on %s", reportedLoad, f.server.Name)
 		}
 	}
 }
