--- a/admin/admin.go
+++ b/admin/admin.go
@@ -58,7 +58,7 @@
 
 // ParseCall parses a call from the bytes received so far. The status is 0 while the call is incomplete, and OK when it is
 // complete. With any other status the call is refused, and with WrongMethod, allow is the method that the path allows.
-// Read does not wait for a body.
+// It does not wait for a body.
 func ParseCall(p []byte) (call Call, status int, allow string) {
 	line, rest, complete := cutLine(p)
 	if !complete {
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -147,11 +147,11 @@
 }
 
 // SetLimits changes the limits. Records and open connections are kept.
-func (g *Controller) SetLimits(limits Limits) {
+func (c *Controller) SetLimits(limits Limits) {
 	updated := New(limits).limits
-	g.limits = updated
-	g.known.capacity = updated.KnownAddresses
-	g.unknown.capacity = updated.UnknownAddresses
+	c.limits = updated
+	c.known.capacity = updated.KnownAddresses
+	c.unknown.capacity = updated.UnknownAddresses
 }
 
 // Key returns the prefix under which an address is counted: an IPv4 address itself, or the /64 of an IPv6 address.
@@ -164,16 +164,16 @@
 	return prefix
 }
 
-func (g *Controller) find(key netip.Prefix) *addressRecord {
-	if r := g.known.byAddress[key]; r != nil {
+func (c *Controller) find(key netip.Prefix) *addressRecord {
+	if r := c.known.byAddress[key]; r != nil {
 		return r
 	}
-	return g.unknown.byAddress[key]
+	return c.unknown.byAddress[key]
 }
 
 // IsKnown reports whether flows of an address were established recently.
-func (g *Controller) IsKnown(key netip.Prefix, now int64) bool {
-	r := g.known.byAddress[key]
+func (c *Controller) IsKnown(key netip.Prefix, now int64) bool {
+	r := c.known.byAddress[key]
 	return r != nil && r.decayScore(now) >= knownThreshold
 }
 
@@ -191,35 +191,35 @@
 
 // Admit decides on a new connection. room is the number of free descriptors, without those reserved for flows that were
 // already accepted. Each connection that was accepted has to be released once, when it closes.
-func (g *Controller) Admit(key netip.Prefix, now int64, room int) Reason {
-	reason := g.decide(key, now, room)
-	g.Decisions[reason]++
+func (c *Controller) Admit(key netip.Prefix, now int64, room int) Reason {
+	reason := c.decide(key, now, room)
+	c.Decisions[reason]++
 	return reason
 }
 
-func (g *Controller) decide(key netip.Prefix, now int64, room int) Reason {
-	r := g.find(key)
+func (c *Controller) decide(key netip.Prefix, now int64, room int) Reason {
+	r := c.find(key)
 	known := r != nil && r.known && r.decayScore(now) >= knownThreshold
-	if !known && room <= g.limits.Reserve {
+	if !known && room <= c.limits.Reserve {
 		return ReservedForKnown
 	}
 	if r == nil {
-		if !g.unknown.makeRoom() {
+		if !c.unknown.makeRoom() {
 			return ReservedForKnown // unknown addresses with open connections fill the table: this one could not be counted
 		}
-		r = &addressRecord{key: key, tokens: g.limits.Burst, refilledAt: now}
+		r = &addressRecord{key: key, tokens: c.limits.Burst, refilledAt: now}
 	}
-	addresses := g.unknown
+	addresses := c.unknown
 	if r.known {
-		addresses = g.known
+		addresses = c.known
 	}
 	r.lastUsedAt = now
 	addresses.markUsed(r)
-	if g.limits.PerAddress > 0 && r.openConnections >= g.limits.PerAddress {
+	if c.limits.PerAddress > 0 && r.openConnections >= c.limits.PerAddress {
 		return TooManyConnections
 	}
-	if g.limits.Rate > 0 {
-		r.tokens = min(r.tokens+g.limits.Rate*float64(max(now-r.refilledAt, 0))/float64(second), g.limits.Burst)
+	if c.limits.Rate > 0 {
+		r.tokens = min(r.tokens+c.limits.Rate*float64(max(now-r.refilledAt, 0))/float64(second), c.limits.Burst)
 		r.refilledAt = max(now, r.refilledAt)
 		if r.tokens < 1 {
 			return RateExceeded
@@ -231,33 +231,33 @@
 }
 
 // Established records that a flow of an address was established. The address is known from then on.
-func (g *Controller) Established(key netip.Prefix, now int64) {
-	r := g.find(key)
+func (c *Controller) Established(key netip.Prefix, now int64) {
+	r := c.find(key)
 	if r == nil {
 		return
 	}
 	r.score = r.decayScore(now) + 1
 	if !r.known {
 		r.decayedAt = now
-		if !g.known.makeRoom() {
+		if !c.known.makeRoom() {
 			return
 		}
-		g.unknown.remove(r)
+		c.unknown.remove(r)
 		r.known = true
 	}
-	g.known.markUsed(r)
+	c.known.markUsed(r)
 }
 
 // Release releases an accepted connection that has closed.
-func (g *Controller) Release(key netip.Prefix) {
-	if r := g.find(key); r != nil && r.openConnections > 0 {
+func (c *Controller) Release(key netip.Prefix) {
+	if r := c.find(key); r != nil && r.openConnections > 0 {
 		r.openConnections--
 	}
 }
 
 // AddressCounts returns the number of addresses remembered, known and unknown.
-func (g *Controller) AddressCounts() (known, unknown int) {
-	return len(g.known.byAddress), len(g.unknown.byAddress)
+func (c *Controller) AddressCounts() (known, unknown int) {
+	return len(c.known.byAddress), len(c.unknown.byAddress)
 }
 
 // FairShares divides the capacity of a node among service types while the node is short of it. Each type has a share in
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -26,95 +26,95 @@
 }
 
 func TestConnectionCapPerAddress(t *testing.T) {
-	g := New(Limits{PerAddress: 3})
+	c := New(Limits{PerAddress: 3})
 	a, b := key("10.0.0.1"), key("10.0.0.2")
 	for i := range 5 {
-		if why := g.Admit(a, int64(i), 100); (why == Admitted) != (i < 3) {
+		if why := c.Admit(a, int64(i), 100); (why == Admitted) != (i < 3) {
 			t.Errorf("connection %d: %v", i, why)
 		}
 	}
-	if g.Admit(b, 9, 100) != Admitted {
+	if c.Admit(b, 9, 100) != Admitted {
 		t.Error("the cap of one address refuses another address")
 	}
-	g.Release(a)
-	if g.Admit(a, 10, 100) != Admitted || g.Admit(a, 11, 100) != TooManyConnections {
+	c.Release(a)
+	if c.Admit(a, 10, 100) != Admitted || c.Admit(a, 11, 100) != TooManyConnections {
 		t.Error("a closed connection should make room for exactly one more")
 	}
 }
 
 // An address that reconnects in a tight loop must get its allowed rate and no more.
 func TestRateLimitsReconnectLoop(t *testing.T) {
-	g := New(Limits{Rate: 10, Burst: 5})
+	c := New(Limits{Rate: 10, Burst: 5})
 	a, taken := key("10.0.0.1"), 0
 	for at := int64(0); at < 20*second; at += 1000 {
-		if g.Admit(a, at, 100) == Admitted {
+		if c.Admit(a, at, 100) == Admitted {
 			taken++
-			g.Release(a)
+			c.Release(a)
 		}
 	}
 	if taken < 200 || taken > 206 {
 		t.Errorf("%d connections accepted in 20 s at 10 per second", taken)
 	}
-	if g.Admit(a, 30*second, 100) != Admitted || g.Admit(a, 1*second, 100) != Admitted {
+	if c.Admit(a, 30*second, 100) != Admitted || c.Admit(a, 1*second, 100) != Admitted {
 		t.Error("a clock that goes back must not refuse an address that still has tokens")
 	}
 }
 
 // In a flood of new addresses, the tables must stay bounded, and known clients must stay known and get the reserve.
 func TestFloodOfNewAddresses(t *testing.T) {
-	g := New(Limits{Reserve: 10, KnownAddresses: 64, UnknownAddresses: 128})
+	c := New(Limits{Reserve: 10, KnownAddresses: 64, UnknownAddresses: 128})
 	var known []prefix
 	for i := range 32 {
 		k := key(fmt.Sprintf("10.1.0.%d", i+1))
 		known = append(known, k)
-		if g.Admit(k, 0, 100) != Admitted {
+		if c.Admit(k, 0, 100) != Admitted {
 			t.Fatal("refused while all descriptors are free")
 		}
-		g.Established(k, 0)
-		g.Release(k)
+		c.Established(k, 0)
+		c.Release(k)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 200_000 {
 		k := Key(netip.AddrFrom4([4]byte{172, byte(rng.Uint32()), byte(rng.Uint32()), byte(rng.Uint32())}))
-		if why := g.Admit(k, int64(i), 10); why != ReservedForKnown {
+		if why := c.Admit(k, int64(i), 10); why != ReservedForKnown {
 			t.Fatalf("an unknown address got a reserved descriptor: %v", why)
 		}
-		if g.Admit(k, int64(i), 11) == Admitted {
-			g.Release(k)
+		if c.Admit(k, int64(i), 11) == Admitted {
+			c.Release(k)
 		}
 	}
-	if n, m := g.AddressCounts(); n > 64 || m > 128 {
+	if n, m := c.AddressCounts(); n > 64 || m > 128 {
 		t.Errorf("%d known and %d unknown addresses are remembered", n, m)
 	}
 	for _, k := range known {
-		if !g.IsKnown(k, second) || g.Admit(k, second, 1) != Admitted {
+		if !c.IsKnown(k, second) || c.Admit(k, second, 1) != Admitted {
 			t.Fatal("a known client was refused during the flood")
 		}
 	}
 }
 
 func TestKnownAddressExpires(t *testing.T) {
-	g := New(Limits{Reserve: 5})
+	c := New(Limits{Reserve: 5})
 	a := key("10.0.0.1")
-	g.Admit(a, 0, 100)
-	g.Established(a, 0)
-	if !g.IsKnown(a, scoreHalfLife) || g.IsKnown(a, 4*scoreHalfLife) {
-		t.Errorf("known after one half-life %t, after four %t", g.IsKnown(a, scoreHalfLife), g.IsKnown(a, 4*scoreHalfLife))
+	c.Admit(a, 0, 100)
+	c.Established(a, 0)
+	if !c.IsKnown(a, scoreHalfLife) || c.IsKnown(a, 4*scoreHalfLife) {
+		t.Errorf("known after one half-life %t, after four %t", c.IsKnown(a, scoreHalfLife), c.IsKnown(a, 4*scoreHalfLife))
 	}
 }
 
 // An address with open connections must never be evicted: its connection cap would no longer be enforced.
 func TestAddressWithConnectionsIsNotEvicted(t *testing.T) {
-	g := New(Limits{PerAddress: 1, UnknownAddresses: 8})
+	c := New(Limits{PerAddress: 1, UnknownAddresses: 8})
 	a := key("10.0.0.1")
-	g.Admit(a, 0, 100)
+	c.Admit(a, 0, 100)
 	for i := range 1000 {
 		k := key(fmt.Sprintf("10.2.%d.%d", i/250, i%250))
-		if g.Admit(k, int64(i), 100) == Admitted {
-			g.Release(k)
+		if c.Admit(k, int64(i), 100) == Admitted {
+			c.Release(k)
 		}
 	}
-	if why := g.Admit(a, 2000, 100); why != TooManyConnections {
+	if why := c.Admit(a, 2000, 100); why != TooManyConnections {
 		t.Errorf("the record of an open connection was evicted: %v", why)
 	}
 }
--- a/capture/capture.go
+++ b/capture/capture.go
@@ -86,12 +86,12 @@
 }
 
 func (f Flow) line() string {
-	again := 0
+	returning := 0
 	if f.Returning {
-		again = 1
+		returning = 1
 	}
 	return withChecksum(fmt.Sprintf("F %d %d %s %s %s %d %d %c %d %s %d", f.Number, f.At, f.Type, f.Key,
-		emptyToDash(f.Group), again, f.ConnectTimeout,
+		emptyToDash(f.Group), returning, f.ConnectTimeout,
 		f.Answer, f.AnswerTime, emptyToDash(f.Host), f.Connects))
 }
 
--- a/cmd/coursewinch/broken_link_test.go
+++ b/cmd/coursewinch/broken_link_test.go
@@ -23,43 +23,43 @@
 	request := fmt.Sprintf("OPEN %d 7f3a c=chat,d=2000\r\n", flowIDs.Add(1))
 	io.WriteString(partial, request[:9])
 	flows := 1
-	for steps, step := range []string{"connected", "hello", "a part of the state", "the state", "taken", "yielded"} {
+	for completedSteps, lastStep := range []string{"connected", "hello", "a part of the state", "the state", "taken", "yielded"} {
 		link, err := handover.Dial(handover.SocketPath(folder, "n0", "127.0.0.1:0"), stateTimeout)
 		if err != nil {
-			t.Fatal(step, err)
+			t.Fatal(lastStep, err)
 		}
 		link.SetTimeout(testTimeout)
 		receive := func() *handover.Message {
 			m, fds, err := link.Receive()
 			if err != nil {
-				t.Fatal(step, err)
+				t.Fatal(lastStep, err)
 			}
 			closeAll(fds)
 			return m
 		}
-		if steps >= 1 {
+		if completedSteps >= 1 {
 			if err := link.SendBlocking(&handover.Message{Hello: &handover.Hello{Name: "n0", Listen: "127.0.0.1:0"}}); err != nil {
-				t.Fatal(step, err)
+				t.Fatal(lastStep, err)
 			}
 		}
-		for part := 0; steps >= 2; part++ {
+		for part := 0; completedSteps >= 2; part++ {
 			if m := receive(); m.State == nil {
-				t.Fatalf("%s: %+v", step, m)
-			} else if m.State.No == m.State.Of || steps == 2 {
+				t.Fatalf("%s: %+v", lastStep, m)
+			} else if m.State.No == m.State.Of || completedSteps == 2 {
 				break
 			}
 		}
-		if steps >= 4 {
+		if completedSteps >= 4 {
 			if err := link.SendBlocking(&handover.Message{Take: true}); err != nil {
-				t.Fatal(step, err)
+				t.Fatal(lastStep, err)
 			}
 		}
-		if steps >= 5 && receive().Yield == nil {
+		if completedSteps >= 5 && receive().Yield == nil {
 			t.Fatal("the message after taking over is not a yield")
 		}
 		link.Close()
-		if steps >= 1 {
-			p.waitForCount(t, "msg=other_process_gone", steps)
+		if completedSteps >= 1 {
+			p.waitForCount(t, "msg=other_process_gone", completedSteps)
 		}
 		p.openFlow(t, "").wantLine(t, "UP 1\r\n") // at the listener, which had stopped accepting in two of these steps
 		flows++
--- a/cmd/coursewinch/config.go
+++ b/cmd/coursewinch/config.go
@@ -198,23 +198,23 @@
 // checkCluster reads the fleet that this node belongs to. If the cluster is on without addresses, the node relies on
 // its own measurements.
 func (c *config) checkCluster() (err error) {
-	k := c.Cluster
+	cluster := c.Cluster
 	if err := c.checkLimits(); err != nil {
 		return err
 	}
 	switch {
-	case !k.On && (k.Listen != "" || len(k.Nodes) > 0):
+	case !cluster.On && (cluster.Listen != "" || len(cluster.Nodes) > 0):
 		return errors.New("addresses are given, but it is not on")
-	case !k.On || k.Listen == "" && len(k.Nodes) == 0:
+	case !cluster.On || cluster.Listen == "" && len(cluster.Nodes) == 0:
 		return nil
-	case k.Listen == "" || len(k.Nodes) == 0 || len(k.Nodes) > maxPeers:
+	case cluster.Listen == "" || len(cluster.Nodes) == 0 || len(cluster.Nodes) > maxPeers:
 		return fmt.Errorf("an address to listen at and 1 to %d nodes are required", maxPeers)
 	case len(c.peerAddresses) > 0:
 		return errors.New("peers are given as well; only one of the two is allowed")
 	case c.Name == "":
 		return errors.New("a node of a fleet needs a name")
 	}
-	c.clusterAddresses, err = parseAddresses(k.Listen, k.Nodes)
+	c.clusterAddresses, err = parseAddresses(cluster.Listen, cluster.Nodes)
 	return err
 }
 
--- a/cmd/coursewinch/handover.go
+++ b/cmd/coursewinch/handover.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// setMemoryShare sets the memory limit of this process, if the node has this number of processes.
+// setMemoryShare sets the memory limit of this process to its part of the node's limit: three quarters of that, divided by
+// the number of the node's processes.
 func (h *handoverManager) setMemoryShare(processes int64) {
 	if h.memoryLimit > 0 {
 		debug.SetMemoryLimit(h.memoryLimit * 3 / 4 / processes)
@@ -105,7 +106,9 @@
 	}
 }
 
-// openListener opens the clients' listener: the one of the running process if it hands it over, or else a new one.
+// openListener opens the clients' listener. If another process of this node is running and hands its listener over, this
+// process also inherits its state and limits. Otherwise the listener is a new one. With a new one, this process listens for a
+// successor at once; after a handover it does so when it takes over.
 func (h *handoverManager) openListener() (netip.AddrPort, error) {
 	folder := os.Getenv("TMPDIR")
 	if folder == "" {
--- a/cmd/coursewinch/main.go
+++ b/cmd/coursewinch/main.go
@@ -64,13 +64,13 @@
 	reload     atomic.Bool
 
 	clientAddress netip.AddrPort
-	adminAddress  string // "off" without one
-	peerAddress   string // "off" without one
-	clusterState  string // the address, or why there is none
-	rebindAt      int64  // when to bind the cluster address again; 0 if it is bound
+	adminAddress  string // "off" if there is none
+	peerAddress   string // "off" if there is none
+	clusterState  string // the bound address, or "off", "alone" or "waiting" without one
+	rebindAt      int64  // when to try again to bind the cluster address, in microseconds; 0 if no attempt is pending
 }
 
-// randomProcessID returns an id that no other process has.
+// randomProcessID returns a random number that distinguishes this process from all others.
 func randomProcessID() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
@@ -86,7 +86,7 @@
 		return fmt.Errorf("config: %w", err)
 	}
 	p.config = c
-	if c.Limits.Memory > 0 {
+	if c.Limits.Memory > 0 { // megabytes; the Go runtime may use three quarters of them
 		debug.SetMemoryLimit(c.Limits.Memory << 20 * 3 / 4)
 	}
 	if err := p.createLoop(); err != nil {
--- a/cmd/coursewinch/main_test.go
+++ b/cmd/coursewinch/main_test.go
@@ -37,8 +37,8 @@
 // fakeHost is a host for tests. It answers an OPEN line with answer, PING with PONG, and echoes all other lines.
 type fakeHost struct {
 	listener net.Listener
-	opens    chan string
-	conns    chan net.Conn
+	opens    chan string   // the OPEN lines that arrived
+	conns    chan net.Conn // the connection of each of them
 	answer   string
 }
 
@@ -88,7 +88,7 @@
 // fakeDiscovery is a discovery service for tests. Every watch gets the first list, then those that are sent to lists.
 type fakeDiscovery struct {
 	addr      string
-	queries   chan string
+	queries   chan string // the query of each watch
 	firstList string
 	lists     chan string // an empty text ends the watch
 }
@@ -109,11 +109,11 @@
 		w.(http.Flusher).Flush()
 		for {
 			select {
-			case listener := <-d.lists:
-				if listener == "" {
+			case list := <-d.lists:
+				if list == "" {
 					return
 				}
-				io.WriteString(w, listener+"\n")
+				io.WriteString(w, list+"\n")
 			case <-time.After(500 * time.Millisecond):
 				io.WriteString(w, "\n")
 			case <-r.Context().Done():
@@ -127,7 +127,7 @@
 	return d
 }
 
-// listText is a list of hosts as discovery sends it.
+// listText returns a whole list of hosts, all in one state, as discovery sends it.
 func listText(rev int, state string, hosts ...*fakeHost) string {
 	var entries []string
 	for i, h := range hosts {
@@ -200,6 +200,7 @@
 	return p
 }
 
+// configText returns a configuration file with the list known at the start and the limit of sockets.
 func configText(d *fakeDiscovery, known string, sockets int) string {
 	c, _ := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": d.addr,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": sockets},
@@ -517,13 +518,13 @@
 	}
 }
 
-// configWithPeers is a configuration with other nodes, and with the settings' value of Peers.
+// configWithPeers returns a configuration file with a peers section and this value of the setting Peers.
 func configWithPeers(peers, allowed string) string {
 	return `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peers":{` + peers + `},"settings":` +
 		strings.Replace(settingsText, `"Probing"`, `"Peers":`+allowed+`,"Probing"`, 1) + `}`
 }
 
-// configWithCluster is a configuration with a fleet.
+// configWithCluster returns a configuration file with a cluster section.
 func configWithCluster(cluster string) string {
 	return `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","cluster":` + cluster + `,"settings":` + settingsText + `}`
 }
@@ -571,12 +572,12 @@
 // callAdmin sends one request to the admin address.
 func (p *program) callAdmin(t *testing.T, method, path string) (status int, body string) {
 	t.Helper()
-	r, _ := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
-	a, err := (&http.Client{Timeout: testTimeout}).Do(r)
+	request, _ := http.NewRequest(method, "http://"+p.adminAddr+path, nil)
+	response, err := (&http.Client{Timeout: testTimeout}).Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
-	text, _ := io.ReadAll(a.Body)
-	return a.StatusCode, string(text)
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
 }
--- a/cmd/rehearse/play.go
+++ b/cmd/rehearse/play.go
@@ -15,10 +15,11 @@
 	"coursewinch/rehearsal/virtual"
 )
 
-// outputs are the flags for the results of a run.
+// outputs are the flags for the results of a run. The texts are paths of files to write; a file without a path is not
+// written.
 type outputs struct {
-	json    bool
-	answers string // file, as the others
+	json    bool // print figures as JSON
+	answers string
 	logs    string
 	html    string
 }
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -16,10 +16,10 @@
 // Entry is one host of a list. It is encoded as JSON under its field names when a process hands its list over.
 type Entry struct {
 	UID, Endpoint, Zone string  // Endpoint is the host's address and port
-	Cell                int     // the group of pods ("pod_group") that the host belongs to
+	Cell                int     // the host's cell ("pod_group"); hosts of one cell may recognise repeats of each other's flows
 	State               string  // ready, draining or gone
 	Size                float64 // capacity relative to other hosts ("capacity_hint"); 1 if the list does not say
-	BootMs              int64   // when the host started, milliseconds since 1970
+	BootMs              int64   // when the host started ("boot_ms"), milliseconds since 1970
 }
 
 // List is a whole list of hosts (All), or the entries that changed. Like Entry, it is encoded under its field names.
--- a/epoll/close.go
+++ b/epoll/close.go
@@ -44,7 +44,8 @@
 }
 
 // CloseDetached closes a socket gracefully without its handler, which forgets the id: the content of the output ring is
-// sent, and input is discarded until the other side closes.
+// sent, and input is discarded until the other side closes. A socket that is connecting or has failed, or an operator's, is
+// closed at once.
 func (l *Loop) CloseDetached(id uint64) {
 	s := l.lookup(id)
 	if s == nil || s.fd < 0 || s.connecting || s.unregistered || s.operator {
--- a/epoll/loop.go
+++ b/epoll/loop.go
@@ -48,7 +48,10 @@
 	closingTag        = -5
 )
 
-const maxEvents = 256 // of one wait
+const (
+	maxEvents = 256    // of one wait
+	maxWaitMs = 60_000 // milliseconds; a longer wait ends then, without events
+)
 
 // Loop is an event loop and the sockets of one program.
 type Loop struct {
@@ -119,11 +122,12 @@
 // Wake interrupts a Wait. It may be called from another goroutine.
 func (l *Loop) Wake() { unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
 
-// Wait waits for events for at most us microseconds, or without a limit if us is negative.
+// Wait waits for events for at most us microseconds, or without a limit if us is negative. It returns earlier if a timer of
+// the loop itself expires, and may return without events.
 func (l *Loop) Wait(us int64) error {
 	ms := -1
 	if us >= 0 {
-		ms = int(min((us+999)/1000, 60_000))
+		ms = int(min((us+999)/1000, maxWaitMs))
 	}
 	if next := l.nextDeadline(); next > 0 {
 		left := int((next - monotonicMicros() + 999) / 1000)
--- a/handover/handover.go
+++ b/handover/handover.go
@@ -87,7 +87,7 @@
 	Grouped, Again     bool   // it belongs to Group; its client had connected before
 	Hint, Load         float64
 	Age                int64  // microseconds since it was established
-	Process            uint64 // the predecessor's process id among the nodes; 0 if it enforces no fleet-wide limits
+	Process            uint64 // random number by which other nodes know the predecessor; 0 if it belongs to no fleet, or Left has run out
 	Left               int64  // microseconds for which the predecessor's permits for the flow remain valid
 	Host               discovery.Entry
 	ClientIn, HostIn   []byte // received from the client or the host, and not passed on yet
--- a/lines/lines.go
+++ b/lines/lines.go
@@ -19,7 +19,7 @@
 type Open struct {
 	ID             string
 	Key            string
-	ServiceType    string // service type
+	ServiceType    string // its name
 	ConnectTimeout int64  // the client's connect timeout, microseconds
 	Group          string
 	Returning      bool    // this client has connected before
--- a/lines/stats.go
+++ b/lines/stats.go
@@ -21,10 +21,10 @@
 }
 
 // Value returns the value at an index. ok is false if there is no value there, or no valid one.
-func (f LoadReport) Value(index int) (value float64, ok bool) {
-	if index < 0 || index >= len(f) {
+func (r LoadReport) Value(index int) (value float64, ok bool) {
+	if index < 0 || index >= len(r) {
 		return 0, false
 	}
-	value, err := strconv.ParseFloat(string(f[index]), 64)
+	value, err := strconv.ParseFloat(string(r[index]), 64)
 	return value, err == nil && value >= 0 && value < maxReportValue
 }
--- a/simwire/adapter.go
+++ b/simwire/adapter.go
@@ -67,57 +67,57 @@
 }
 
 // Run answers batches until the input ends. It returns an error with the line number for input that breaks the protocol.
-func (d *Adapter) Run() error {
+func (a *Adapter) Run() error {
 	for {
-		if err := d.handleBatch(); err == io.EOF {
+		if err := a.handleBatch(); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		if err := d.out.Flush(); err != nil {
+		if err := a.out.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
 // readLine reads the next line and splits it into its fields.
-func (d *Adapter) readLine() error {
-	raw, err := d.in.ReadSlice('\n')
+func (a *Adapter) readLine() error {
+	raw, err := a.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		d.longLine = append(d.longLine[:0], raw...)
+		a.longLine = append(a.longLine[:0], raw...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			raw, err = d.in.ReadSlice('\n')
-			d.longLine = append(d.longLine, raw...)
+			raw, err = a.in.ReadSlice('\n')
+			a.longLine = append(a.longLine, raw...)
 		}
-		raw = d.longLine
+		raw = a.longLine
 	}
 	if err != nil && len(raw) == 0 {
 		return err
 	}
-	d.line.number++
+	a.line.number++
 	if err != nil {
-		return fmt.Errorf("line %d: truncated", d.line.number)
+		return fmt.Errorf("line %d: truncated", a.line.number)
 	}
-	d.line.split(raw[:len(raw)-1])
+	a.line.split(raw[:len(raw)-1])
 	return nil
 }
 
 // handleBatch handles one batch, from its mark line to over_to_you, and writes the reply.
-func (d *Adapter) handleBatch() error {
-	if err := d.readLine(); err != nil {
+func (a *Adapter) handleBatch() error {
+	if err := a.readLine(); err != nil {
 		return err
 	}
-	l := &d.line
+	l := &a.line
 	if string(l.name) != "mark" {
 		return fmt.Errorf("line %d: a batch begins with mark, not %q", l.number, l.name)
 	}
-	d.now = l.takeMicros("TMs")
+	a.now = l.takeMicros("TMs")
 	if err := l.endOfLine(); err != nil {
 		return err
 	}
-	d.repliedID, d.err = -1, nil
+	a.repliedID, a.err = -1, nil
 	more := true
-	if err := d.nextLine(); err != nil {
+	if err := a.nextLine(); err != nil {
 		return err
 	}
 	for more {
@@ -128,93 +128,93 @@
 				return err
 			}
 		case "at":
-			d.instanceID = l.takeCount("Node", false)
+			a.instanceID = l.takeCount("Node", false)
 			if err := l.endOfLine(); err != nil {
 				return err
 			}
-			d.current = d.instances[d.instanceID]
-			if err := d.handleInstance(); err != nil {
+			a.current = a.instances[a.instanceID]
+			if err := a.handleInstance(); err != nil {
 				return err
 			}
 		default:
 			return fmt.Errorf("line %d: %q comes before at", l.number, l.name)
 		}
 	}
-	d.out.WriteString("finished\n")
+	a.out.WriteString("finished\n")
 	return nil
 }
 
 // nextLine reads the next line of a batch.
-func (d *Adapter) nextLine() error {
-	if err := d.readLine(); err != nil {
-		return d.endWithinBatch(err)
+func (a *Adapter) nextLine() error {
+	if err := a.readLine(); err != nil {
+		return a.endWithinBatch(err)
 	}
 	return nil
 }
 
 // endWithinBatch replaces the end of the input, which is an error within a batch.
-func (d *Adapter) endWithinBatch(err error) error {
+func (a *Adapter) endWithinBatch(err error) error {
 	if err == io.EOF {
-		return fmt.Errorf("line %d: the input ends within a batch", d.line.number+1)
+		return fmt.Errorf("line %d: the input ends within a batch", a.line.number+1)
 	}
 	return err
 }
 
 // handleInstance handles the lines of one instance, up to the next at or over_to_you.
-func (d *Adapter) handleInstance() error {
-	if err := d.nextLine(); err != nil {
+func (a *Adapter) handleInstance() error {
+	if err := a.nextLine(); err != nil {
 		return err
 	}
 	for {
-		for d.handleLifecycle() {
-			if d.err != nil {
-				return d.err
+		for a.handleLifecycle() {
+			if a.err != nil {
+				return a.err
 			}
-			if err := d.nextLine(); err != nil {
+			if err := a.nextLine(); err != nil {
 				return err
 			}
 		}
-		if d.err != nil {
-			return d.err
+		if a.err != nil {
+			return a.err
 		}
-		if d.atBoundary() {
+		if a.atBoundary() {
 			return nil
 		}
-		if d.current == nil {
-			return fmt.Errorf("line %d: %s for instance %d, which has no settings", d.line.number, d.line.name, d.instanceID)
+		if a.current == nil {
+			return fmt.Errorf("line %d: %s for instance %d, which has no settings", a.line.number, a.line.name, a.instanceID)
 		}
-		d.runRound()
-		if d.err != nil {
-			return d.err
+		a.runRound()
+		if a.err != nil {
+			return a.err
 		}
-		if d.atBoundary() {
+		if a.atBoundary() {
 			return nil
 		}
 	}
 }
 
 // atBoundary reports whether the current line ends the events of an instance.
-func (d *Adapter) atBoundary() bool {
-	return string(d.line.name) == "at" || string(d.line.name) == "over_to_you"
+func (a *Adapter) atBoundary() bool {
+	return string(a.line.name) == "at" || string(a.line.name) == "over_to_you"
 }
 
 // runRound runs a round of the Balancer with the events that follow. A panic is reported to the simulator with its
 // cause, and the rest of the events is skipped.
-func (d *Adapter) runRound() {
+func (a *Adapter) runRound() {
 	defer func() {
 		if p := recover(); p != nil {
-			d.writeCall("bail_out", fmt.Sprintf("panic: %v", p))
-			d.endLine()
-			d.err = d.skipInstance()
+			a.writeCall("bail_out", fmt.Sprintf("panic: %v", p))
+			a.endLine()
+			a.err = a.skipInstance()
 		}
 	}()
-	d.current.balancer.Round(d.now, d.handleEvents, d)
+	a.current.balancer.Round(a.now, a.handleEvents, a)
 }
 
 // skipInstance skips the rest of the instance's events.
-func (d *Adapter) skipInstance() error {
-	for !d.atBoundary() {
-		if err := d.nextLine(); err != nil {
+func (a *Adapter) skipInstance() error {
+	for !a.atBoundary() {
+		if err := a.nextLine(); err != nil {
 			return err
 		}
 	}
@@ -222,21 +222,21 @@
 }
 
 // handleLifecycle handles the lines that start and stop an instance. It returns false for other lines.
-func (d *Adapter) handleLifecycle() bool {
-	l := &d.line
+func (a *Adapter) handleLifecycle() bool {
+	l := &a.line
 	switch string(l.name) {
 	case "configure":
 		seed := l.takeCount("Entropy", false)
 		if l.err != nil {
-			d.err = l.err
+			a.err = l.err
 			return true
 		}
 		set, err := settings.ParsePairs(l.fields[l.next:])
 		if err != nil {
-			d.err = fmt.Errorf("line %d: configure: %w", l.number, err)
+			a.err = fmt.Errorf("line %d: configure: %w", l.number, err)
 			return true
 		}
-		d.current = &instance{
+		a.current = &instance{
 			balancer:           balance.New(&set.Settings, seed),
 			settings:           set,
 			flows:              map[string]*balance.Flow{},
@@ -245,31 +245,31 @@
 			serversByShortHash: map[uint32]*balance.Server{},
 			groupsByShortHash:  map[uint32]*balance.Group{},
 		}
-		d.instances[d.instanceID] = d.current
+		a.instances[a.instanceID] = a.current
 		return true
 	case "stop":
-		d.err = l.endOfLine()
-		delete(d.instances, d.instanceID)
-		d.current = nil
+		a.err = l.endOfLine()
+		delete(a.instances, a.instanceID)
+		a.current = nil
 		return true
 	}
 	return false
 }
 
 // handleEvents makes the calls for the lines of one instance, up to the next boundary or lifecycle line.
-func (d *Adapter) handleEvents(b *balance.Balancer) {
-	for !d.atBoundary() {
-		if name := string(d.line.name); name == "configure" || name == "stop" {
+func (a *Adapter) handleEvents(b *balance.Balancer) {
+	for !a.atBoundary() {
+		if name := string(a.line.name); name == "configure" || name == "stop" {
 			return
 		}
-		d.handleEvent(b)
-		if d.err == nil {
-			d.err = d.line.endOfLine()
+		a.handleEvent(b)
+		if a.err == nil {
+			a.err = a.line.endOfLine()
 		}
-		if d.err == nil {
-			d.err = d.nextLine()
+		if a.err == nil {
+			a.err = a.nextLine()
 		}
-		if d.err != nil {
+		if a.err != nil {
 			return
 		}
 	}
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -14,7 +14,7 @@
 // Bits of the field Flags.
 const (
 	flagPredicted  = 1      // PredictedMs holds a prediction
-	flagsReturning = 2 | 16 // the client has connected before
+	flagsReturning = 2 | 16 // either bit: the client has connected before
 )
 
 // Values of the field Topic of a signal.
@@ -30,46 +30,46 @@
 )
 
 // handleEvent makes the call for the current line.
-func (d *Adapter) handleEvent(b *balance.Balancer) {
-	l := &d.line
+func (a *Adapter) handleEvent(b *balance.Balancer) {
+	l := &a.line
 	switch string(l.name) {
 	case "demand":
-		d.handleDemand(b)
+		a.handleDemand(b)
 	case "handover":
-		d.handleHandover(b)
+		a.handleHandover(b)
 	case "established":
-		d.handleEstablished(b)
+		a.handleEstablished(b)
 	case "signal":
-		d.handleSignal(b)
+		a.handleSignal(b)
 	case "response":
-		d.handleResponse(b)
+		a.handleResponse(b)
 	case "expired":
-		d.handleExpired()
+		a.handleExpired()
 	case "probed":
-		d.handleProbed(b)
+		a.handleProbed(b)
 	case "tick_due":
 		l.takeCount("Ref", false)
 		if l.endOfLine() == nil {
 			b.AlarmFired()
 		}
 	case "announce":
-		d.handleAnnounce(b)
+		a.handleAnnounce(b)
 	case "whisper":
 		l.takeCount("SrcPeer", false)
 		payload := l.takeAny("Payload")
 		if l.endOfLine() == nil {
-			d.current.handlePeerMessage(b, payload)
+			a.current.handlePeerMessage(b, payload)
 		}
 	default:
-		d.err = fmt.Errorf("line %d: unknown message %q", l.number, l.name)
+		a.err = fmt.Errorf("line %d: unknown message %q", l.number, l.name)
 	}
 }
 
 // handleDemand handles a new flow.
-func (d *Adapter) handleDemand(b *balance.Balancer) {
-	l, n := &d.line, d.current
+func (a *Adapter) handleDemand(b *balance.Balancer) {
+	l, n := &a.line, a.current
 	id, flags := string(l.takeText("Ref")), l.takeCount("Flags", false)
-	f := d.newFlow(id, l.takeIndex("Priority", len(n.settings.Types), false))
+	f := a.newFlow(id, l.takeIndex("Priority", len(n.settings.Types), false))
 	l.takeCount("Team", true)
 	f.Hash = keyHash(l.takeAny("Object"))
 	f.Returning = flags&flagsReturning != 0
@@ -79,26 +79,26 @@
 	if l.endOfLine() != nil {
 		return
 	}
-	f.Deadline = d.now + left
+	f.Deadline = a.now + left
 	n.flows[id] = f
 	b.PlaceFlow(f)
 }
 
 // handleHandover handles a flow that is established already, on a server chosen by another instance.
-func (d *Adapter) handleHandover(b *balance.Balancer) {
-	l, n := &d.line, d.current
+func (a *Adapter) handleHandover(b *balance.Balancer) {
+	l, n := &a.line, a.current
 	id := string(l.takeText("Ref"))
 	l.takeMicros("LeftMs")
-	s := d.serverByName(l.takeText("Host"))
+	s := a.serverByName(l.takeText("Host"))
 	serviceType := l.takeIndex("Priority", len(n.settings.Types), false)
 	predicted := l.takeNumber("PredictedMs")
 	l.takeCount("Team", true)
 	flags := l.takeCount("Flags", false)
 	group, object := l.takeAny("Channel"), l.takeAny("Object")
-	if l.endOfLine() != nil || d.err != nil {
+	if l.endOfLine() != nil || a.err != nil {
 		return
 	}
-	f := d.newFlow(id, serviceType)
+	f := a.newFlow(id, serviceType)
 	f.LoadHint, f.Group, f.Hash = loadHint(flags, predicted), n.groupByName(group), keyHash(object)
 	state := f.Ref.(*flowState)
 	state.connects, state.pending = append(state.connects, s), 1
@@ -107,9 +107,9 @@
 }
 
 // handleEstablished handles a connect that succeeded.
-func (d *Adapter) handleEstablished(b *balance.Balancer) {
-	l := &d.line
-	f, _ := d.takeConnect()
+func (a *Adapter) handleEstablished(b *balance.Balancer) {
+	l := &a.line
+	f, _ := a.takeConnect()
 	took := l.takeMicros("DelaySeenMs")
 	l.takeText("Host")
 	if f != nil && l.endOfLine() == nil {
@@ -118,12 +118,12 @@
 }
 
 // handleSignal handles a measured load of a flow, or a measured delay of a server.
-func (d *Adapter) handleSignal(b *balance.Balancer) {
-	l := &d.line
-	f, _ := d.takeConnect()
-	s := d.serverByName(l.takeText("Host"))
+func (a *Adapter) handleSignal(b *balance.Balancer) {
+	l := &a.line
+	f, _ := a.takeConnect()
+	s := a.serverByName(l.takeText("Host"))
 	topic, amount := l.takeCount("Topic", false), l.takeNumber("Amount")
-	if l.endOfLine() != nil || d.err != nil {
+	if l.endOfLine() != nil || a.err != nil {
 		return
 	}
 	if topic == topicLoad && f != nil {
@@ -134,12 +134,12 @@
 }
 
 // handleResponse handles the outcome of a connect, and the end of its flow if the flow has finished.
-func (d *Adapter) handleResponse(b *balance.Balancer) {
-	l := &d.line
-	f, s := d.takeConnect()
+func (a *Adapter) handleResponse(b *balance.Balancer) {
+	l := &a.line
+	f, s := a.takeConnect()
 	l.takeText("Host")
-	outcome, took, finished := d.takeOutcome(), l.takeMicros("DelaySeenMs"), l.takeFlag("Over")
-	load, reported := d.loadReport()
+	outcome, took, finished := a.takeOutcome(), l.takeMicros("DelaySeenMs"), l.takeFlag("Over")
+	load, reported := a.loadReport()
 	if f == nil || l.endOfLine() != nil {
 		return
 	}
@@ -151,13 +151,13 @@
 	state.finished = state.finished || finished
 	b.Ended(f, s, outcome, took, state.finished)
 	if state.finished && state.pending == 0 {
-		delete(d.current.flows, state.id)
+		delete(a.current.flows, state.id)
 	}
 }
 
 // handleExpired forgets a flow, after the outcomes of its pending connects.
-func (d *Adapter) handleExpired() {
-	l, n := &d.line, d.current
+func (a *Adapter) handleExpired() {
+	l, n := &a.line, a.current
 	id := l.takeText("Ref")
 	if l.endOfLine() != nil {
 		return
@@ -172,12 +172,12 @@
 }
 
 // handleProbed handles the outcome of a probe.
-func (d *Adapter) handleProbed(b *balance.Balancer) {
-	l := &d.line
-	s, outcome := d.serverByName(l.takeText("Host")), d.takeOutcome()
+func (a *Adapter) handleProbed(b *balance.Balancer) {
+	l := &a.line
+	s, outcome := a.serverByName(l.takeText("Host")), a.takeOutcome()
 	took := l.takeMicros("DelaySeenMs")
-	load, reported := d.loadReport()
-	if l.endOfLine() == nil && d.err == nil {
+	load, reported := a.loadReport()
+	if l.endOfLine() == nil && a.err == nil {
 		if reported {
 			b.LoadReported(s, load, true)
 		}
@@ -186,8 +186,8 @@
 }
 
 // handleAnnounce handles a list of servers: the current line and the item lines that follow.
-func (d *Adapter) handleAnnounce(b *balance.Balancer) {
-	l := &d.line
+func (a *Adapter) handleAnnounce(b *balance.Balancer) {
+	l := &a.line
 	scope := l.takeText("Scope")
 	kind := balance.ListKind(max(slices.Index(listKinds, string(scope)), 0))
 	if l.err == nil && !slices.Contains(listKinds, string(scope)) {
@@ -200,15 +200,15 @@
 	}
 	b.BeginList(kind)
 	for range items {
-		if d.err = d.nextLine(); d.err != nil {
+		if a.err = a.nextLine(); a.err != nil {
 			return
 		}
 		if string(l.name) != "item" {
-			d.err = fmt.Errorf("line %d: %s instead of an item of announce", l.number, l.name)
+			a.err = fmt.Errorf("line %d: %s instead of an item of announce", l.number, l.name)
 			return
 		}
-		d.handleItem(b)
-		if d.err != nil {
+		a.handleItem(b)
+		if a.err != nil {
 			return
 		}
 	}
@@ -216,8 +216,8 @@
 }
 
 // handleItem handles one entry of a list of servers.
-func (d *Adapter) handleItem(b *balance.Balancer) {
-	l, n := &d.line, d.current
+func (a *Adapter) handleItem(b *balance.Balancer) {
+	l, n := &a.line, a.current
 	host := l.takeText("Host")
 	zone, _, cell := l.takeCount("Site", false), l.takeCount("Sku", false), l.takeCount("Cohort", false)
 	availability := l.takeText("Availability")
@@ -226,7 +226,7 @@
 		l.fail("Availability", fmt.Sprintf("is not a server state: %q", availability))
 	}
 	size, ready := l.takeNumber("Scale"), l.takeMicros("ReadyAtMs")
-	if d.err = l.endOfLine(); d.err != nil {
+	if a.err = l.endOfLine(); a.err != nil {
 		return
 	}
 	s := n.servers[string(host)]
@@ -243,8 +243,8 @@
 }
 
 // loadReport takes the load from a load report. An invalid report is ignored, like an invalid message of another node.
-func (d *Adapter) loadReport() (load float64, reported bool) {
-	return lines.LoadReport(bytes.Split(d.line.takeAny("Usage"), []byte(","))).Value(d.current.settings.LoadReportIndex)
+func (a *Adapter) loadReport() (load float64, reported bool) {
+	return lines.LoadReport(bytes.Split(a.line.takeAny("Usage"), []byte(","))).Value(a.current.settings.LoadReportIndex)
 }
 
 // handlePeerMessage handles a message of another node. An invalid message is ignored.
@@ -272,11 +272,11 @@
 	return ms * 1000
 }
 
-// newFlow returns a flow of a service type, which is limited to the configured types.
-func (d *Adapter) newFlow(id string, serviceType int) *balance.Flow {
-	serviceType = min(max(serviceType, 0), len(d.current.settings.Types)-1)
-	return &balance.Flow{Type: &d.current.settings.Types[serviceType], TypeIndex: serviceType,
-		Passthrough: d.current.settings.PassThrough, Ref: &flowState{id: id}}
+// newFlow returns a flow of a service type, given by its index. An index out of range is replaced by the nearest valid one.
+func (a *Adapter) newFlow(id string, serviceType int) *balance.Flow {
+	serviceType = min(max(serviceType, 0), len(a.current.settings.Types)-1)
+	return &balance.Flow{Type: &a.current.settings.Types[serviceType], TypeIndex: serviceType,
+		Passthrough: a.current.settings.PassThrough, Ref: &flowState{id: id}}
 }
 
 // groupByShortHash returns the group with the hash that peer messages use, and creates it on first use.
@@ -302,32 +302,32 @@
 }
 
 // serverByName returns the server of this name. It sets the adapter's error if no list has named it.
-func (d *Adapter) serverByName(p []byte) *balance.Server {
-	s := d.current.servers[string(p)]
+func (a *Adapter) serverByName(p []byte) *balance.Server {
+	s := a.current.servers[string(p)]
 	if s == nil {
-		if d.line.err == nil {
-			d.line.fail("Host", fmt.Sprintf("is not on any list: %q", p))
+		if a.line.err == nil {
+			a.line.fail("Host", fmt.Sprintf("is not on any list: %q", p))
 		}
-		d.err = d.line.err
+		a.err = a.line.err
 	}
 	return s
 }
 
 // takeOutcome takes the outcome of a connect or a probe.
-func (d *Adapter) takeOutcome() balance.Outcome {
-	p := d.line.takeText("Disposition")
+func (a *Adapter) takeOutcome() balance.Outcome {
+	p := a.line.takeText("Disposition")
 	outcome, ok := outcomesByName[string(p)]
 	if !ok {
-		d.line.fail("Disposition", fmt.Sprintf("is not an outcome: %q", p))
+		a.line.fail("Disposition", fmt.Sprintf("is not an outcome: %q", p))
 	}
 	return outcome
 }
 
 // takeConnect takes a flow's id and the index of one of its connects. The flow is nil if its id has been forgotten.
-func (d *Adapter) takeConnect() (*balance.Flow, *balance.Server) {
-	l := &d.line
+func (a *Adapter) takeConnect() (*balance.Flow, *balance.Server) {
+	l := &a.line
 	id, index := l.takeText("Ref"), l.takeCount("Shot", false)
-	f := d.current.flows[string(id)]
+	f := a.current.flows[string(id)]
 	if f == nil || l.err != nil {
 		return nil, nil
 	}
