--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -12,6 +12,8 @@
 
 type prefix = netip.Prefix
 
+// Addresses that one client can choose among have to count as one: forms of one IPv4 address, and all addresses of an IPv6 /64.
+// Other addresses have to count separately.
 func TestKey(t *testing.T) {
 	for _, c := range []struct {
 		a, b string
@@ -25,6 +27,7 @@
 	}
 }
 
+// An address that reached its cap must get no further connection until one of its own closes. Other addresses are not affected.
 func TestConnectionCapPerAddress(t *testing.T) {
 	c := New(Limits{PerAddress: 3})
 	a, b := key("10.0.0.1"), key("10.0.0.2")
@@ -93,6 +96,7 @@
 	}
 }
 
+// An address without established flows for a long time must not keep its claim on the reserve.
 func TestKnownAddressExpires(t *testing.T) {
 	c := New(Limits{Reserve: 5})
 	a := key("10.0.0.1")
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// A capture has to be read as it was written, and a truncated or damaged file must lose no more than the lines concerned.
 func TestWriteAndRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n.capture")
 	w, err := Create(path, 1<<20, Start{"n-1", 2, startedAt})
@@ -76,6 +77,8 @@
 	}
 }
 
+// On a full disk, writing has to stop with its reason and a count of dropped records, and what was written has to stay
+// readable.
 func TestFullDiskStopsWriting(t *testing.T) {
 	f := &fakeFile{capacity: 300}
 	w := New(f, 1<<20, Start{"n", 0, startedAt})
@@ -89,6 +92,7 @@
 	}
 }
 
+// A capture must not grow beyond its size limit.
 func TestSizeLimitStopsWriting(t *testing.T) {
 	f := &fakeFile{capacity: 1 << 20}
 	w := New(f, 500, Start{"n", 0, startedAt})
--- a/cmd/coursewinch/config.go
+++ b/cmd/coursewinch/config.go
@@ -70,7 +70,7 @@
 
 	peerAddresses    []netip.AddrPort
 	clusterAddresses []netip.AddrPort  // of the fleet's other nodes
-	fleetLimits      []node.FleetLimit // that the whole fleet keeps
+	fleetLimits      []node.FleetLimit // limits that the whole fleet keeps
 	parsedSettings   *settings.Settings
 	knownList        discovery.List
 	seedValue        int64
@@ -241,8 +241,8 @@
 }
 
 // reloadConfig reads the file again and returns the configuration that is in effect from now on. A file that cannot be used
-// changes nothing, so that the node stays in service. Only discovery and the fleet's limits change while the node runs; the
-// log names the parts that take effect at the next start.
+// changes nothing, so that the node stays in service. While the node runs, only discovery changes, and the figures of the
+// fleet's limits if the rest of the cluster section is as before. The log names the parts that take effect at the next start.
 func reloadConfig(path string, old *config, n *node.Node) *config {
 	c, err := readConfig(path)
 	if err != nil {
@@ -250,6 +250,7 @@
 		return old
 	}
 	nextStart := ""
+	// The comparison of "cluster" also applies the limits: SetLimits reports whether the node keeps exactly these limits.
 	for _, part := range []struct {
 		name string
 		same bool
--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -110,8 +110,8 @@
 
 const openLine = "OPEN %d 7f3a c=chat,d=2000\r\n"
 
-// A client that has sent nothing sends its request at the moment when a stopping node answers it BUSY. The request must not
-// be accepted, and the client has to receive the answer.
+// Two clients without a flow, one silent and one that sent PING, send their requests at the moment when a stopping node
+// answers them BUSY. The requests must not be accepted, and the clients have to receive the answer.
 func TestRequestCrossesBusyAtStop(t *testing.T) {
 	h := newHost(t, "UP 1\r\n")
 	n := newSteppedNode(t, 100, h)
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -11,6 +11,7 @@
 	`"az":"a","model":"m2","pod_group":3,"state":"ready","capacity_hint":1.5,"boot_ms":1700000000123},` +
 	`{"uid":"s-2","state":"gone"}]}`
 
+// A valid list is parsed with unknown fields skipped. A truncated or invalid list must be an error, and never a shorter list.
 func TestParseList(t *testing.T) {
 	l, err := ParseList([]byte(listOfTwo))
 	if err != nil || l.Rev != 41 || !l.All || len(l.Entries) != 2 || l.Entries[0] != (Entry{"s-1", "10.1.0.18:8080",
@@ -51,6 +52,7 @@
 	}
 }
 
+// A response that is not a valid HTTP response with status 200 must be an error.
 func TestReaderRejectsInvalidResponses(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, bad := range []string{"HTTP/1.1 503 Busy\r\n", "nonsense\r\n", head + "xyz\r\n", head + "1\r\naa\r\n",
--- a/handover/handover_test.go
+++ b/handover/handover_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// A state arrives as it was sent. If a part is missing, repeated or corrupted, or a host state is unknown, it must be rejected.
 func TestStateSplitAndAssembled(t *testing.T) {
 	s := &State{Room: 7, From: "d", List: discovery.List{Rev: 5, All: true}, Hosts: map[string]balance.ServerMemory{}}
 	for i := range 9000 {
--- a/lines/lines_test.go
+++ b/lines/lines_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// A valid line reaches the host unchanged except for the value of d. Lines that a host could not use must be rejected.
 func TestParseOpen(t *testing.T) {
 	o, err := ParseOpen([]byte("OPEN i k c=chat,d=2000,g=grp,r=1,h=2.5,x=y,at=s-1\r\n"))
 	if err != nil || o.Key != "k" || o.ServiceType != "chat" || o.ConnectTimeout != 2_000_000 || o.Group != "grp" || !o.Returning ||
@@ -25,6 +26,7 @@
 	}
 }
 
+// An invalid line, such as UP without a value or with two, must not count as an answer of the host.
 func TestParseAnswer(t *testing.T) {
 	for line, want := range map[string]AnswerKind{"UP 1": Up, "UP": Other, "UP 1 2": Other, "BYE": Bye, "MOVE": Move, "ERR": Err,
 		"BUSY": Busy, "BUSY 5": Busy, "PONG": Pong, "LOAD 5.5": Load, "LOAD x": Other, "LOAD NaN": Other, "": Other,
@@ -38,6 +40,7 @@
 	}
 }
 
+// Lines that wrap around the end of the ring have to come out whole, and an empty ring must hold no memory.
 func TestRingWrapsAround(t *testing.T) {
 	var r Ring
 	long := strings.Repeat("z", 3000) + "\r\n"
--- a/simwire/adapter_test.go
+++ b/simwire/adapter_test.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// A batch without events has to be answered as well.
 func TestEmptyBatch(t *testing.T) {
 	if out, err := runAdapter(t, "mark\t8412.25\nover_to_you\n"); out != "finished\n" || err != nil {
 		t.Fatal(out, err)
