--- a/cmd/coursewinch/crossings_test.go
+++ b/cmd/coursewinch/crossings_test.go
@@ -29,7 +29,7 @@
 // newSteppedNode returns a node whose loop holds at most room sockets, with these hosts on its list.
 func newSteppedNode(t *testing.T, room int, hosts ...*fakeHost) *steppedNode {
 	t.Helper()
-	set, err := settings.ParseJSON([]byte(settingsText))
+	parsedSettings, err := settings.ParseJSON([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,12 +37,12 @@
 	if n.loop, err = epoll.New(room, n.nodeHandler, func() {}); err != nil {
 		t.Fatal(err)
 	}
-	n.Node = node.New(set, node.Config{Discovery: "127.0.0.1:1"}, n.loop)
-	at, err := n.loop.Listen("127.0.0.1:0", false)
+	n.Node = node.New(parsedSettings, node.Config{Discovery: "127.0.0.1:1"}, n.loop)
+	address, err := n.loop.Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.addr = at.String()
+	n.addr = address.String()
 	var known discovery.List
 	for i, h := range hosts {
 		known.Entries = append(known.Entries, discovery.Entry{UID: fmt.Sprintf("s-%d", i),
--- a/cmd/coursewinch/roll_test.go
+++ b/cmd/coursewinch/roll_test.go
@@ -36,9 +36,9 @@
 		}
 		c.running.Go(func() {
 			for !c.stopped.Load() {
-				how := c.runFlow(lines)
+				outcome := c.runFlow(lines)
 				c.mu.Lock()
-				c.outcomes[how]++
+				c.outcomes[outcome]++
 				c.mu.Unlock()
 			}
 		})
@@ -169,40 +169,40 @@
 	defer silentListener.Close()
 	silentDiscovery := &fakeDiscovery{addr: silentListener.Addr().String()}
 	folder := t.TempDir()
-	begin := func(d *fakeDiscovery) *program { return startNodeWithAdmin(t, d, l, 400, folder) }
+	start := func(d *fakeDiscovery) *program { return startNodeWithAdmin(t, d, l, 400, folder) }
 	serves := func(p *program) { p.openFlow(t, "").wantLine(t, "UP 1\r\n") }
-	old := begin(d)
+	old := start(d)
 	held := old.openFlow(t, "")
 	held.wantLine(t, "UP 1\r\n")
 	t.Log("new process killed before it accepts")
-	begin(silentDiscovery).cmd.Process.Kill()
+	start(silentDiscovery).cmd.Process.Kill()
 	old.waitFor(t, "msg=other_process_gone yielded=false")
 	serves(old)
 	t.Log("new process killed after it accepted")
-	begin(d).waitReady(t).cmd.Process.Kill()
+	start(d).waitReady(t).cmd.Process.Kill()
 	old.waitFor(t, "msg=other_process_gone yielded=true")
 	serves(old)
 	t.Log("new process hangs before it accepts, and is killed")
-	hung := begin(silentDiscovery)
+	hung := start(silentDiscovery)
 	hung.cmd.Process.Signal(syscall.SIGSTOP)
 	old.waitFor(t, "msg=handover_failed")
 	serves(old)
 	hung.cmd.Process.Kill()
 	t.Log("old process stopped before the new one accepts")
-	successor := begin(silentDiscovery)
+	successor := start(silentDiscovery)
 	old.stop(t)
 	serves(successor)
 	io.WriteString(held, "M 1\r\n")
 	held.wantLine(t, "M 1\r\n")
 	t.Log("old process killed after the new one accepted")
-	next := begin(d).waitReady(t)
+	next := start(d).waitReady(t)
 	successor.cmd.Process.Kill()
 	next.waitFor(t, "msg=other_process_gone")
 	serves(next)
 	t.Log("no process left, but the socket's path")
 	next.cmd.Process.Kill()
 	<-next.exited
-	serves(begin(d))
+	serves(start(d))
 }
 
 // With a handover folder that cannot be used, the node serves clients and logs once that the handover is off.
@@ -234,19 +234,19 @@
 	fleet := fmt.Sprintf(`{"cluster":{"on":true,"listen":%q,"nodes":["127.0.0.1:9"],"limits":[{"over":"address","rate":50,"burst":50,"promise":"available"}]},`, at)
 	config := strings.Replace(configText(d, l, 400), "{", fleet, 1)
 	folder := t.TempDir()
-	begin := func() *program {
+	start := func() *program {
 		p := prepareProgram(t, strings.Replace(config, "{", `{"admin":"127.0.0.1:0",`, 1))
 		p.cmd.Env = append(p.cmd.Env, "TMPDIR="+folder)
 		return startProgram(t, p)
 	}
-	old := begin().waitReady(t)
+	old := start().waitReady(t)
 	old.waitFor(t, "cluster="+at)
 	unrelated := prepareProgram(t, config)
 	if err := unrelated.cmd.Run(); err == nil || strings.Count(unrelated.output.String(), "\n") != 1 ||
 		!strings.Contains(unrelated.output.String(), "another process has it") {
 		t.Errorf("a second process at %s: %v, %q", at, err, unrelated.output.String())
 	}
-	next := begin()
+	next := start()
 	next.waitFor(t, "msg=cluster listen="+at)
 	next.waitReady(t).openFlow(t, "").wantLine(t, "UP 1\r\n") // the other node is unreachable, so this node grants its own share
 	if _, body := next.callAdmin(t, "GET", "/-/metrics"); metricValue(t, body, "limit.address.rate.alone") != 1 ||
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -28,7 +28,7 @@
 type commands struct{ Build, Run, Sim string }
 
 // buildFromFile reads balancer.toml and runs its build command in the module's root, as operators do.
-func buildFromFile(t *testing.T) (root string, f commands) {
+func buildFromFile(t *testing.T) (root string, fileCommands commands) {
 	t.Helper()
 	root, err := filepath.Abs("..")
 	if err != nil {
@@ -38,15 +38,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := toml.Unmarshal(text, &f); err != nil {
+	if err := toml.Unmarshal(text, &fileCommands); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command("/bin/sh", "-c", f.Build)
+	cmd := exec.Command("/bin/sh", "-c", fileCommands.Build)
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%s: %v\n%s", f.Build, err, out)
+		t.Fatalf("%s: %v\n%s", fileCommands.Build, err, out)
 	}
-	return root, f
+	return root, fileCommands
 }
 
 // shell returns a shell command that runs in the module's root.
@@ -59,10 +59,10 @@
 // The platform requires that libraries can be loaded into the node, that the run command becomes the node's process by
 // exec, and that this process stops without an error.
 func TestBuildAndRunCommands(t *testing.T) {
-	root, f := buildFromFile(t)
-	program, ok := strings.CutPrefix(f.Run, "exec ")
+	root, fileCommands := buildFromFile(t)
+	program, ok := strings.CutPrefix(fileCommands.Run, "exec ")
 	if !ok {
-		t.Fatalf("the run command %q does not begin with exec", f.Run)
+		t.Fatalf("the run command %q does not begin with exec", fileCommands.Run)
 	}
 	e, err := elf.Open(filepath.Join(root, program))
 	if err != nil {
@@ -81,7 +81,7 @@
 	if err := os.WriteFile(path, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := shell(root, f.Run)
+	cmd := shell(root, fileCommands.Run)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+path)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -120,8 +120,8 @@
 
 // The sim command starts the adapter, which answers an empty batch.
 func TestAdapterCommand(t *testing.T) {
-	root, f := buildFromFile(t)
-	cmd := shell(root, f.Sim)
+	root, fileCommands := buildFromFile(t)
+	cmd := shell(root, fileCommands.Sim)
 	cmd.Stdin = strings.NewReader("mark\t8412.25\nover_to_you\n")
 	if out, err := cmd.Output(); err != nil || string(out) != "finished\n" {
 		t.Fatalf("%q, %v", out, err)
