--- a/cmd/coursewinch/config.go
+++ b/cmd/coursewinch/config.go
@@ -70,7 +70,7 @@
 
 	peerAddresses    []netip.AddrPort
 	clusterAddresses []netip.AddrPort  // of the fleet's other nodes
-	fleetLimits      []node.FleetLimit // that the whole fleet keeps
+	fleetLimits      []node.FleetLimit // limits that the whole fleet keeps
 	parsedSettings   *settings.Settings
 	knownList        discovery.List
 	seedValue        int64
@@ -198,23 +198,23 @@
 // checkCluster reads the fleet that this node belongs to. If the cluster is on without addresses, the node relies on
 // its own measurements.
 func (c *config) checkCluster() (err error) {
-	k := c.Cluster
+	cluster := c.Cluster
 	if err := c.checkLimits(); err != nil {
 		return err
 	}
 	switch {
-	case !k.On && (k.Listen != "" || len(k.Nodes) > 0):
+	case !cluster.On && (cluster.Listen != "" || len(cluster.Nodes) > 0):
 		return errors.New("addresses are given, but it is not on")
-	case !k.On || k.Listen == "" && len(k.Nodes) == 0:
+	case !cluster.On || cluster.Listen == "" && len(cluster.Nodes) == 0:
 		return nil
-	case k.Listen == "" || len(k.Nodes) == 0 || len(k.Nodes) > maxPeers:
+	case cluster.Listen == "" || len(cluster.Nodes) == 0 || len(cluster.Nodes) > maxPeers:
 		return fmt.Errorf("an address to listen at and 1 to %d nodes are required", maxPeers)
 	case len(c.peerAddresses) > 0:
 		return errors.New("peers are given as well; only one of the two is allowed")
 	case c.Name == "":
 		return errors.New("a node of a fleet needs a name")
 	}
-	c.clusterAddresses, err = parseAddresses(k.Listen, k.Nodes)
+	c.clusterAddresses, err = parseAddresses(cluster.Listen, cluster.Nodes)
 	return err
 }
 
@@ -241,8 +241,8 @@
 }
 
 // reloadConfig reads the file again and returns the configuration that is in effect from now on. A file that cannot be used
-// changes nothing, so that the node stays in service. Only discovery and the fleet's limits change while the node runs; the
-// log names the parts that take effect at the next start.
+// changes nothing, so that the node stays in service. While the node runs, only discovery changes, and the figures of the
+// fleet's limits if the rest of the cluster section is as before. The log names the parts that take effect at the next start.
 func reloadConfig(path string, old *config, n *node.Node) *config {
 	c, err := readConfig(path)
 	if err != nil {
@@ -250,6 +250,7 @@
 		return old
 	}
 	nextStart := ""
+	// The comparison of "cluster" also applies the limits: SetLimits reports whether the node keeps exactly these limits.
 	for _, part := range []struct {
 		name string
 		same bool
