--- a/cluster/faultplan/fleet.go
+++ b/cluster/faultplan/fleet.go
@@ -35,7 +35,7 @@
 type Fleet struct {
 	Now     int64 // true time in microseconds
 	Members []*Member
-	Key     uint64
+	Key     uint64 // the only key in use
 
 	rng       *rand.Rand
 	faults    []Fault // those still to come, in order of time
--- a/cluster/faultplan/plan.go
+++ b/cluster/faultplan/plan.go
@@ -23,8 +23,8 @@
 const (
 	Kill      Kind = iota // a process ends
 	Pause                 // a process stands still for Size times 4 s
-	Partition             // the fleet splits into up to three parts, by the node's index
-	Loss                  // half of all datagrams times Size are lost
+	Partition             // each node falls at random into one of 1 + Node%3 parts; datagrams between parts are lost
+	Loss                  // datagrams are lost with a probability of half of Size
 	Delay                 // datagrams are delayed by up to Size times 2 s
 	Heal                  // partition, loss and delay end
 	ClockJump             // a clock jumps an hour ahead, or back where Size is below a half
@@ -34,8 +34,8 @@
 
 var kindNames = [KindCount]string{"kill", "stop", "cut", "loss", "delay", "whole", "jump", "restart"}
 
-// Fault is one fault. At is a true time in microseconds. Node is the index of the node concerned, if any. Size is from 0
-// to 1.
+// Fault is one fault. At is a true time in microseconds. Node, modulo the number of nodes, is the index of the node
+// concerned, if any. Size is from 0 to 1.
 type Fault struct {
 	At   int64
 	Kind Kind
--- a/cluster/frame/frame_test.go
+++ b/cluster/frame/frame_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestReadNamesEachFault guards against faulty datagrams being used or counted as another fault: each kind of fault is
+// TestDecodeNamesEachFault guards against faulty datagrams being used or counted as another fault: each kind of fault is
 // recognized, no change of a single byte goes unnoticed, and no input panics.
-func TestReadNamesEachFault(t *testing.T) {
+func TestDecodeNamesEachFault(t *testing.T) {
 	h := Header{NameHash: 7, Process: 1 << 60, Seq: 9, EchoProcess: 3, EchoSeq: 4, Late: true}
 	good := Encode(h, []byte("what it tells"))
 	got, payload, fault := Decode(good)
--- a/cluster/health/health.go
+++ b/cluster/health/health.go
@@ -19,7 +19,10 @@
 const (
 	MinWitnesses      = 2      // that suspend a host for others
 	MaxSuspendedShare = 1. / 3 // of the hosts
-	MaxBadShare       = 0.5    // of the hosts that a witness reports; one that finds more failing has a failing network path itself
+
+	// MaxBadShare is the share of the hosts in its report that a credible witness finds failing or draining at most. One that
+	// finds more is taken to have a failing network path itself.
+	MaxBadShare = 0.5
 )
 
 // Reason is a set of reasons to suspend a host, a bit each.
@@ -38,9 +41,9 @@
 var reasonNames = []string{"down", "sick", "cold", "leaving"}
 
 // String returns the names of the reasons, joined by plus signs.
-func (k Reason) String() (text string) {
+func (r Reason) String() (text string) {
 	for i, name := range reasonNames {
-		if k&(1<<i) != 0 {
+		if r&(1<<i) != 0 {
 			text += "+" + name
 		}
 	}
@@ -61,7 +64,7 @@
 }
 
 // IsCredible reports whether a witness counts for other nodes: it is not late, reports more than one host, and at most
-// MaxBadShare of them as failing.
+// MaxBadShare of them as failing or draining.
 func (w Witness) IsCredible() bool {
 	failing := 0
 	for _, report := range w.Hosts {
@@ -75,7 +78,7 @@
 // Suspension is why a host is suspended, and how many witnesses reported it.
 type Suspension struct {
 	Reasons   Reason // the reasons
-	Witnesses int    // added up over the reasons
+	Witnesses int    // added up over the reasons, so that a witness of two reasons counts twice
 }
 
 // tally counts the witnesses that report one reason for one host.
--- a/cluster/health/health_test.go
+++ b/cluster/health/health_test.go
@@ -74,17 +74,17 @@
 	faultplan.FixSeed()
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.IntRange(1, 20).Draw(t, "hosts")
-		kinds := rapid.SampledFrom([]Reason{0, 0, Down, SetupFails, Cold, Draining, Down | Cold})
+		reasons := rapid.SampledFrom([]Reason{0, 0, Down, SetupFails, Cold, Draining, Down | Cold})
 		var all []Witness
 		for range rapid.IntRange(0, 12).Draw(t, "witnesses") {
 			w := Witness{Late: rapid.IntRange(0, 4).Draw(t, "late") == 0, Zone: rapid.Uint32Range(1, 3).Draw(t, "zone")}
 			for range rapid.IntRange(0, 12).Draw(t, "reports") {
-				w.Hosts = append(w.Hosts, HostReport{rapid.IntRange(-2, hosts+1).Draw(t, "host"), kinds.Draw(t, "kind")})
+				w.Hosts = append(w.Hosts, HostReport{rapid.IntRange(-2, hosts+1).Draw(t, "host"), reasons.Draw(t, "kind")})
 			}
 			all = append(all, w)
 		}
-		no := func(int, Reason) bool { return false }
-		got := View{hosts, 11, 11, 1, func(h int) bool { return h%2 == 0 }, no}.Suspended(all)
+		noContradiction := func(int, Reason) bool { return false }
+		got := View{hosts, 11, 11, 1, func(h int) bool { return h%2 == 0 }, noContradiction}.Suspended(all)
 		if 3*len(got) > hosts {
 			t.Fatalf("%d of %d hosts are suspended", len(got), hosts)
 		}
--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -23,7 +23,7 @@
 	second = 1000 * ms
 )
 
-// Slots is the number of slots; a key belongs to the slot of its remainder by it.
+// Slots is the number of slots; a key belongs to the slot key % Slots.
 const Slots = 64
 
 // MaxNodes is the largest number of voting nodes. Each node is asked and answers in a datagram of its own, so the bound
@@ -162,7 +162,7 @@
 // ExpiresAt returns when the ownership of a slot expires unless it is renewed.
 func (l *Leases) ExpiresAt(s int) int64 { return l.slots[s].ownedUntil }
 
-// RequestVotes requests votes for the wanted slots that are not owned or due for renewal. The send function transmits
+// RequestVotes requests votes for the wanted slots that are not owned, or are due for renewal. The send function transmits
 // the payload to each other node. The wanted function says whether this process should own a slot; it is only a guess,
 // so that usually one node asks rather than all.
 func (l *Leases) RequestVotes(wanted func(s int) bool, send func(payload []byte)) {
--- a/cluster/limits/limit.go
+++ b/cluster/limits/limit.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Limit is a rate limit. Rate is per second; Burst is the number admitted at once. A strict limit is never exceeded; an
-// available one goes on with local shares where the owner can't be reached.
+// Limit is a rate limit. Rate is per second; Burst is the number that may be admitted at once. A strict limit is never
+// exceeded; an available one goes on with local shares where the owner can't be reached.
 type Limit struct {
 	Rate, Burst float64
 	Strict      bool
@@ -25,7 +25,7 @@
 }
 
 // hold returns the token lifetime D in microseconds: the time in which half of the burst accrues, so that the bucket keeps
-// the other half.
+// the other half. It is at most maxHold, and leaves the bucket at least one token.
 func (l Limit) hold() int64 {
 	longest := (l.Burst - 1) / l.Rate * float64(second)
 	hold := min(int64(min(longest, l.Burst/2/l.Rate*float64(second))), maxHold)
--- a/cluster/limits/limits.go
+++ b/cluster/limits/limits.go
@@ -27,7 +27,7 @@
 const (
 	maxHold     = second   // upper bound of the token lifetime D
 	minHold     = 100 * ms // lower bound: a datagram there and back, at a node that is busy
-	drift       = 0.1      // bound of the drift between two clocks
+	drift       = 0.1      // bound of the drift between two clocks, for which holderShare allows
 	holderShare = 0.8      // share of D that is left to the holder, whose clock may run slow
 )
 
@@ -124,7 +124,7 @@
 // SetLimit changes the limit. Buckets of owned keys are cut to the new capacity.
 func (l *Limits) SetLimit(limit Limit) { l.limit = limit }
 
-// LongestWait returns the age of the oldest pending request, in microseconds.
+// LongestWait returns the longest time that a pending request has waited since its latest attempt, in microseconds.
 func (l *Limits) LongestWait() (age int64) {
 	for _, request := range l.pending {
 		if request.requestedAt != never {
--- a/cluster/limits/limits_test.go
+++ b/cluster/limits/limits_test.go
@@ -156,9 +156,9 @@
 func (ownsAll) OwnedHere(uint64) (since, until int64, ok bool) { return second, 1 << 60, true }
 func (ownsAll) LikelyOwner(uint64) int                         { return -1 }
 
-// TestMillionUnusedKeys guards against an owner that keeps a record of every key ever seen. A key in steady use keeps its
+// TestMillionKeysUsedOnce guards against an owner that keeps a record of every key ever seen. A key in steady use keeps its
 // limit among a million keys that are used once.
-func TestMillionUnusedKeys(t *testing.T) {
+func TestMillionKeysUsedOnce(t *testing.T) {
 	l := New(Limit{Rate: 20, Burst: 20, Strict: true}, 1, 3, ownsAll{})
 	now, hot := second, 0
 	for key := range uint64(1_000_000) {
--- a/cluster/limits/user.go
+++ b/cluster/limits/user.go
@@ -10,13 +10,13 @@
 	requestKind = 4
 	replyKind   = 5
 	requestSize = 1 + 4 + 8 + 8 + 2   // kind, round, requesting process, key, tokens wanted
-	replySize   = requestSize + 4 + 4 // the same with tokens handed out, their lifetime, when to ask again (microseconds)
+	replySize   = requestSize + 4 + 4 // the same, but tokens handed out; their lifetime, time until the next token (microseconds)
 )
 
 // pendingRequest is a request that awaits its reply.
 type pendingRequest struct {
 	round       uint32
-	requestedAt int64 // time of the latest attempt, from which the lifetime of its tokens counts
+	requestedAt int64 // when it was made or last repeated; the lifetime of its tokens counts from then
 	wanted      int
 	askedNode   int
 	waiters     []any
--- a/cluster/members/members.go
+++ b/cluster/members/members.go
@@ -140,8 +140,8 @@
 // NameHash returns the short hash of a node's name as given by its latest process; ok is false if no process of it is
 // known.
 func (m *Members) NameHash(node int) (name uint32, ok bool) {
-	if w := m.peers[node].processes; len(w) > 0 {
-		return w[0].nameHash, true
+	if processes := m.peers[node].processes; len(processes) > 0 {
+		return processes[0].nameHash, true
 	}
 	return 0, false
 }
--- a/cluster/members/members_test.go
+++ b/cluster/members/members_test.go
@@ -33,15 +33,15 @@
 }
 
 // newTestNetwork starts so many nodes that all reach each other.
-func newTestNetwork(t *testing.T, nodes int, seed int64) *testNetwork {
-	w := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, nodes),
+func newTestNetwork(t *testing.T, nodeCount int, seed int64) *testNetwork {
+	n := &testNetwork{t: t, rng: rand.New(rand.NewSource(seed)), maxDelay: 5 * ms, skew: make([]int64, nodeCount),
 		isCut: func(int, int) bool { return false }}
-	for i := range nodes {
-		w.nodes = append(w.nodes, nil)
-		w.starts = append(w.starts, 0)
-		w.start(i)
+	for i := range nodeCount {
+		n.nodes = append(n.nodes, nil)
+		n.starts = append(n.starts, 0)
+		n.start(i)
 	}
-	return w
+	return n
 }
 
 // start starts a new process of a node.
--- a/cluster/overload/admission.go
+++ b/cluster/overload/admission.go
@@ -111,7 +111,8 @@
 }
 
 // AdmitProbability returns 1 if a new flow is admitted and 0 if not, by a random draw against its probability of
-// admission. If the flow's admission was already drawn ahead of a grant, that result counts.
+// admission. It counts the flow's load as demand, and an admitted flow adds to the retry budget. If the flow's admission was
+// already drawn ahead of a grant, that result counts.
 func (c *Controller) AdmitProbability(f *balance.Flow) float64 {
 	if admitted, ok := c.draws[f]; ok {
 		if delete(c.draws, f); admitted {
@@ -131,7 +132,8 @@
 	return 0
 }
 
-// DrawAdmission draws whether a flow is admitted, ahead of a request for a grant, and returns the result. When the
+// DrawAdmission draws whether a flow is admitted, ahead of a request for a grant, and returns the result: a flow that is
+// rejected needs no grant. From here on the flow counts as demand, of which the other nodes learn by the reports. When the
 // decision module places the flow later, the same result counts and nothing is drawn again.
 func (c *Controller) DrawAdmission(f *balance.Flow) bool {
 	admitted := c.AdmitProbability(f) == 1
--- a/cluster/overload/bounds.go
+++ b/cluster/overload/bounds.go
@@ -45,8 +45,8 @@
 	return 1
 }
 
-// isWithheld reports whether a host gets no new flow at all: it is suspended, has rejected a flow, or is late while
-// most others are not.
+// isWithheld reports whether a host may not get a flow, whatever room it has: the host is suspended, has just rejected a
+// flow of this node, has rejected one of another node and the flow is a retry, or is late while most others are not.
 func (c *Controller) isWithheld(h *host, f *balance.Flow) bool {
 	return h.suspension.Reasons != 0 ||
 		h.rejectionReported && f.Connects > 0 ||
@@ -55,7 +55,7 @@
 }
 
 // AllowRetry reports whether a flow may have a further connect, and takes it from the budget, a tenth of the first
-// connects. Without overload it always may.
+// connects and a few more. Without overload it always may.
 func (c *Controller) AllowRetry(*balance.Flow, *balance.Server) bool {
 	if !c.Overloaded() {
 		return true
@@ -70,7 +70,7 @@
 }
 
 // ExcessLoad returns the own load that has to leave a server within a tenth of a second: this node's part of the excess, so
-// that the excess falls by two thirds a second whatever the number of nodes.
+// that all nodes together move a fifth of the excess in that time, whatever their number.
 func (c *Controller) ExcessLoad(s *balance.Server) float64 {
 	h := c.hosts[s]
 	if h == nil || s.OwnLoad() <= 0 {
--- a/cluster/overload/capacity.go
+++ b/cluster/overload/capacity.go
@@ -111,7 +111,7 @@
 	switch {
 	case h.capacity == 0:
 		h.capacity = median
-	case n+1 >= 3:
+	case n+1 >= 3: // the capacity of this node and at least two reported ones
 		h.capacity += (median - h.capacity) * min(2*dt, 1)
 	}
 }
--- a/cluster/overload/coldstart.go
+++ b/cluster/overload/coldstart.go
@@ -36,8 +36,8 @@
 }
 
 // ColdRate returns how many flows a second all nodes together may send to a server while it is cold, as far as this node
-// knows; 0 if the server is not cold or the rate is unknown. The cold-start rule allows FallMultiple times the flows that
-// fill the server in ColdTime.
+// knows; 0 if the server is not cold or the rate is unknown. In ColdTime, but at least a second, the cold-start rule allows
+// FallMultiple times the flows that saturate the server at its present warm share.
 func (c *Controller) ColdRate(s *balance.Server) float64 {
 	h := c.hosts[s]
 	if h == nil || c.meanFlowLoad <= 0 || c.warmShare(h) == 1 {
@@ -50,9 +50,9 @@
 	return c.settings.FallMultiple * capacity * c.warmShare(h) / c.meanFlowLoad / (float64(max(c.settings.ColdTime, second)) / float64(second))
 }
 
-// UseColdGrants makes flows to cold servers wait for grants of the fleet instead of random cold-start slots, for the
-// servers for which granted returns true.
-func (c *Controller) UseColdGrants(granted func(*balance.Server) bool) { c.usesGrants = granted }
+// UseColdGrants makes flows to cold servers wait for grants of the fleet, for the servers for which usesGrants returns
+// true and whose ColdRate is known. Otherwise this node uses random cold-start slots by an estimate of its share.
+func (c *Controller) UseColdGrants(usesGrants func(*balance.Server) bool) { c.usesGrants = usesGrants }
 
 // HasRoom reports whether a cold server would have room for a flow if the flow had a grant.
 func (c *Controller) HasRoom(s *balance.Server, f *balance.Flow) bool {
--- a/cluster/overload/constants.go
+++ b/cluster/overload/constants.go
@@ -7,14 +7,15 @@
 
 // Fill of hosts.
 const (
-	// Of the capacity. Nearer the knee messages wait although cores are not yet idle, see docs/design/overload.md.
+	// Share of its capacity up to which a host is filled. Nearer the knee messages wait although the cores still have idle
+	// time, see docs/design/overload.md.
 	targetFill = 0.60
 
-	lateHostFill    = 0.7         // of the usual fill limit while a host is late: the remaining capacity works off its backlog
+	lateHostFill    = 0.7         // of the usual fill limit of a late or saturated host: the rest works off its backlog
 	maxRelativeFill = 1.1         // times the mean fill; fuller hosts get no new flows during overload
 	maxRelativeLoad = 1.25        // times the mean known load per unit of size; the decision module uses the same limit for own load
-	lateHostHold    = 6 * second  // a late host gets no new flows for this long, while fewer than half of the hosts are late
-	rejectionHold   = second      // a host that rejected a flow for want of room gets no further connect for this long
+	lateHostHold    = 6 * second  // a late host gets no new flows for this long, while fewer than half of those in use are late
+	rejectionHold   = second      // a host that rejected a flow for want of room gets no flow of this node for this long
 	fillHorizon     = second      // the free room is given out over this time
 	inUseWindow     = 10 * second // a host counts as in use for this long after an observation of this node
 )
@@ -23,8 +24,8 @@
 const (
 	lateProbeShare             = 0.25   // a probe is late if it exceeds the fastest one by this share of it
 	lateProbeMargin            = 1 * ms // and this margin on top
-	lateSetupFactor            = 2.5    // a set-up is late if it exceeds the host's baseline by this factor
-	lateSetupFactorUnknownHost = 5.0    // the same for the baseline over all hosts, while that of the host is unknown
+	lateSetupFactor            = 2.5    // a set-up is late if it exceeds this multiple of the host's baseline
+	lateSetupFactorUnknownHost = 5.0    // the same multiple of the baseline over all hosts, while that of the host is unknown
 	lateSetupMargin            = 2 * ms // and this margin on top
 	hostBaselineSamples        = 5      // set-ups on one host, whose lower quartile is a candidate for its baseline
 	fleetBaselineSamples       = 9      // the same over all hosts
@@ -34,7 +35,7 @@
 // Estimates of hosts' capacity.
 const (
 	tickInterval      = 100 * ms  // between two updates of all estimates
-	minCutInterval    = 1500 * ms // between two cuts at one host, so that the effect of earlier placements shows first
+	minCutInterval    = 1500 * ms // between two cuts of one host's capacity, so that the effect of earlier placements shows first
 	cutEvidence       = 2.0       // late observations without a good one between them that cut the capacity
 	minCutShare       = 0.4       // of the proven load; lateness alone does not cut the capacity below it
 	provenLoadDecay   = 0.01      // of the proven load, a second
@@ -48,11 +49,11 @@
 
 // Scale of the fill while few of the other nodes are linked.
 const (
-	fewFlowsPerHost     = 4.0        // own flows per host at which the scale counts half
+	fewFlowsPerHost     = 4.0        // own flows per host in use at which the scale counts half
 	minScaleCutInterval = second / 5 // between two cuts of the scale
 	scaleCutFactor      = 0.75       // by which a late observation cuts the scale
 	scaleGrowthFactor   = 1.007      // by which a good observation raises it; it stays level at one late observation in forty
-	minScale            = 0.02
+	minScale            = 0.02       // lower bound of the scale
 )
 
 // Demand and random admission.
@@ -62,7 +63,7 @@
 	middleBucket      = 16       // the bucket of benefit 1 for unitLoad
 	unitLoad          = 1e5      // microseconds of work a second
 	admissionExponent = 3        // how steeply the probability of admission falls with benefit per load
-	minClientWait     = 250 * ms // sent to clients of rejected flows
+	minClientWait     = 250 * ms // lower bound of the wait of clients of rejected flows, before it is spread at random
 )
 
 // Budget of further connects during overload.
@@ -86,12 +87,15 @@
 
 // Reports of other nodes.
 const (
-	reportHold        = 8 * second  // a node whose reports stop is taken to hold what it last reported, and to go on placing flows
-	reportExpiry      = 30 * second // after reportHold a lost node's last report counts less and less, until this age
+	// reportHold is how long the load that a node last reported counts in full, if the maximum age of reports is not longer.
+	// A node whose reports stop is taken to go on placing flows, so that new ones replace those that end.
+	reportHold = 8 * second
+
+	reportExpiry      = 30 * second // after reportHold the load that a lost node last reported counts less and less, until this age
 	maxReportedFactor = 4.0         // times a host's capacity; no single node is believed to hold more load there
-	minWitnesses      = 2           // other nodes that have to report a host saturated
-	failureWindow     = 2 * second  // for which a late observation or a failure is reported
+	minWitnesses      = 2           // processes of other nodes that have to report a host saturated
+	failureWindow     = 2 * second  // for which a late observation or a failure is reported, and a good one contradicts reports
 	maxProcesses      = 1024        // processes whose reports are kept
 	maxServiceTypes   = 32          // service types whose loads are reported
-	maxMeanSamples    = 200         // loads over which the mean load of a service type goes
+	maxMeanSamples    = 200         // loads that the mean load of a service type covers
 )
--- a/cluster/overload/controller.go
+++ b/cluster/overload/controller.go
@@ -30,7 +30,7 @@
 	nextTick     int64
 	late         bool  // this node's own loop is late
 	clockJump    int64 // by which the clock is known to have jumped
-	maxReportAge int64 // up to this age a report counts in full
+	maxReportAge int64 // up to this age a report is recent: all of its figures count
 
 	hosts       map[*balance.Server]*host
 	byHash      map[uint32]*host
@@ -41,13 +41,13 @@
 
 	fillScale        float64 // factor on the hosts' fill while few of the other nodes are linked
 	scaleCutAt       int64
-	linkedShare      float64                  // share of the other nodes that are linked
+	linkedShare      float64                  // share of the other nodes that are linked: whose reports are recent
 	loadPerSize      float64                  // known load per unit of size
-	sparseness       float64                  // near 1 while this node has a flow or two per host, less the more it has
+	sparseness       float64                  // near 1 while this node has a flow or two per host in use, less the more it has
 	mostHostsLate    bool                     // half of the hosts in use, or more
 	ownLoad          float64                  // load that this node holds
-	unscaledLimit    float64                  // totalLimit without the scale
-	totalLimit       float64                  // limit of the own load by the scale; 0 while unknown
+	unscaledLimit    float64                  // sum of the hosts' fill limits without the scale
+	totalLimit       float64                  // sum of the hosts' fill limits, for the own load while no other node is linked; 0: unknown
 	baseline         setupBaseline            // over all hosts
 	recentLate       [recentObservations]bool // ring of the last own observations over all hosts
 	observationCount int
@@ -88,11 +88,11 @@
 	RetriesDenied      int64   // further connects denied during overload
 	SuspendedHosts     int     // hosts suspended because of other nodes' reports
 	ReportingProcesses int     // processes with a recent report
-	InvalidReports     int64   // reports dropped for impossible figures
+	InvalidReports     int64   // reports dropped because they are malformed or have impossible figures
 }
 
-// New returns the overload control of one node in a fleet of so many nodes. Reports of other nodes count in full up to
-// an age of maxReportAge microseconds.
+// New returns the overload control of one node in a fleet of so many nodes. Reports of other nodes are recent, so that
+// all of their figures count, up to an age of maxReportAge microseconds.
 func New(settings *balance.Settings, nodes int, maxReportAge, seed int64) *Controller {
 	return &Controller{
 		settings:      settings,
@@ -143,7 +143,8 @@
 // shortHash is the part of a server's hash by which reports name it.
 func shortHash(hash uint64) uint32 { return uint32(hash ^ hash>>32) }
 
-// SetLate sets whether this node's own loop is late. While it is, its observations of hosts are ignored.
+// SetLate sets whether this node's own loop is late. While it is, its observations of hosts are ignored, except that a
+// host rejected a flow.
 func (c *Controller) SetLate(late bool) { c.late = late }
 
 // Tick begins a loop iteration at the time now. Every tickInterval it updates all estimates.
@@ -175,8 +176,8 @@
 	c.updateThreshold()
 }
 
-// clockWentBack moves every time that lies ahead of a clock that was set back to now. Otherwise holds would last as long
-// as the jump.
+// clockWentBack handles a clock that was set back: times that lie ahead of now are set to now. Otherwise the intervals that
+// begin at them would be longer by the jump.
 func (c *Controller) clockWentBack(now int64) {
 	for _, h := range c.hostsByName {
 		times := []*int64{
--- a/cluster/overload/hosts.go
+++ b/cluster/overload/hosts.go
@@ -17,11 +17,11 @@
 	allowedLoad         float64 // load that the host may hold now; 0 while nothing says how much
 	capacity            float64 // known load at which the host is saturated; 0 while unknown
 	provenLoad          float64 // highest load that the host carried well, decaying
-	settledLoad         float64 // known load, following increases with a delay of a second or two
+	settledLoad         float64 // known load; follows decreases at once and increases with a delay of a second or two
 	knownLoad           float64 // own and reported load
 	reportedLoad        float64 // load that the other nodes report
 	lateEvidence        float64 // late observations, halved by each good one
-	fastestProbe        int64
+	fastestProbe        int64   // duration of the fastest probe, rising slowly
 	baseline            setupBaseline
 	observedAt          int64 // by this node, good or late
 	goodAt              int64
@@ -41,7 +41,7 @@
 }
 
 // setupBaseline learns how long set-ups take while there is room: the lowest lower quartile of a few consecutive ones.
-// Expensive set-ups and jitter don't count, and a host that becomes saturated does not raise it.
+// Expensive set-ups and jitter don't count, and a host that becomes saturated hardly raises it: by half a percent a window.
 type setupBaseline struct {
 	duration int64 // 0 while unknown
 	samples  []int64
@@ -173,6 +173,7 @@
 func (c *Controller) cutScale(lateCount int) {
 	c.fillScale, c.scaleCutAt = max(c.fillScale*scaleCutFactor, minScale), c.now
 	if c.unscaledLimit > 0 && 4*lateCount >= recentObservations {
+		// A quarter of the recent observations are late: the scale falls until the fill limits add up to the own load.
 		c.fillScale = max(min(c.fillScale, c.ownLoad/c.unscaledLimit), minScale)
 	}
 }
--- a/cluster/overload/reports.go
+++ b/cluster/overload/reports.go
@@ -24,7 +24,7 @@
 // HandleReport takes a report of one process of the other node number from. The report is no older than sentAfter. It
 // replaces that process's previous report, and removes those of earlier processes of the node that no longer report. An
 // invalid report is dropped as a whole and false is returned; the process's previous report then counts until it is
-// old.
+// old. A report of one process more than maxProcesses is ignored.
 func (c *Controller) HandleReport(from int, process uint64, sentAfter int64, late bool, p []byte) bool {
 	r := &report{from: from, sentAfter: sentAfter, late: late}
 	if !decodeReport(p, r) {
--- a/cluster/overload/suspension.go
+++ b/cluster/overload/suspension.go
@@ -6,7 +6,7 @@
 )
 
 // ConfigureReports sets the zone that reports name and the function that is called when a host becomes suspended
-// because of other nodes' reports. It may be nil.
+// because of other nodes' reports. The function may be nil.
 func (c *Controller) ConfigureReports(zone uint32, onSuspend func(*balance.Server, health.Suspension)) {
 	c.zone, c.onSuspend = zone, onSuspend
 }
@@ -20,7 +20,8 @@
 	}
 }
 
-// updateSuspensions decides from the recent reports of other nodes which hosts are suspended.
+// updateSuspensions decides from the recent reports of other nodes which hosts are suspended, and calls onSuspend for each
+// host that becomes so.
 func (c *Controller) updateSuspensions() {
 	view := health.View{
 		Hosts:       len(c.hostsByName),
--- a/cluster/peers/peers.go
+++ b/cluster/peers/peers.go
@@ -52,23 +52,24 @@
 	}
 }
 
-// Decode decodes a datagram and calls loads and placements with each entry. Loads are shares of what the host can do.
+// Decode decodes a datagram and calls onLoad and onPlacement with each entry. Loads are shares of what the host can do.
 // It returns false, without any call, for an invalid datagram.
-func Decode(p []byte, loads func(host uint32, busy float64), placements func(group, host uint32)) bool {
+func Decode(p []byte, onLoad func(host uint32, load float64), onPlacement func(group, host uint32)) bool {
 	if len(p) < headerSize || len(p) > MaxDatagramSize || p[0] != version {
 		return false
 	}
-	hosts, rest := int(p[1]), len(p)-headerSize-int(p[1])*loadEntrySize
+	hosts := int(p[1])
+	rest := len(p) - headerSize - hosts*loadEntrySize
 	if rest < 0 || rest%groupEntrySize != 0 {
 		return false
 	}
 	p = p[headerSize:]
 	for range hosts {
-		loads(readShortHash(p), float64(p[shortHashSize])/loadSteps)
+		onLoad(readShortHash(p), float64(p[shortHashSize])/loadSteps)
 		p = p[loadEntrySize:]
 	}
 	for len(p) > 0 {
-		placements(readShortHash(p), readShortHash(p[shortHashSize:]))
+		onPlacement(readShortHash(p), readShortHash(p[shortHashSize:]))
 		p = p[groupEntrySize:]
 	}
 	return true
--- a/cluster/peers/peers_test.go
+++ b/cluster/peers/peers_test.go
@@ -7,22 +7,22 @@
 	"coursewinch/balance"
 )
 
-// TestReadReturnsWhatWasWritten guards against entries that are lost between encoding and decoding, and against invalid
+// TestDecodeReturnsWhatWasEncoded guards against entries that are lost between encoding and decoding, and against invalid
 // datagrams being taken.
-func TestReadReturnsWhatWasWritten(t *testing.T) {
+func TestDecodeReturnsWhatWasEncoded(t *testing.T) {
 	s := &balance.Server{Hash: 5 | 7<<40}
 	h := balance.GroupPlacement{Group: &balance.Group{Hash: 9}, Server: s}
 	loads, placements, p := 0, 0, []byte(nil)
-	read := func(q []byte) bool {
+	decode := func(q []byte) bool {
 		return Decode(q, func(host uint32, _ float64) { loads += int(host) }, func(group, host uint32) { placements += int(group - host) })
 	}
 	Encode(slices.Repeat([]*balance.Server{s}, 100), slices.Repeat([]balance.GroupPlacement{h}, 100), func(q []byte) {
-		if p = q; !read(q) || len(q) > MaxDatagramSize {
+		if p = q; !decode(q) || len(q) > MaxDatagramSize {
 			t.Fatal("a valid datagram was dropped or is too large:", len(q), "bytes")
 		}
 	})
 	for _, bad := range [][]byte{nil, {1}, {1, 200, 0}, p[:len(p)-1], append([]byte{2}, p[1:]...), append(p, make([]byte, 300)...)} {
-		if read(bad) {
+		if decode(bad) {
 			t.Fatal("an invalid datagram was taken:", bad)
 		}
 	}
--- a/cluster/permits/owner.go
+++ b/cluster/permits/owner.go
@@ -38,25 +38,25 @@
 			p.slotOwnedFrom(uint64(slot), since)
 		}
 	}
-	for key, ledger := range p.ledgers {
-		if since, _, ok := p.owner.OwnedHere(key); !ok || since != ledger.ownedSince || p.dropExpired(ledger) {
+	for key, keyLedger := range p.ledgers {
+		if since, _, ok := p.owner.OwnedHere(key); !ok || since != keyLedger.ownedSince || p.dropExpired(keyLedger) {
 			delete(p.ledgers, key)
 		}
 	}
 }
 
 // dropExpired removes expired entries from a ledger and reports whether none is left.
-func (p *Permits) dropExpired(ledger *ledger) bool {
-	for process, entry := range ledger.entries {
+func (p *Permits) dropExpired(keyLedger *ledger) bool {
+	for process, entry := range keyLedger.entries {
 		if p.ownerTime >= entry.expiresAt {
-			delete(ledger.entries, process)
+			delete(keyLedger.entries, process)
 		}
 	}
-	return len(ledger.entries) == 0
+	return len(keyLedger.entries) == 0
 }
 
 // allocate books what a process uses and wants of a key that this process owns, and returns how many permits it is allowed.
-// It returns ok false if the process has already sent a newer request.
+// It returns ok false if this request of the process, or a newer one, is booked already.
 func (p *Permits) allocate(key uint64, since int64, process, predecessor uint64, round uint32, inUse, wanted int) (allowed int, ok bool) {
 	ownedFrom := p.slotOwnedFrom(key, since)
 	keyLedger := p.ledgers[key]
--- a/cluster/permits/permits.go
+++ b/cluster/permits/permits.go
@@ -170,9 +170,9 @@
 // account by it.
 func (p *Permits) SweepDue(now int64) bool { return now >= p.nextSweepAt || now < p.now }
 
-// Tick advances the clock; it is called once per loop iteration. It sends the requests that are due and returns the
-// decisions for waiters that have waited too long. The caller has to end the flows returned as excess in the same loop
-// iteration and to release each of them.
+// Tick advances the clock; it is called once per loop iteration. It sends the requests that are due and returns
+// the decisions since the last call that returned any, such as those for waiters that have waited too long. The caller has
+// to end the flows returned as excess in the same loop iteration and to release each of them.
 func (p *Permits) Tick(now int64, send func(to int, p []byte)) (decided []Decision, excess []Excess) {
 	if now < p.now {
 		p.clockWentBack(now)
@@ -196,7 +196,7 @@
 		return now < u.nextRequestAt && !u.isIdle()
 	})
 	p.request(due, send)
-	excess = p.excess(idleOrOver)
+	excess = p.revokeExcessAndDropIdle(idleOrOver)
 	decided, p.decided = p.decided, nil
 	return decided, excess
 }
--- a/cluster/permits/user.go
+++ b/cluster/permits/user.go
@@ -6,10 +6,10 @@
 type usage struct {
 	inUse         int
 	reserve       int   // wanted in addition
-	allowed       int   // by the owner's last reply
+	allowed       int   // by the owner's last reply, and from a later request on no more than were in use then
 	allowedUntil  int64 // on the clock of this process
 	round         uint32
-	requestedAt   int64 // when that round began
+	requestedAt   int64 // time of the latest request
 	askedNode     int
 	attempts      int // requests without a reply
 	waiters       []any
@@ -211,8 +211,8 @@
 	return due, idleOrOver
 }
 
-// excess returns the flows to end, and drops the usage of idle keys, whose permits have been given back.
-func (p *Permits) excess(keys []uint64) (excess []Excess) {
+// revokeExcessAndDropIdle returns the flows to end, and drops the usage of idle keys, whose permits have been given back.
+func (p *Permits) revokeExcessAndDropIdle(keys []uint64) (excess []Excess) {
 	for _, key := range keys {
 		u := p.usages[key]
 		if n := u.inUse - p.allowance(u); n > 0 && p.limit.Strict {
