--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -213,25 +213,25 @@
 		if granted&(1<<s) == 0 {
 			continue
 		}
-		o := &l.slots[s]
-		if o.round != round {
-			if int32(round-o.round) < 0 {
+		candidacy := &l.slots[s]
+		if candidacy.round != round {
+			if int32(round-candidacy.round) < 0 {
 				continue // a later request is under way
 			}
-			o.round = round
-			clear(o.votes)
+			candidacy.round = round
+			clear(candidacy.votes)
 		}
-		o.votes.add(voter)
+		candidacy.votes.add(voter)
 		until := request.sentAt + OwnerTerm
-		if 2*o.votes.count() > l.nodes && (until > o.ownedUntil || !o.everOwned) && l.now < until {
-			if l.now >= o.ownedUntil || !o.everOwned {
-				o.ownedSince = l.now
+		if 2*candidacy.votes.count() > l.nodes && (until > candidacy.ownedUntil || !candidacy.everOwned) && l.now < until {
+			if l.now >= candidacy.ownedUntil || !candidacy.everOwned {
+				candidacy.ownedSince = l.now
 			}
-			o.everOwned = true
-			o.ownedUntil = until
+			candidacy.everOwned = true
+			candidacy.ownedUntil = until
 		}
-		if o.everOwned && until == o.ownedUntil {
-			copy(o.ownerVotes, o.votes)
+		if candidacy.everOwned && until == candidacy.ownedUntil {
+			copy(candidacy.ownerVotes, candidacy.votes)
 		}
 	}
 }
--- a/cluster/limits/user.go
+++ b/cluster/limits/user.go
@@ -53,7 +53,7 @@
 	return false, true
 }
 
-// sendRequest sends a request for all current waiters of a key.
+// sendRequest sends a request for all current waiters of a key. While no node can be asked it only counts the attempt.
 func (l *Limits) sendRequest(key uint64, request *pendingRequest, send func(to int, payload []byte)) {
 	request.attempts++
 	to := l.owner.LikelyOwner(key)
--- a/cluster/overload/coldstart.go
+++ b/cluster/overload/coldstart.go
@@ -10,6 +10,7 @@
 	if c.usesGrants != nil && c.usesGrants(h.server) && c.ColdRate(h.server) > 0 {
 		return c.now < h.grantUntil
 	}
+	// While nothing says how much load the host may hold, each call draws a slot anew, so that none comes due.
 	if h.allowedLoad == 0 || h.coldSlotStart != h.server.Started {
 		h.coldSlotStart = h.server.Started
 		h.coldSlotAt = c.drawColdSlot(h)
@@ -24,7 +25,7 @@
 func (c *Controller) drawColdSlot(h *host) int64 {
 	capacity := h.allowedLoad / targetFill // at the host's present warm share
 	if capacity <= 0 || c.usualFlowLoad <= 0 {
-		return c.now + c.rng.Int63n(coldSlotLifetime) + coldSlotLifetime // only the decision module's budget limits the host
+		return c.now + c.rng.Int63n(coldSlotLifetime) + coldSlotLifetime // the rate is unknown: in one to two seconds
 	}
 	share := c.ownDemandShare
 	if c.usesGrants != nil {
