--- a/cluster/lease/lease.go
+++ b/cluster/lease/lease.go
@@ -23,7 +23,7 @@
 	second = 1000 * ms
 )
 
-// Slots is the number of slots; a key belongs to the slot of its remainder by it.
+// Slots is the number of slots; a key belongs to the slot key % Slots.
 const Slots = 64
 
 // MaxNodes is the largest number of voting nodes. Each node is asked and answers in a datagram of its own, so the bound
@@ -162,7 +162,7 @@
 // ExpiresAt returns when the ownership of a slot expires unless it is renewed.
 func (l *Leases) ExpiresAt(s int) int64 { return l.slots[s].ownedUntil }
 
-// RequestVotes requests votes for the wanted slots that are not owned or due for renewal. The send function transmits
+// RequestVotes requests votes for the wanted slots that are not owned, or are due for renewal. The send function transmits
 // the payload to each other node. The wanted function says whether this process should own a slot; it is only a guess,
 // so that usually one node asks rather than all.
 func (l *Leases) RequestVotes(wanted func(s int) bool, send func(payload []byte)) {
@@ -213,25 +213,25 @@
 		if granted&(1<<s) == 0 {
 			continue
 		}
-		o := &l.slots[s]
-		if o.round != round {
-			if int32(round-o.round) < 0 {
+		candidacy := &l.slots[s]
+		if candidacy.round != round {
+			if int32(round-candidacy.round) < 0 {
 				continue // a later request is under way
 			}
-			o.round = round
-			clear(o.votes)
+			candidacy.round = round
+			clear(candidacy.votes)
 		}
-		o.votes.add(voter)
+		candidacy.votes.add(voter)
 		until := request.sentAt + OwnerTerm
-		if 2*o.votes.count() > l.nodes && (until > o.ownedUntil || !o.everOwned) && l.now < until {
-			if l.now >= o.ownedUntil || !o.everOwned {
-				o.ownedSince = l.now
+		if 2*candidacy.votes.count() > l.nodes && (until > candidacy.ownedUntil || !candidacy.everOwned) && l.now < until {
+			if l.now >= candidacy.ownedUntil || !candidacy.everOwned {
+				candidacy.ownedSince = l.now
 			}
-			o.everOwned = true
-			o.ownedUntil = until
+			candidacy.everOwned = true
+			candidacy.ownedUntil = until
 		}
-		if o.everOwned && until == o.ownedUntil {
-			copy(o.ownerVotes, o.votes)
+		if candidacy.everOwned && until == candidacy.ownedUntil {
+			copy(candidacy.ownerVotes, candidacy.votes)
 		}
 	}
 }
