--- a/rehearsal/baseline/baseline.go
+++ b/rehearsal/baseline/baseline.go
@@ -151,9 +151,9 @@
 // PlaceFlow connects a flow to a server that has not failed it yet, or rejects or aborts the flow.
 func (d *decider) PlaceFlow(f *balance.Flow) {
 	var candidates []*server
-	for _, chosen := range d.servers {
-		if chosen.server.State == balance.Up && !slices.Contains(d.failed[f], chosen.server) {
-			candidates = append(candidates, chosen)
+	for _, candidate := range d.servers {
+		if candidate.server.State == balance.Up && !slices.Contains(d.failed[f], candidate.server) {
+			candidates = append(candidates, candidate)
 		}
 	}
 	firstRun := d.mayHaveRun[f]
--- a/rehearsal/fleet/client.go
+++ b/rehearsal/fleet/client.go
@@ -64,7 +64,7 @@
 const (
 	maxRoundWait   = 8 * second        // longest wait between two rounds of attempts
 	bulkLineBytes  = 128               // length of a line of a bulk client
-	maxEchoDelay   = 7*second + 50_000 // in which a line has to be answered, besides four intervals between lines
+	maxEchoDelay   = 7*second + 50_000 // time within which a line has to be answered, plus four intervals between lines
 	loopRetryPause = 1000              // microseconds until a looping client repeats a failed attempt
 )
 
@@ -260,7 +260,7 @@
 }
 
 // attemptFailed schedules the next attempt, if there is one. retryAfter is the wait that the answer asked for, in
-// microseconds; it is below 0 if there was no such answer.
+// microseconds; it is 0 or less if there was no such answer.
 func (cl *client) attemptFailed(retryAfter int64) {
 	settings := cl.world.script.Clients
 	cl.failures++
--- a/rehearsal/fleet/conn.go
+++ b/rehearsal/fleet/conn.go
@@ -76,7 +76,7 @@
 	upSent      bool         // the node has sent the client UP
 	finalSent   bool         // the node has sent the client a final answer other than UP
 
-	nodeStarts  int // number of starts of the node at the time it was opened: identifies the process
+	nodeStarts  int // number of starts of the node when it was opened or accepted; identifies the process
 	peer        peer
 	peerState   any // for use by the peer
 	path        path
--- a/rehearsal/fleet/demand.go
+++ b/rehearsal/fleet/demand.go
@@ -189,7 +189,8 @@
 	}
 }
 
-// drawZone draws the zone of a client by the weights of the script. Zones without nodes have none.
+// drawZone draws the zone of a client by the weights of the script. A zone has weight 1 if the script gives none,
+// and weight 0 if it has no nodes.
 func (w *World) drawZone() int {
 	total := 0.0
 	weight := func(i int) float64 {
--- a/rehearsal/fleet/faults.go
+++ b/rehearsal/fleet/faults.go
@@ -291,7 +291,7 @@
 }
 
 // dropClients lets a random share of the established clients drop their connections and connect again. For the fault
-// reconnect they close their connections, for vanish they do not.
+// reconnect they reset their connections, for vanish they leave them open.
 func (w *World) dropClients(fault *scenario.Fault, random interface{ Float64() float64 }) {
 	for _, cl := range slices.Clone(w.clients) {
 		if cl.state != clientEstablished || cl.looping || random.Float64() >= fault.Size {
--- a/rehearsal/fleet/host_conn.go
+++ b/rehearsal/fleet/host_conn.go
@@ -34,8 +34,8 @@
 // connected implements peer.
 func (h *host) connected(*Conn) {}
 
-// probeAnswer returns the answer to a probe. The load report has two values: the number of active set-ups, and the load
-// of the flows divided by what the host can do now.
+// probeAnswer returns the answer to a probe. The load report has two values: the number of active set-ups and probes, and
+// the load of the flows divided by what the host can do now.
 func (h *host) probeAnswer(withReport bool) string {
 	if rate := h.coreRate() * h.cores; withReport && rate > 0 {
 		return fmt.Sprintf("PONG %d,%.3f\r\n", len(h.activeSetups), h.load/rate)
@@ -150,7 +150,7 @@
 	h.startQueued()
 }
 
-// refuse answers a connect with BUSY or ERR and closes its connection.
+// refuse answers a connect with BUSY or ERR, closes its connection and removes it.
 func (h *host) refuse(hc *hostConn, answer string) {
 	hc.flow.AddEvent(record.Event{At: h.world.now, Kind: record.HostAnswered, Host: h.index, Connect: hc.attempt, Text: answer})
 	h.world.sendToNode(hc.Conn, answer+"\r\n", nil)
--- a/rehearsal/fleet/host_work.go
+++ b/rehearsal/fleet/host_work.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// coldAllowance returns the number of connects that a host may have received while cold, from its start up to now: what
-// countColdConnect allows, without the two additional connects.
+// coldAllowance returns the number of connects that a host may have received while cold, from its start up to now:
+// fall_multiple times what it can handle, without what countColdConnect allows in addition.
 func (h *host) coldAllowance() float64 {
 	fleet := h.world.script.Fleet
 	if h.bootedAt == 0 || fleet.ColdTime == 0 {
--- a/rehearsal/fleet/links.go
+++ b/rehearsal/fleet/links.go
@@ -23,7 +23,7 @@
 	maxReorderDelay  = 2 * second // added to a datagram that others overtake
 )
 
-// seenDatagram is a datagram that was delivered, kept for replay.
+// seenDatagram is a datagram that the network did not lose, kept for replay.
 type seenDatagram struct {
 	from, to int
 	payload  []byte
@@ -133,7 +133,7 @@
 	})
 }
 
-// replayDatagram may send a datagram that was delivered before once more, to the same node.
+// replayDatagram sends, with the probability of the fault's size, an earlier datagram once more to the same node.
 func (w *World) replayDatagram(fault *linkFault, random *rand.Rand) {
 	if len(w.seenDatagrams) > 0 && random.Float64() < fault.Size {
 		datagram := w.seenDatagrams[random.IntN(len(w.seenDatagrams))]
--- a/rehearsal/fleet/nodes.go
+++ b/rehearsal/fleet/nodes.go
@@ -103,7 +103,8 @@
 	stopMargin    = 700_000    // microseconds that it gets beyond that
 )
 
-// stopNode asks a node to stop, kills it if it has not ended in time, and starts it again after downtime microseconds.
+// stopNode asks a node to stop and kills it if it has not ended in time. It starts the node again downtime microseconds
+// after that time, also if the node has ended before.
 func (w *World) stopNode(index int, downtime int64) {
 	n := w.nodes[index]
 	if !n.running || n.stopping {
--- a/rehearsal/fleet/world.go
+++ b/rehearsal/fleet/world.go
@@ -14,7 +14,7 @@
 )
 
 // Environment holds the addresses of a run and the time of its start. In virtual time addresses are names, on sockets they
-// are addresses in 127.0.0.0/8.
+// are addresses in 127.0.0.0/8. LeadTime has to be a multiple of tickInterval, so that ticks fall on whole seconds.
 type Environment struct {
 	Listen       func(node int) string                           // address at which clients reach a node; nil: the node's name
 	Host         func(node, host int) string                     // address at which a node reaches a host; nil: the same for all nodes
--- a/rehearsal/live/limits_test.go
+++ b/rehearsal/live/limits_test.go
@@ -15,7 +15,7 @@
 	viewLimit      = 20     // concurrent flows of one service type
 	addressRate    = 20     // flows a second of one address
 	addressBurst   = 10     // flows
-	maxWaitForUse  = 0.1    // share of the nodes' time spent waiting for a core, over which a fleet may not use its limits
+	maxWaitForUse  = 0.1    // share of the nodes' time spent waiting for a core; above it a fleet admits less than its limits allow
 )
 
 // TestFleetLimitsOfProcesses lets eight processes together keep the limit of a looping address and that of a service
--- a/rehearsal/live/links.go
+++ b/rehearsal/live/links.go
@@ -133,9 +133,9 @@
 // SetDuplicate starts or ends a second process under a node's name and with its address for links. It has no clients.
 func (p *player) SetDuplicate(no int, conf fleet.NodeConfig, on bool) {
 	n := p.nodes[no]
-	if t := n.duplicate; t != nil {
-		t.Process.Kill()
-		t.Wait()
+	if old := n.duplicate; old != nil {
+		old.Process.Kill()
+		old.Wait()
 		n.duplicate = nil
 	}
 	if !on {
--- a/rehearsal/live/live.go
+++ b/rehearsal/live/live.go
@@ -60,8 +60,8 @@
 	MaxCPUWaitShare float64
 }
 
-// player implements fleet.Nodes with processes. All fields except tasks and done belong to the goroutine that plays the
-// world.
+// player implements fleet.NodePlayer with processes. All fields except tasks, lateReports and done belong to the goroutine
+// that plays the world.
 type player struct {
 	world              *fleet.World
 	options            Options
@@ -161,11 +161,11 @@
 		}
 		var hosts []*listener
 		for h := range s.HostCount() {
-			g, err := newListener(p, n, loopbackIP(hostIP, h))
+			l, err := newListener(p, n, loopbackIP(hostIP, h))
 			if err != nil {
 				return err
 			}
-			hosts = append(hosts, g)
+			hosts = append(hosts, l)
 		}
 		p.hostListeners = append(p.hostListeners, hosts)
 		var discovery [2]*listener
@@ -202,11 +202,11 @@
 // serveAll starts to accept connections at all addresses.
 func (p *player) serveAll() {
 	for n := range p.hostListeners {
-		for _, g := range p.hostListeners[n] {
-			g.serve()
+		for _, l := range p.hostListeners[n] {
+			l.serve()
 		}
-		for _, g := range p.discoveryListeners[n] {
-			g.serve()
+		for _, l := range p.discoveryListeners[n] {
+			l.serve()
 		}
 	}
 }
@@ -327,8 +327,8 @@
 		}
 	}
 	for n := range p.hostListeners {
-		for _, g := range p.hostListeners[n] {
-			g.close()
+		for _, l := range p.hostListeners[n] {
+			l.close()
 		}
 	}
 	for _, row := range p.relays {
@@ -339,9 +339,9 @@
 		}
 	}
 	for _, listeners := range p.discoveryListeners {
-		for _, g := range listeners {
-			if g != nil {
-				g.close()
+		for _, l := range listeners {
+			if l != nil {
+				l.close()
 			}
 		}
 	}
--- a/rehearsal/live/sockets.go
+++ b/rehearsal/live/sockets.go
@@ -29,17 +29,17 @@
 }
 
 // serve accepts connections until the listener is closed.
-func (g *listener) serve() {
-	l := g.tcp
+func (l *listener) serve() {
+	tcp := l.tcp
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := tcp.Accept()
 			if err != nil {
 				return
 			}
-			s := &socket{player: g.player, tcp: c.(*net.TCPConn), connected: true}
-			g.player.post(func() {
-				s.conn = g.player.world.Dial(g.node, g.addr, s)
+			s := &socket{player: l.player, tcp: c.(*net.TCPConn), connected: true}
+			l.player.post(func() {
+				s.conn = l.player.world.Dial(l.node, l.addr, s)
 				s.startReading()
 			})
 		}
@@ -47,28 +47,28 @@
 }
 
 // close closes the listener if it is open.
-func (g *listener) close() {
-	if g.tcp != nil {
-		g.tcp.Close()
-		g.tcp = nil
+func (l *listener) close() {
+	if l.tcp != nil {
+		l.tcp.Close()
+		l.tcp = nil
 	}
 }
 
 // SetListening closes the listeners of a dead host, so that connects to it are refused, and opens them again.
 func (p *player) SetListening(host int, listening bool) {
 	for n := range p.hostListeners {
-		g := p.hostListeners[n][host]
+		l := p.hostListeners[n][host]
 		switch {
 		case !listening:
-			g.close()
-		case g.tcp == nil:
-			l, err := net.Listen("tcp", g.addr)
+			l.close()
+		case l.tcp == nil:
+			tcp, err := net.Listen("tcp", l.addr)
 			if err != nil {
 				p.fail(err)
 				return
 			}
-			g.tcp = l
-			g.serve()
+			l.tcp = tcp
+			l.serve()
 		}
 	}
 }
--- a/rehearsal/record/record.go
+++ b/rehearsal/record/record.go
@@ -168,8 +168,8 @@
 	Node         int
 	At           int64 // when it connected
 	AnswerWithin int64 // the node has to send an error or close within this duration
-	AnsweredAt   int64 // when it did; 0 if it did not
-	Excused      bool  // its node died, or the run ended, before
+	AnsweredAt   int64 // when it did or the connection broke; 0 if neither
+	Excused      bool  // its node was not running at AnsweredAt
 	Served       bool  // it was given what only a flow is given
 }
 
@@ -249,7 +249,7 @@
 	return b.Flush()
 }
 
-// attempt is one connect of a flow.
+// attempt is one connect of a flow. Its duration is from sentAt to its outcome.
 type attempt struct {
 	host     int
 	outcome  string
--- a/rehearsal/report/text.go
+++ b/rehearsal/report/text.go
@@ -184,7 +184,8 @@
 	}
 }
 
-// writePlacement writes how many flows each node established at each host, and the peak load of each host.
+// writePlacement writes the connects to cold hosts, how many flows each node established at each host, and the peak load
+// of each host.
 func writePlacement(w io.Writer, r *record.Run) {
 	nodes := 0
 	for _, f := range r.Flows {
--- a/rehearsal/rules/rules.go
+++ b/rehearsal/rules/rules.go
@@ -106,8 +106,8 @@
 	c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf(format, args...), f})
 }
 
-// wasPaused tells whether a node's process was stopped at some time in an interval. A stopped process can do nothing in
-// time.
+// wasPaused tells whether a node's process was suspended at some time in an interval. A suspended process can do nothing
+// in time.
 func (c *checker) wasPaused(node int, from, to int64) bool {
 	return slices.ContainsFunc(c.run.Pauses, func(s record.NodePause) bool {
 		return s.Node == node && s.From <= to && (s.To == 0 || s.To+TimeTolerance >= from)
@@ -115,7 +115,7 @@
 }
 
 // checkAnswer checks that a flow has exactly one answer, in time. A flow is excused if its client left first, or if its
-// node was killed or stopped meanwhile.
+// node was killed or suspended meanwhile.
 func (c *checker) checkAnswer(f *record.Flow) {
 	asked := f.FirstEvent(record.RequestSent)
 	if asked == nil {
@@ -240,7 +240,7 @@
 				since = notice.At
 				for _, s := range c.run.Pauses {
 					if s.Node == f.Node && s.From <= since && since < s.To {
-						since = s.To // the node was stopped and could not know before
+						since = s.To // the node was suspended and could not know before
 					}
 				}
 			}
--- a/rehearsal/rules/rules_test.go
+++ b/rehearsal/rules/rules_test.go
@@ -179,7 +179,7 @@
 func (r *faultyNode) PeerClosed(c *fleet.Conn) { r.finish(c) }
 func (r *faultyNode) Reset(c *fleet.Conn)      { r.finish(c) }
 
-// play plays the script against a rogue, with one text of the script replaced and another appended.
+// play plays the script against a faultyNode, with one text of the script replaced and another appended.
 func play(t *testing.T, mode, more string, from, to string) *record.Run {
 	t.Helper()
 	s, err := scenario.Parse("planted.toml", []byte(strings.Replace(script, from, to, 1)+more))
--- a/rehearsal/scenario/check.go
+++ b/rehearsal/scenario/check.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// checkSpan requires a length of time to be from low to high.
-func (p *problems) checkSpan(key string, value, low, high Duration) {
+// checkDuration requires a length of time to be from low to high.
+func (p *problems) checkDuration(key string, value, low, high Duration) {
 	if value < low || value > high {
 		p.add(key, "%v is out of range: %v to %v", value, low, high)
 	}
@@ -40,7 +40,7 @@
 	if s.Name == "" {
 		p.add("name", "is missing")
 	}
-	p.checkSpan("length", s.Length, second, hour)
+	p.checkDuration("length", s.Length, second, hour)
 	if slices.Contains(s.Zones, "") || len(slices.Compact(sortNames(slices.Clone(s.Zones)))) != len(s.Zones) {
 		p.add("zones", "names must be unique and not empty")
 	}
@@ -60,42 +60,42 @@
 		key string
 		v   Duration
 	}{{"same", s.Network.SameZone}, {"cross", s.Network.CrossZone}, {"client", s.Network.Client}} {
-		p.checkSpan("network."+delay.key, delay.v, 1, 10*second)
+		p.checkDuration("network."+delay.key, delay.v, 1, 10*second)
 	}
 	p.checkNumber("network.jitter", s.Network.Jitter, 0, 0.9)
-	p.checkSpan("discovery.notice", s.Discovery.NoticeDelay, 0, hour)
-	p.checkSpan("discovery.period", s.Discovery.UpdatePeriod, millisecond, 10*second)
+	p.checkDuration("discovery.notice", s.Discovery.NoticeDelay, 0, hour)
+	p.checkDuration("discovery.period", s.Discovery.UpdatePeriod, millisecond, 10*second)
 	p.checkNumber("discovery.calls", s.Discovery.CallRate, 0, 1e6)
 	p.checkNumber("discovery.refuses", s.Discovery.RefusalShare, 0, 1)
-	p.checkSpan("front.notice", s.FrontEnd.NoticeDelay, 0, hour)
+	p.checkDuration("front.notice", s.FrontEnd.NoticeDelay, 0, hour)
 	p.checkNumber("store.rate", s.Store.CallRate, 0, 1e6)
-	p.checkSpan("store.time", s.Store.CallTime, 0, 10*second)
+	p.checkDuration("store.time", s.Store.CallTime, 0, 10*second)
 }
 
 func (s *Script) checkFleet(p *problems) {
 	fleet := s.Fleet
 	p.checkNumber("fleet.flows_per_core", fleet.FlowsPerCore, 0.1, 1e5)
 	p.checkNumber("fleet.cap", fleet.ConnectionCap, 0.1, 1000)
-	p.checkSpan("fleet.setup_work", fleet.SetupWork, 1, 10*second)
-	p.checkSpan("fleet.probe_work", fleet.ProbeWork, 0, second)
+	p.checkDuration("fleet.setup_work", fleet.SetupWork, 1, 10*second)
+	p.checkDuration("fleet.probe_work", fleet.ProbeWork, 0, second)
 	p.checkNumber("fleet.slots_per_core", fleet.SlotsPerCore, 0.1, 1e4)
 	p.checkNumber("fleet.queue_per_core", fleet.QueuePerCore, 0, 1e6)
 	p.checkNumber("fleet.cold_from", fleet.ColdFrom, 0.01, 1)
-	p.checkSpan("fleet.cold_time", fleet.ColdTime, 0, hour)
+	p.checkDuration("fleet.cold_time", fleet.ColdTime, 0, hour)
 	p.checkNumber("fleet.fall_multiple", fleet.FallMultiple, 1, 1000)
 	p.checkNumber("fleet.fall_roots", fleet.FallRoots, 0, 10)
-	p.checkSpan("fleet.fall_after", fleet.FallAfter, 100*millisecond, 60*second)
+	p.checkDuration("fleet.fall_after", fleet.FallAfter, 100*millisecond, 60*second)
 	p.checkNumber("fleet.group_cost", fleet.GroupCost, 0, 1000)
 	p.checkNumber("fleet.groups", float64(fleet.Groups), 0, 1e6)
 	p.checkNumber("fleet.error_rate", fleet.ErrorRate, 0, 1)
 	p.checkWord("fleet.drain", fleet.DrainMode, "none", "paced", "at_once")
-	p.checkSpan("fleet.buffer", fleet.Buffer, 0, 60*second)
+	p.checkDuration("fleet.buffer", fleet.Buffer, 0, 60*second)
 	p.checkNumber("fleet.thrash", fleet.Thrash, 0, 0.95)
 	p.checkWord("fleet.sheds", fleet.ShedMode, "none", "newest", "heaviest")
 	p.checkWord("fleet.echo", fleet.EchoMode, "at_once", "in_turn")
 	p.checkNumber("fleet.load_spread", fleet.LoadSpread, 0, 3)
 	p.checkNumber("fleet.swing", fleet.LoadSwing, 0, 3)
-	p.checkSpan("fleet.change", fleet.LoadChangeInterval, 100*millisecond, hour)
+	p.checkDuration("fleet.change", fleet.LoadChangeInterval, 100*millisecond, hour)
 	p.checkNumber("fleet.life_spread", fleet.LifeSpread, 0, 3)
 	total := 0
 	for i, h := range s.Hosts {
@@ -103,7 +103,7 @@
 		p.checkNumber(key+".count", float64(h.Count), 1, maxHosts)
 		p.checkNumber(key+".cores", h.Cores, 0.1, 1000)
 		p.checkNumber(key+".speed", h.Speed, 0.01, 100)
-		p.checkSpan(key+".boot", h.BootAt, 0, s.Length)
+		p.checkDuration(key+".boot", h.BootAt, 0, s.Length)
 		s.checkZone(p, key+".zone", h.Zone, true)
 		total += max(h.Count, 0)
 	}
@@ -134,13 +134,13 @@
 	p.checkNumber("node.sockets", float64(node.Sockets), 32, 1e6)
 	p.checkNumber("node.memory_mb", float64(node.MemoryMB), 16, 1e6)
 	p.checkNumber("node.max_connects", float64(node.MaxConnects), 1, 100)
-	p.checkSpan("node.drain_grace", node.DrainGrace, 0, 60*second)
-	p.checkSpan("node.max_wait", node.MaxRetryAfter, 0, 60*second)
+	p.checkDuration("node.drain_grace", node.DrainGrace, 0, 60*second)
+	p.checkDuration("node.max_wait", node.MaxRetryAfter, 0, 60*second)
 	p.checkNumber("node.backlog", float64(node.Backlog), 1, 1e6)
-	p.checkSpan("node.dial_timeout", node.DialTimeout, millisecond, 60*second)
+	p.checkDuration("node.dial_timeout", node.DialTimeout, millisecond, 60*second)
 	p.checkNumber("node.holding.buffers", float64(node.Holding.Buffers), 0, 1e6)
-	p.checkSpan("node.holding.idle", node.Holding.Idle, 0, hour)
-	p.checkSpan("node.holding.stalled", node.Holding.Stalled, 0, hour)
+	p.checkDuration("node.holding.idle", node.Holding.Idle, 0, hour)
+	p.checkDuration("node.holding.stalled", node.Holding.Stalled, 0, hour)
 	p.checkNumber("node.admission.per_address", float64(node.Admission.PerAddress), 0, 1e6)
 	p.checkNumber("node.admission.rate", node.Admission.Rate, 0, 1e6)
 	p.checkNumber("node.admission.burst", node.Admission.Burst, 0, 1e6)
@@ -149,7 +149,7 @@
 		key string
 		v   Duration
 	}{{"turn_cost", node.IterationCost}, {"event_cost", node.EventCost}, {"socket_cost", node.SocketCost}, {"kb_cost", node.KilobyteCost}} {
-		p.checkSpan("node."+cost.key, cost.v, 0, second)
+		p.checkDuration("node."+cost.key, cost.v, 0, second)
 	}
 }
 
@@ -157,7 +157,7 @@
 	clients := s.Clients
 	p.checkNumber("clients.retries", float64(clients.Retries), 0, 1000)
 	p.checkWord("clients.wait", clients.RetryWait, "none", "at_once", "fixed", "exponential")
-	p.checkSpan("clients.pause", clients.RetryPause, millisecond, 60*second)
+	p.checkDuration("clients.pause", clients.RetryPause, millisecond, 60*second)
 	p.checkNumber("clients.honour", clients.HonourShare, 0, 1)
 	for _, pair := range []struct {
 		key string
@@ -167,7 +167,7 @@
 			p.add("clients."+pair.key, "%v to %v is out of range: two times, the shorter first", pair.v[0], pair.v[1])
 		}
 	}
-	p.checkSpan("clients.line_every", clients.LineInterval, millisecond, 60*second)
+	p.checkDuration("clients.line_every", clients.LineInterval, millisecond, 60*second)
 	if len(s.Types) == 0 {
 		p.add("types", "there are no service types")
 	}
@@ -182,13 +182,13 @@
 		p.checkNumber(key+".load", t.Load, 0.001, 1000)
 		p.checkNumber(key+".life", t.Life, 0.001, 1000)
 		p.checkNumber(key+".benefit", t.Benefit, 0.001, 1000)
-		p.checkSpan(key+".setup_target", t.SetupTarget, millisecond, 60*second)
-		p.checkSpan(key+".message_target", t.MessageTarget, millisecond, 60*second)
-		p.checkSpan(key+".connect_timeout", t.ConnectTimeout, t.SetupTarget, 600*second)
+		p.checkDuration(key+".setup_target", t.SetupTarget, millisecond, 60*second)
+		p.checkDuration(key+".message_target", t.MessageTarget, millisecond, 60*second)
+		p.checkDuration(key+".connect_timeout", t.ConnectTimeout, t.SetupTarget, 600*second)
 		p.checkWord(key+".effect", t.Effect, "repeatable", "referenced", "once-only")
 		p.checkWord(key+".scope", t.Scope, "all", "zone")
 		if t.Effect == "referenced" {
-			p.checkSpan(key+".window", t.Window, millisecond, hour)
+			p.checkDuration(key+".window", t.Window, millisecond, hour)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 	p.checkNumber("demand.rate", demand.Rate, 0, maxRate)
 	p.checkNumber("demand.standing", demand.Standing, 0, 10)
 	p.checkNumber("demand.standing_tilt", demand.StandingTilt, 0, 3)
-	p.checkSpan("demand.life", demand.Life, 100*millisecond, hour)
+	p.checkDuration("demand.life", demand.Life, 100*millisecond, hour)
 	if demand.Rate == 0 && demand.Flows == "" && len(demand.Loops)+len(demand.Bulk) == 0 {
 		p.add("demand.rate", "no clients arrive: set a rate, flows, loops or bulk")
 	}
@@ -230,7 +230,7 @@
 	for i, w := range demand.Waves {
 		key := "demand.waves." + strconv.Itoa(i)
 		p.checkNumber(key+".times", w.RateMultiplier, 0, 1000)
-		p.checkSpan(key+".at", w.At, 0, s.Length)
+		p.checkDuration(key+".at", w.At, 0, s.Length)
 		if i > 0 && w.At < demand.Waves[i-1].At {
 			p.add(key+".at", "%v is before the preceding wave", w.At)
 		}
@@ -245,7 +245,7 @@
 	}
 	for i, b := range demand.BadClients {
 		key := fmt.Sprintf("demand.bad.%d", i)
-		p.checkSpan(key+".at", b.At, 0, s.Length)
+		p.checkDuration(key+".at", b.At, 0, s.Length)
 		p.checkNumber(key+".rate", b.Rate, 0.01, 10_000)
 		p.checkWord(key+".kind", b.Kind, BadClientKinds...)
 		s.checkZone(p, key+".zone", b.Zone, true)
@@ -254,8 +254,8 @@
 
 // checkClientGroup checks a group of looping or bulk clients.
 func (s *Script) checkClientGroup(p *problems, key string, from, length Duration, count int, kind, zone string) {
-	p.checkSpan(key+".at", from, 0, s.Length)
-	p.checkSpan(key+".for", length, 0, s.Length)
+	p.checkDuration(key+".at", from, 0, s.Length)
+	p.checkDuration(key+".for", length, 0, s.Length)
 	p.checkNumber(key+".count", float64(count), 1, 10_000)
 	s.checkZone(p, key+".zone", zone, true)
 	if s.TypeIndex(kind) < 0 && kind != "" {
@@ -271,9 +271,9 @@
 		p.add(key+".kind", "%q is unknown: one of %s", fault.Kind, FaultKinds())
 		return
 	}
-	p.checkSpan(key+".at", fault.At, 0, s.Length)
-	p.checkSpan(key+".for", fault.For, 0, hour)
-	p.checkSpan(key+".step", fault.Step, 0, s.Length)
+	p.checkDuration(key+".at", fault.At, 0, s.Length)
+	p.checkDuration(key+".for", fault.For, 0, hour)
+	p.checkDuration(key+".step", fault.Step, 0, s.Length)
 	if kind.needsDuration && fault.For == 0 {
 		p.add(key+".for", "is missing: the fault needs a duration")
 	}
@@ -291,7 +291,7 @@
 		p.add(key+".kind", "nodes have no links: cluster.on is false or cluster.alone is true")
 	}
 	if fault.Kind == "delay" || fault.Kind == "link_delay" {
-		p.checkSpan(key+".delay", fault.Delay, 1, 60*second)
+		p.checkDuration(key+".delay", fault.Delay, 1, 60*second)
 	}
 	switch kind.target {
 	case targetsHosts:
--- a/rehearsal/scenario/fault_kinds.go
+++ b/rehearsal/scenario/fault_kinds.go
@@ -23,7 +23,8 @@
 	needsDuration    bool // Fault.For has to be set
 }
 
-// faultKinds holds all kinds of faults. "The duration" is Fault.For.
+// faultKinds holds all kinds of faults. "The duration" is Fault.For. A fault that needs a duration lasts for it unless
+// stated otherwise.
 var faultKinds = map[string]faultKind{
 	// Hosts.
 	"crash":     {targetsHosts, "", 0, 0, false}, // the process dies; if there is a duration, it restarts cold after it
@@ -39,11 +40,11 @@
 
 	// Nodes.
 	"node_kill":   {targetsNodes, "", 0, 0, true},  // killed, and restarted after the duration
-	"node_stop":   {targetsNodes, "", 0, 0, true},  // asked to stop by SIGTERM, and restarted the duration after its end
+	"node_stop":   {targetsNodes, "", 0, 0, true},  // stopped by SIGTERM, restarted the duration after its time to end
 	"node_reload": {targetsNodes, "", 0, 0, false}, // reads its configuration again
 	"node_starve": {targetsNodes, "share of its core taken", 0.01, 0.999, true},
 	"node_pause":  {targetsNodes, "", 0, 0, true},                                          // suspended, then continues with its old state
-	"node_twin":   {targetsNodes, "", 0, 0, true},                                          // a second process of the name, without clients
+	"node_twin":   {targetsNodes, "", 0, 0, true},                                          // a second process of the same name, without clients
 	"node_clock":  {targetsNodes, "seconds that its clock jumps by", -86400, 86400, false}, // in virtual time only
 	"node_rate":   {targetsNodes, "factor of the speed of its clock", 0.5, 2, true},        // in virtual time only
 
--- a/rehearsal/scenario/scenario.go
+++ b/rehearsal/scenario/scenario.go
@@ -55,30 +55,32 @@
 
 // Fleet holds what all hosts have in common. Work is time of a core of speed 1.
 type Fleet struct {
-	FlowsPerCore       float64  `toml:"flows_per_core"` // flows of load 1 that saturate a core of speed 1
-	ConnectionCap      float64  `toml:"cap"`            // most connections of a host, as a multiple of its capacity
-	SetupWork          Duration `toml:"setup_work"`     // work of a set-up
-	ProbeWork          Duration `toml:"probe_work"`     // work of a probe
-	SlotsPerCore       float64  `toml:"slots_per_core"` // set-ups that are worked on at once
-	QueuePerCore       float64  `toml:"queue_per_core"` // set-ups that wait
-	ColdFrom           float64  `toml:"cold_from"`      // share of its capacity that a host has at its start
-	ColdTime           Duration `toml:"cold_time"`      // time from its start until it has its whole capacity
-	FallMultiple       float64  `toml:"fall_multiple"`  // times what a cold host can handle: sent more, it falls over and stays down
-	FallAfter          Duration `toml:"fall_after"`     // time over which that is counted
-	FallRoots          float64  `toml:"fall_roots"`     // times the square root of the limit: allowed in addition, for random variation
-	GroupCost          float64  `toml:"group_cost"`     // load that a group costs each host with any of its flows
-	Groups             int      `toml:"groups"`         // number of groups; 0: none
-	ErrorRate          float64  `toml:"error_rate"`     // share of set-ups answered ERR
-	DrainMode          string   `toml:"drain"`          // how a draining host sends its clients away: none, paced or at_once
-	Buffer             Duration `toml:"buffer"`         // largest backlog of messages, as time of all cores
-	Thrash             float64  `toml:"thrash"`         // share of its capacity that a host loses when its buffer is full
-	ShedMode           string   `toml:"sheds"`          // flow that a host drops when its buffer is full: none, newest or heaviest
-	EchoMode           string   `toml:"echo"`           // at_once: lines are echoed before their work is done; in_turn: after it
-	SendsLoad          bool     `toml:"tells_load"`     // hosts send LOAD
-	LoadSpread         float64  `toml:"load_spread"`    // sigma of the flows' loads (log-normal)
-	LoadSwing          float64  `toml:"swing"`          // sigma of the changes of a flow's load (log-normal)
-	LoadChangeInterval Duration `toml:"change"`         // mean time between changes of a flow's load
-	LifeSpread         float64  `toml:"life_spread"`    // sigma of the lives of flows (log-normal)
+	FlowsPerCore  float64  `toml:"flows_per_core"` // flows of load 1 that saturate a core of speed 1
+	ConnectionCap float64  `toml:"cap"`            // most connections of a host, as a multiple of its capacity
+	SetupWork     Duration `toml:"setup_work"`     // work of a set-up
+	ProbeWork     Duration `toml:"probe_work"`     // work of a probe
+	SlotsPerCore  float64  `toml:"slots_per_core"` // set-ups that are worked on at once
+	QueuePerCore  float64  `toml:"queue_per_core"` // set-ups that wait
+	ColdFrom      float64  `toml:"cold_from"`      // share of its capacity that a host has at its start
+	ColdTime      Duration `toml:"cold_time"`      // time from its start until it has its whole capacity
+	// A cold host falls over and stays down if it receives more than fall_multiple times the connects that it can handle,
+	// counted over fall_after. Besides, fall_roots times the square root of that limit is allowed, as random variation.
+	FallMultiple       float64  `toml:"fall_multiple"`
+	FallAfter          Duration `toml:"fall_after"`
+	FallRoots          float64  `toml:"fall_roots"`
+	GroupCost          float64  `toml:"group_cost"`  // load that a group costs each host with any of its flows
+	Groups             int      `toml:"groups"`      // number of groups; 0: none
+	ErrorRate          float64  `toml:"error_rate"`  // share of set-ups answered ERR
+	DrainMode          string   `toml:"drain"`       // how a draining host sends its clients away: none, paced or at_once
+	Buffer             Duration `toml:"buffer"`      // largest backlog of messages, as time of all cores
+	Thrash             float64  `toml:"thrash"`      // share of its capacity that a host loses when its buffer is full
+	ShedMode           string   `toml:"sheds"`       // flow that a host drops when its buffer is full: none, newest or heaviest
+	EchoMode           string   `toml:"echo"`        // at_once: lines are echoed before their work is done; in_turn: after it
+	SendsLoad          bool     `toml:"tells_load"`  // hosts send LOAD
+	LoadSpread         float64  `toml:"load_spread"` // sigma of the flows' loads (log-normal)
+	LoadSwing          float64  `toml:"swing"`       // sigma of the changes of a flow's load (log-normal)
+	LoadChangeInterval Duration `toml:"change"`      // mean time between changes of a flow's load
+	LifeSpread         float64  `toml:"life_spread"` // sigma of the lives of flows (log-normal)
 }
 
 // HostGroup describes hosts that are alike.
@@ -142,7 +144,7 @@
 type Admission struct {
 	PerAddress int     `toml:"per_address"` // connections at once
 	Rate       float64 `toml:"rate"`        // new connections per second
-	Burst      float64 `toml:"burst"`       // new connections in addition
+	Burst      float64 `toml:"burst"`       // new connections that may come at once
 	Reserve    int     `toml:"reserve"`     // descriptors reserved for known clients
 }
 
--- a/rehearsal/trial/sweep.go
+++ b/rehearsal/trial/sweep.go
@@ -28,7 +28,7 @@
 }
 
 // SweepResult holds the figures of a fleet at one size and multiple. Each is the median over the seeds, except
-// RejectionSpread, which is computed of all seeds together, and Breaches, which is a sum.
+// RejectionSpread, which is computed from all seeds together, and Breaches, which is a sum.
 type SweepResult struct {
 	Nodes                int     `json:"nodes"`
 	DemandFactor         float64 `json:"times"`
@@ -110,39 +110,39 @@
 }
 
 // measure returns the figures of a run at a multiple of the script's demand.
-func measure(s *scenario.Script, r *record.Run, factor float64) (l SweepResult) {
+func measure(s *scenario.Script, r *record.Run, factor float64) (result SweepResult) {
 	f, unit := r.Summarize(), 0.0
 	for _, sec := range r.Seconds {
 		wanted := make([]float64, len(s.Types))
 		for t, k := range s.Types {
 			wanted[t] = sec.Requested[t] / k.Benefit
 			unit += sec.Requested[t] / factor
-			l.Goodput += sec.Served[t]
+			result.Goodput += sec.Served[t]
 		}
-		l.BestGoodput += fleet.MaxBenefitRate(s, wanted)
+		result.BestGoodput += fleet.MaxBenefitRate(s, wanted)
 	}
 	unit = max(unit, 1e-9)
-	l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10 = factor, l.Goodput/unit, l.BestGoodput/unit, f.Worst10
+	result.DemandFactor, result.Goodput, result.BestGoodput, result.Worst10 = factor, result.Goodput/unit, result.BestGoodput/unit, f.Worst10
 	answers := 0
 	for _, v := range f.Answers {
 		answers += v
 	}
 	seconds := float64(r.Length) / 1e6
-	l.Rejected = float64(f.Answers["rejected"]+f.Answers["aborted"]) / float64(max(answers, 1))
-	l.EstablishedPerSecond = float64(f.Answers["established"]) / seconds
-	l.ConnectsPerFlow = f.ConnectsPerFlow
-	l.ProbesPerSecond = float64(r.Counts.Probes) / seconds
-	l.rejectionVariances = rejectionVariances(r)
+	result.Rejected = float64(f.Answers["rejected"]+f.Answers["aborted"]) / float64(max(answers, 1))
+	result.EstablishedPerSecond = float64(f.Answers["established"]) / seconds
+	result.ConnectsPerFlow = f.ConnectsPerFlow
+	result.ProbesPerSecond = float64(r.Counts.Probes) / seconds
+	result.rejectionVariances = rejectionVariances(r)
 	for _, h := range r.Hosts {
 		sum, n := 0.0, 0.0
 		for _, v := range h.Load[len(h.Load)/2:] {
 			sum, n = sum+v, n+1
 		}
-		l.MeanHostLoad += sum / max(n, 1) / float64(len(r.Hosts))
-		l.MaxHostLoad = max(l.MaxHostLoad, sum/max(n, 1))
+		result.MeanHostLoad += sum / max(n, 1) / float64(len(r.Hosts))
+		result.MaxHostLoad = max(result.MaxHostLoad, sum/max(n, 1))
 	}
-	l.Breaches = len(rules.Check(r))
-	return l
+	result.Breaches = len(rules.Check(r))
+	return result
 }
 
 const (
@@ -190,22 +190,22 @@
 }
 
 // medianResult returns the medians of the runs at one size and multiple, with the spread and the breaches of all runs.
-func medianResult(l SweepResult, runs []SweepResult) SweepResult {
-	l.Nodes = runs[0].Nodes
+func medianResult(r SweepResult, runs []SweepResult) SweepResult {
+	r.Nodes = runs[0].Nodes
 	setMedian := func(get func(*SweepResult) *float64) {
 		var all []float64
 		for i := range runs {
 			all = append(all, *get(&runs[i]))
 		}
 		slices.Sort(all)
-		*get(&l) = all[len(all)/2]
+		*get(&r) = all[len(all)/2]
 	}
 	for _, get := range []func(*SweepResult) *float64{
-		func(l *SweepResult) *float64 { return &l.Goodput }, func(l *SweepResult) *float64 { return &l.BestGoodput },
-		func(l *SweepResult) *float64 { return &l.Worst10 }, func(l *SweepResult) *float64 { return &l.Rejected },
-		func(l *SweepResult) *float64 { return &l.RejectionSpread }, func(l *SweepResult) *float64 { return &l.EstablishedPerSecond },
-		func(l *SweepResult) *float64 { return &l.ConnectsPerFlow }, func(l *SweepResult) *float64 { return &l.ProbesPerSecond },
-		func(l *SweepResult) *float64 { return &l.MeanHostLoad }, func(l *SweepResult) *float64 { return &l.MaxHostLoad }} {
+		func(r *SweepResult) *float64 { return &r.Goodput }, func(r *SweepResult) *float64 { return &r.BestGoodput },
+		func(r *SweepResult) *float64 { return &r.Worst10 }, func(r *SweepResult) *float64 { return &r.Rejected },
+		func(r *SweepResult) *float64 { return &r.RejectionSpread }, func(r *SweepResult) *float64 { return &r.EstablishedPerSecond },
+		func(r *SweepResult) *float64 { return &r.ConnectsPerFlow }, func(r *SweepResult) *float64 { return &r.ProbesPerSecond },
+		func(r *SweepResult) *float64 { return &r.MeanHostLoad }, func(r *SweepResult) *float64 { return &r.MaxHostLoad }} {
 		setMedian(get)
 	}
 	for t := range runs[0].rejectionVariances {
@@ -213,22 +213,22 @@
 		for i := range runs {
 			sum += runs[i].rejectionVariances[t] / float64(len(runs))
 		}
-		l.RejectionSpread = max(l.RejectionSpread, deviationsP10ToP90*math.Sqrt(max(sum, 0)))
+		r.RejectionSpread = max(r.RejectionSpread, deviationsP10ToP90*math.Sqrt(max(sum, 0)))
 	}
 	for i := range runs {
-		l.Breaches += runs[i].Breaches
+		r.Breaches += runs[i].Breaches
 	}
-	return l
+	return r
 }
 
 // WriteSweepText writes the results of a sweep for people, as a table.
 func WriteSweepText(w io.Writer, all []SweepResult) {
 	fmt.Fprintf(w, "%6s %6s %8s %8s %8s %9s %7s %8s %9s %8s %7s %7s %7s\n", "nodes", "times", "goodput", "best", "worst10s",
 		"rejected", "spread", "up a s", "connects", "probes", "busy", "top", "broken")
-	for _, l := range all {
+	for _, r := range all {
 		fmt.Fprintf(w, "%6d %6g %8.3f %8.3f %8.3f %8.1f%% %7.3f %8.1f %9.2f %8.1f %6.0f%% %6.0f%% %7d\n",
-			l.Nodes, l.DemandFactor, l.Goodput, l.BestGoodput, l.Worst10, l.Rejected*100, l.RejectionSpread,
-			l.EstablishedPerSecond, l.ConnectsPerFlow, l.ProbesPerSecond, l.MeanHostLoad*100, l.MaxHostLoad*100, l.Breaches)
+			r.Nodes, r.DemandFactor, r.Goodput, r.BestGoodput, r.Worst10, r.Rejected*100, r.RejectionSpread,
+			r.EstablishedPerSecond, r.ConnectsPerFlow, r.ProbesPerSecond, r.MeanHostLoad*100, r.MaxHostLoad*100, r.Breaches)
 	}
 	fmt.Fprintln(w, "goodput and best in units of what the script's own rate asks for; medians over the seeds")
 }
--- a/rehearsal/trial/trial.go
+++ b/rehearsal/trial/trial.go
@@ -95,12 +95,12 @@
 	return sum, nil
 }
 
-// Experiment is an experiment. The other variants are compared with the first one.
+// Experiment plays each script with each variant and seed. The other variants are compared with the first one.
 type Experiment struct {
 	Scripts   []string
 	Variants  []Variant
 	Seeds     int
-	FirstSeed uint64 // first seed
+	FirstSeed uint64 // the others follow it
 	Workers   int    // runs at the same time; 0 for one a core
 	Progress  func(done, all int)
 }
@@ -136,14 +136,14 @@
 
 // Run plays the experiment with several workers. The result does not depend on their number. It fails with the first
 // error of a run.
-func (p Experiment) Run() ([]Result, error) {
-	results := make([]Result, 0, len(p.Scripts)*len(p.Variants))
-	for _, s := range p.Scripts {
-		for _, v := range p.Variants {
-			results = append(results, Result{Script: s, Variant: v.Name, Runs: make([]report.Summary, p.Seeds)})
+func (e Experiment) Run() ([]Result, error) {
+	results := make([]Result, 0, len(e.Scripts)*len(e.Variants))
+	for _, s := range e.Scripts {
+		for _, v := range e.Variants {
+			results = append(results, Result{Script: s, Variant: v.Name, Runs: make([]report.Summary, e.Seeds)})
 		}
 	}
-	workers := p.Workers
+	workers := e.Workers
 	if workers == 0 {
 		workers = runtime.NumCPU()
 	}
@@ -158,27 +158,27 @@
 		go func() {
 			defer wg.Done()
 			for j := range jobs {
-				sum, err := p.Variants[j.result%len(p.Variants)].play(results[j.result].Script, p.FirstSeed+uint64(j.seed))
+				sum, err := e.Variants[j.result%len(e.Variants)].play(results[j.result].Script, e.FirstSeed+uint64(j.seed))
 				mu.Lock()
 				results[j.result].Runs[j.seed] = sum
 				if firstErr == nil && err != nil {
 					firstErr = fmt.Errorf("%s on %s: %w", results[j.result].Variant, results[j.result].Script, err)
 				}
 				done++
-				if p.Progress != nil {
-					p.Progress(done, len(results)*p.Seeds)
+				if e.Progress != nil {
+					e.Progress(done, len(results)*e.Seeds)
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	for seed := range p.Seeds { // seed by seed, so that a variant that fails does so early
-		for r := range results {
+	for seed := range e.Seeds { // seed by seed, so that a variant that fails does so early
+		for index := range results {
 			mu.Lock()
 			stop := firstErr != nil
 			mu.Unlock()
 			if !stop {
-				jobs <- job{r, seed}
+				jobs <- job{index, seed}
 			}
 		}
 	}
@@ -188,37 +188,37 @@
 		return nil, firstErr
 	}
 	for i := range results {
-		results[i].sum(&results[i-i%len(p.Variants)])
+		results[i].sum(&results[i-i%len(e.Variants)])
 	}
 	return results, nil
 }
 
 // sum computes the means of a result and its differences from the first variant on the same script.
-func (c *Result) sum(first *Result) {
-	c.Mean, c.Breaches, c.Setup = map[string]float64{}, map[string]int{}, map[string]report.Setup{}
-	n := float64(len(c.Runs))
-	for _, r := range c.Runs {
-		for rule, count := range r.Breaches {
-			c.Breaches[rule] += count
+func (r *Result) sum(first *Result) {
+	r.Mean, r.Breaches, r.Setup = map[string]float64{}, map[string]int{}, map[string]report.Setup{}
+	n := float64(len(r.Runs))
+	for _, run := range r.Runs {
+		for rule, count := range run.Breaches {
+			r.Breaches[rule] += count
 		}
-		for name, u := range r.Setup {
-			m := c.Setup[name]
-			c.Setup[name] = report.Setup{P50: m.P50 + u.P50/n, P99: m.P99 + u.P99/n, Target: u.Target, Late: m.Late + u.Late/n}
+		for name, u := range run.Setup {
+			m := r.Setup[name]
+			r.Setup[name] = report.Setup{P50: m.P50 + u.P50/n, P99: m.P99 + u.P99/n, Target: u.Target, Late: m.Late + u.Late/n}
 		}
 	}
-	if c != first {
-		c.Diff = map[string]Interval{}
+	if r != first {
+		r.Diff = map[string]Interval{}
 	}
 	for _, name := range MetricNames {
 		var values, diffs []float64
-		for i, r := range c.Runs {
-			v := metricValues(r)[name]
+		for i, run := range r.Runs {
+			v := metricValues(run)[name]
 			values = append(values, v)
 			diffs = append(diffs, v-metricValues(first.Runs[i])[name])
 		}
-		c.Mean[name] = stat.Mean(values, nil)
-		if c != first {
-			c.Diff[name] = Bootstrap(diffs)
+		r.Mean[name] = stat.Mean(values, nil)
+		if r != first {
+			r.Diff[name] = Bootstrap(diffs)
 		}
 	}
 }
--- a/rehearsal/virtual/cluster.go
+++ b/rehearsal/virtual/cluster.go
@@ -120,15 +120,15 @@
 
 // SetDuplicate starts or ends a second process under a node's name. It has no clients.
 func (p *player) SetDuplicate(no int, conf fleet.NodeConfig, on bool) {
-	if t := p.duplicates[no]; t != nil {
-		t.discardProcess()
+	if duplicate := p.duplicates[no]; duplicate != nil {
+		duplicate.discardProcess()
 		delete(p.duplicates, no)
 	}
 	if on {
-		t := &emulatedNode{player: p, index: no, iterationAt: never}
-		t.generation = 1 << 20 // the first process never counts so far
-		p.duplicates[no] = t
+		duplicate := &emulatedNode{player: p, index: no, iterationAt: never}
+		duplicate.generation = 1 << 20 // the first process never counts so far
+		p.duplicates[no] = duplicate
 		conf.Seed ^= 1 << 40
-		t.start(conf)
+		duplicate.start(conf)
 	}
 }
--- a/rehearsal/virtual/fleet_cold_test.go
+++ b/rehearsal/virtual/fleet_cold_test.go
@@ -6,8 +6,8 @@
 )
 
 // coldStart plays three of twelve hosts that die and come back cold. All nodes learn of it at once, and each decides by
-// itself. A host is overloaded when it gets more than N + 2*sqrt(N) + 2 connects, where N is what the rule allows it by
-// then and the rest allows for chance.
+// itself. A host is overloaded, which breaks a rule, when it gets more than N + 2*sqrt(N) + 2 connects within the script's
+// fleet.fall_after, where N is what the rule allows it in that time and the rest allows for chance.
 func coldStart(t *testing.T, nodes int, rate float64) {
 	for seed := range 4 {
 		r := playChecked(t, "fleet-overload", fmt.Sprintf("nodes.0.count=%d", nodes/3), fmt.Sprintf("nodes.1.count=%d", nodes/3),
--- a/rehearsal/virtual/suspensions_test.go
+++ b/rehearsal/virtual/suspensions_test.go
@@ -70,7 +70,7 @@
 
 // TestNoFalseSuspensions checks that no node suspends a host that is healthy for it because one node or a third of them is
 // starved, or because one zone's network is bad. A starved node of this rehearsal finds no host down even where it does
-// judge them, so what it may report is tested in package overload.
+// judge them, so what it may report is tested in package overload (TestLateNodeLearnsAndReportsNothing).
 func TestNoFalseSuspensions(t *testing.T) {
 	for _, c := range []struct{ name, faults string }{
 		{"one node starved", `{at="15s",kind="node_starve",nodes=["n-0"],size=0.97,for="15s"}`},
--- a/rehearsal/virtual/virtual.go
+++ b/rehearsal/virtual/virtual.go
@@ -17,7 +17,7 @@
 const (
 	startTimeOfDay = int64(1_700_000_000_000_000) // time of day at the start of a run, since 1970
 	leadTime       = int64(3_000_000)             // before the first client, as in live play: nodes probe idle hosts in it
-	minIteration   = int64(1)                     // least duration of a loop iteration, for nodes that keep asking for an iteration now
+	minIteration   = int64(1)                     // least duration of a loop iteration, so that time goes on if a node keeps asking for one
 	timerStep      = int64(1000)                  // the loop waits for whole milliseconds
 	never          = int64(1) << 62
 )
@@ -44,7 +44,7 @@
 	Configure func(no int, set *settings.Settings, c *node.Config)
 }
 
-// player implements fleet.Nodes with nodes in virtual time.
+// player implements fleet.NodePlayer with nodes in virtual time.
 type player struct {
 	world      *fleet.World
 	script     *scenario.Script
